--- a/pkg/carobrouting/candidate.go
+++ b/pkg/carobrouting/candidate.go
@@ -11,35 +11,41 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// candidate is a target that may get an attempt.
+// candidate is a target that may receive an attempt.
 type candidate struct {
-	target carobtargetid.ID
-	node   carobnodeid.ID
-	// peer is empty if the target is this node's own.
-	peer        carobaddress.Address
+	targetID carobtargetid.ID
+	// nodeID is the node on the target's VM.
+	nodeID carobnodeid.ID
+	// peerAddress is the address of the target's node; empty if that is this
+	// node.
+	peerAddress carobaddress.Address
+	// incarnation is that of the target's node.
 	incarnation carobincarnation.Incarnation
 	// slots is at least 1.
 	slots int
-	// near says that the target is in this node's data centre.
-	near bool
-	// distance is what the way to the target costs, in calls for each of its slots.
+	// sameCentre is true if the target is in this node's data centre.
+	sameCentre bool
+	// distance is the network cost of reaching the target, in calls per slot.
 	distance float64
-	// reported is the calls at the target by the newest report, queued ones
-	// included, and the own attempts made since.
-	reported float64
-	// flight estimates the calls at the target now.
-	flight float64
-	// latency estimates the time that the target takes over a call; 0 if unknown.
+	// reportedCalls is the number of running and queued calls in the newest
+	// report, plus the attempts that this node has sent since.
+	reportedCalls float64
+	// inFlight is the estimated number of calls at the target now.
+	inFlight float64
+	// latency is the estimated time that the target needs for a call; 0 if
+	// unknown.
 	latency time.Duration
-	// heard is when the report came; Never if none did.
-	heard carobinstant.Instant
-	// age is that of the report; 0 for an own target.
-	age time.Duration
-	// load is the row in the table of loads.
+	// reportedAt is when the report was received; Never before the first
+	// report.
+	reportedAt carobinstant.Instant
+	// reportAge is the time since the report was received; 0 for this node's
+	// own target.
+	reportAge time.Duration
+	// load is the target's row in World.Loads.
 	load *carobload.Load
 }
 
-// crowd returns the reported calls at the target for each of its slots.
-func (c *candidate) crowd() float64 {
-	return c.reported / float64(c.slots)
+// utilisation returns the reported calls per slot.
+func (c *candidate) utilisation() float64 {
+	return c.reportedCalls / float64(c.slots)
 }
--- a/pkg/carobrouting/policies.go
+++ b/pkg/carobrouting/policies.go
@@ -6,13 +6,15 @@
 	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
-// policy is a rule that picks a target.
+// policy picks a target for an attempt.
 type policy interface {
-	// pick returns the index of the chosen candidate. There is at least one.
-	pick(r *rand.Rand, candidates []candidate) int
+	// pick returns the index of the chosen candidate. candidates is never
+	// empty.
+	pick(rng *rand.Rand, candidates []candidate) int
 }
 
-// policies is the look-up table of all rules. To add one, add a file and a row.
+// policies has all policies by the name that profiles use. A new policy needs a
+// file and a row here.
 var policies = map[carobword.Word]policy{
 	"expected":   expected{},
 	"leastown":   leastOwn{},
@@ -23,6 +25,7 @@
 	"twochoices": twoChoices{},
 }
 
+// policyOf returns the policy of a name, or expected if there is none.
 func policyOf(name carobword.Word) policy {
 	if pl, ok := policies[name]; ok {
 		return pl
@@ -30,27 +33,27 @@
 	return expected{}
 }
 
-// Known reports whether a rule of that name exists.
+// Known reports whether a policy of that name exists.
 func Known(name carobword.Word) bool {
 	_, ok := policies[name]
 	return ok
 }
 
-// least returns the index of the candidate with the lowest figure. Of equal ones
-// each has the same chance.
-func least(r *rand.Rand, candidates []candidate, figure func(cd *candidate) float64) int {
-	best, lowest, equal := 0, 0.0, 0
+// pickLowest returns the index of the candidate with the lowest cost. Ties are
+// broken at random with equal probability.
+func pickLowest(rng *rand.Rand, candidates []candidate, cost func(cd *candidate) float64) int {
+	chosen, lowest, ties := 0, 0.0, 0
 	for i := range candidates {
-		value := figure(&candidates[i])
+		value := cost(&candidates[i])
 		switch {
-		case equal == 0 || value < lowest:
-			best, lowest, equal = i, value, 1
+		case ties == 0 || value < lowest:
+			chosen, lowest, ties = i, value, 1
 		case value == lowest:
-			equal++
-			if r.IntN(equal) == 0 {
-				best = i
+			ties++
+			if rng.IntN(ties) == 0 {
+				chosen = i
 			}
 		}
 	}
-	return best
+	return chosen
 }
--- a/pkg/carobrouting/policy_leastown.go
+++ b/pkg/carobrouting/policy_leastown.go
@@ -2,10 +2,10 @@
 
 import "math/rand/v2"
 
-// leastOwn picks the target with the fewest own attempts that have no reply. It
-// needs no report.
+// leastOwn picks the target with the fewest open attempts of this node per
+// slot. It needs no load reports.
 type leastOwn struct{}
 
-func (leastOwn) pick(r *rand.Rand, candidates []candidate) int {
-	return least(r, candidates, func(cd *candidate) float64 { return float64(cd.load.Open) / float64(cd.slots) })
+func (leastOwn) pick(rng *rand.Rand, candidates []candidate) int {
+	return pickLowest(rng, candidates, func(cd *candidate) float64 { return float64(cd.load.Open) / float64(cd.slots) })
 }
--- a/pkg/carobrouting/policy_random.go
+++ b/pkg/carobrouting/policy_random.go
@@ -2,9 +2,9 @@
 
 import "math/rand/v2"
 
-// random picks any target with the same chance.
+// random picks every target with the same probability.
 type random struct{}
 
-func (random) pick(r *rand.Rand, candidates []candidate) int {
-	return r.IntN(len(candidates))
+func (random) pick(rng *rand.Rand, candidates []candidate) int {
+	return rng.IntN(len(candidates))
 }
--- /dev/null
+++ b/pkg/carobrouting/replies.go
@@ -0,0 +1,75 @@
+package carobrouting
+
+import (
+	"math"
+	"net/http"
+	"time"
+
+	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobload"
+	"github.com/carobknot/carobknot/pkg/carobreply"
+	"github.com/carobknot/carobknot/pkg/carobstage"
+	"github.com/carobknot/carobknot/pkg/carobtargetid"
+	"github.com/carobknot/carobknot/pkg/carobworld"
+)
+
+// outcomeDecay is the time constant of the exponential decay of the counts of
+// successes and failures.
+const outcomeDecay = time.Second
+
+// recordReply updates the load of a target from a reply to an attempt.
+func recordReply(world *carobworld.World, now carobinstant.Instant, reply carobreply.Reply) {
+	load := loadOf(world, reply.Target)
+	if load == nil {
+		return
+	}
+	load.Open = max(0, load.Open-1)
+	if reply.Report != nil {
+		load.Report, load.At, load.Sent = *reply.Report, now, 0
+	} else {
+		load.Sent = max(0, load.Sent-1)
+	}
+	recordOutcome(load, now, reply, supersededByAnswer(world, reply))
+}
+
+// supersededByAnswer reports whether the attempt was cancelled because another
+// attempt at the call was answered first.
+func supersededByAnswer(world *carobworld.World, reply carobreply.Reply) bool {
+	call := world.Calls.Get(reply.Job.Call)
+	return reply.Kind == carobkind.Cancelled && call != nil && call.Stage == carobstage.Delivering
+}
+
+// recordOutcome counts a success or a failure. A refusal counts as neither,
+// since it does not depend on the target's health. An attempt that was
+// cancelled because another target answered first counts as a failure: a frozen
+// target shows itself in no other way.
+func recordOutcome(load *carobload.Load, now carobinstant.Instant, reply carobreply.Reply, superseded bool) {
+	decayOutcomes(load, now)
+	switch {
+	case reply.Kind == carobkind.None && reply.Status < http.StatusInternalServerError:
+		load.Successes++
+		load.Streak = 0
+	case superseded, reply.Kind == carobkind.None, reply.Kind == carobkind.Cut, reply.Kind == carobkind.Unreachable:
+		load.Failures++
+		load.Streak++
+	}
+}
+
+// decayOutcomes applies the decay up to now to the counts of successes and
+// failures.
+func decayOutcomes(load *carobload.Load, now carobinstant.Instant) {
+	keep := math.Exp(-float64(now.Sub(load.Counted)) / float64(outcomeDecay))
+	load.Successes *= keep
+	load.Failures *= keep
+	load.Counted = now
+}
+
+// loadOf returns the row of a target and adds it if it is missing. It returns
+// nil if the row is missing and the table is full.
+func loadOf(world *carobworld.World, id carobtargetid.ID) *carobload.Load {
+	if load := world.Loads.Get(id); load != nil {
+		return load
+	}
+	return world.Loads.Put(id, carobload.Load{})
+}
--- a/pkg/carobrouting/system.go
+++ b/pkg/carobrouting/system.go
@@ -1,4 +1,5 @@
-// Package carobrouting picks the target of each attempt.
+// Package carobrouting picks the target of each attempt, by the policy of the
+// call's profile.
 package carobrouting
 
 import (
@@ -23,98 +24,106 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// pause is how long a call waits before a target is looked for again.
-const pause = 20 * time.Millisecond
+// retryInterval is how long a call without a candidate waits until candidates
+// are collected again.
+const retryInterval = 20 * time.Millisecond
 
-// System places the calls that wait for a target.
+// System sends the attempts of the calls that wait for a target, and their
+// hedges.
 type System struct {
-	// candidates is kept between calls to save its memory.
+	// candidates is reused between calls to save allocations.
 	candidates []candidate
-	// empty has the services that were found to have no candidate in this tick,
-	// so that thousands of calls that wait for the same service cost one look.
-	empty map[carobservice.Service]struct{}
-	// turn counts the attempts that were placed.
+	// withoutTarget has the services that had no candidate in this tick.
+	// Without it, thousands of calls that wait for the same service would each
+	// search all its targets in every tick.
+	withoutTarget map[carobservice.Service]struct{}
+	// turn counts the attempts that were sent.
 	turn uint64
 }
 
-// NewSystem returns the system.
+// NewSystem returns a System that has sent no attempts.
 func NewSystem() *System {
-	return &System{empty: map[carobservice.Service]struct{}{}}
+	return &System{withoutTarget: map[carobservice.Service]struct{}{}}
 }
 
-// Run learns from replies and places waiting calls.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	for _, rp := range w.Inbox.Replies {
-		learn(w, now, rp)
+// Run updates the loads from the replies of the tick and sends attempts for
+// waiting calls.
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	for _, reply := range world.Inbox.Replies {
+		recordReply(world, now, reply)
 	}
-	clear(s.empty)
-	for _, cl := range w.Calls.All() {
+	clear(s.withoutTarget)
+	for _, call := range world.Calls.All() {
 		switch {
-		case cl.Stage == carobstage.Waiting:
-			s.place(w, now, cl)
-		case cl.Extra:
-			s.hedge(w, now, cl)
+		case call.Stage == carobstage.Waiting:
+			s.place(world, now, call)
+		case call.Extra:
+			s.placeHedge(world, now, call)
 		}
 	}
 }
 
-func (s *System) place(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call) {
-	if cl.Rest != carobinstant.Never && !cl.Rest.Reached(now) {
-		w.WakeAt(cl.Rest)
+// place sends an attempt for a call whose backoff has ended, or schedules the
+// next try if no target can receive it.
+func (s *System) place(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
+	if call.Rest != carobinstant.Never && !call.Rest.Reached(now) {
+		world.WakeAt(call.Rest)
 		return
 	}
-	if _, ok := s.empty[cl.Arrival.Service]; ok {
-		cl.Starved = true
+	if _, ok := s.withoutTarget[call.Arrival.Service]; ok {
+		call.Starved = true
 		return
 	}
-	s.collect(w, now, cl)
-	cl.Starved = len(s.candidates) == 0
-	if cl.Starved {
-		s.empty[cl.Arrival.Service] = struct{}{}
-		w.WakeAt(now.Add(pause))
+	s.collectCandidates(world, now, call)
+	call.Starved = len(s.candidates) == 0
+	if call.Starved {
+		s.withoutTarget[call.Arrival.Service] = struct{}{}
+		world.WakeAt(now.Add(retryInterval))
 		return
 	}
-	age(s.candidates)
-	if cl.Profile.Near > 0 {
-		s.candidates = nearest(s.candidates, float64(cl.Profile.Near))
+	estimateLoads(s.candidates)
+	if call.Profile.Near > 0 {
+		s.candidates = preferSameCentre(s.candidates, float64(call.Profile.Near))
 	}
-	chosen := policyOf(cl.Profile.Policy).pick(w.Random, s.candidates)
-	s.send(w, now, cl, s.candidates[chosen])
+	chosen := policyOf(call.Profile.Policy).pick(world.Random, s.candidates)
+	s.sendAttempt(world, now, call, s.candidates[chosen])
 }
 
-// hedge places a second attempt beside the one under way, if a target that was
-// not tried yet has a slot for it and the budget allows.
-func (s *System) hedge(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call) {
-	cl.Extra = false
-	if cl.Stage != carobstage.Placed {
+// placeHedge sends a second attempt beside the open one, if the policy picks a
+// target that has a free slot and was not tried yet, and the retry budget of
+// the service allows it.
+func (s *System) placeHedge(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
+	call.Extra = false
+	if call.Stage != carobstage.Placed {
 		return
 	}
-	s.collect(w, now, cl)
+	s.collectCandidates(world, now, call)
 	if len(s.candidates) == 0 {
 		return
 	}
-	age(s.candidates)
-	cd := s.candidates[policyOf(cl.Profile.Policy).pick(w.Random, s.candidates)]
-	if cd.flight < float64(cd.slots) && !tried(cl, cd.target) && w.BudgetOf(cl.Arrival.Service).Spend() {
-		s.send(w, now, cl, cd)
+	estimateLoads(s.candidates)
+	chosen := s.candidates[policyOf(call.Profile.Policy).pick(world.Random, s.candidates)]
+	if chosen.inFlight < float64(chosen.slots) && !tried(call, chosen.targetID) && world.BudgetOf(call.Arrival.Service).Spend() {
+		s.sendAttempt(world, now, call, chosen)
 	}
 }
 
-// collect lists the targets that may get the next attempt. Targets that have
-// refused the call already come in only when no other is left, and those out of
-// view only when no one in view is ready.
-func (s *System) collect(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call) {
+// collectCandidates lists the targets that may receive the next attempt.
+// Targets that the call was already sent to are listed only if there is no
+// other, and targets outside this node's subset only if none in the subset is
+// available.
+func (s *System) collectCandidates(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
 	s.candidates = s.candidates[:0]
-	gp := w.Groups.Get(cl.Arrival.Service)
-	if gp == nil {
+	group := world.Groups.Get(call.Arrival.Service)
+	if group == nil {
 		return
 	}
-	inView := view(w, gp, cl.Profile.Spread)
-	for _, ids := range [][]carobtargetid.ID{inView, gp.Targets} {
-		for _, again := range []bool{false, true} {
+	preferred := subset(world, group, call.Profile.Spread)
+	for _, ids := range [][]carobtargetid.ID{preferred, group.Targets} {
+		for _, alreadyTried := range []bool{false, true} {
 			for _, id := range ids {
-				if tried(cl, id) == again {
-					s.consider(w, now, cl, id)
+				if tried(call, id) == alreadyTried {
+					s.addCandidate(world, now, call, id)
 				}
 			}
 			if len(s.candidates) > 0 {
@@ -124,100 +133,108 @@
 	}
 }
 
-func (s *System) consider(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call, id carobtargetid.ID) {
-	tg := w.Targets.Get(id)
-	if tg == nil || tg.State != carobreadiness.Ready || w.Stopping && w.Owns(tg) {
+// addCandidate lists a target unless it is not ready, leaving, ejected or under
+// trial with an open attempt.
+func (s *System) addCandidate(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, id carobtargetid.ID) {
+	target := world.Targets.Get(id)
+	if target == nil || target.State != carobreadiness.Ready || world.Stopping && world.Owns(target) {
 		return
 	}
-	cd := candidate{target: id, node: tg.Node, slots: max(tg.Slots, 1), incarnation: w.Self.Incarnation, near: true}
-	if !w.Owns(tg) {
-		pr := w.Peers.Get(tg.Node)
-		if pr == nil || pr.Member.Leaving {
+	added := candidate{targetID: id, nodeID: target.Node, slots: max(target.Slots, 1), incarnation: world.Self.Incarnation, sameCentre: true}
+	if !world.Owns(target) {
+		peer := world.Peers.Get(target.Node)
+		if peer == nil || peer.Member.Leaving {
 			return
 		}
-		cd.peer, cd.incarnation = pr.Member.Peer, pr.Member.Incarnation
-		cd.near = pr.Member.Centre == w.Self.Centre
-		cd.distance = distance(cd.near, cl.Arrival.Size)
+		added.peerAddress, added.incarnation = peer.Member.Peer, peer.Member.Incarnation
+		added.sameCentre = peer.Member.Centre == world.Self.Centre
+		added.distance = distance(added.sameCentre, call.Arrival.Size)
 	}
-	if cd.load = load(w, id); cd.load == nil || out(cd.load) {
+	if added.load = loadOf(world, id); added.load == nil || isUnavailable(added.load) {
 		return
 	}
-	cd.load.Looked = now
-	cd.heard = cd.load.At
-	weigh(w, now, tg, &cd)
-	s.candidates = append(s.candidates, cd)
+	added.load.Looked = now
+	added.reportedAt = added.load.At
+	setReportedLoad(world, now, target, &added)
+	s.candidates = append(s.candidates, added)
 }
 
-// mostMoved is the longest body that is sent a second time rather than held up by a
-// target that is slow.
-const mostMoved = 8 * carobsize.KiB
+// maxMovableSize is the largest body that is sent a second time to avoid the
+// wait for a slow target.
+const maxMovableSize = 8 * carobsize.KiB
 
-// distance returns what the way to a target on another VM costs.
+// distance returns the cost, in calls per slot, of reaching a target on another
+// VM with a body of the given size.
 func distance(near bool, size carobsize.Size) float64 {
 	const (
-		hop    = 0.1
-		centre = 1.25
-		// perByte is for bodies, which only other data centres make dear.
-		perByte = 1.0 / (32 << 10)
+		vmCost     = 0.1
+		centreCost = 1.25
+		// byteCost applies to bodies, which are expensive only between data
+		// centres.
+		byteCost = 1.0 / (32 << 10)
 	)
 	if near {
-		return hop
+		return vmCost
 	}
-	return centre + perByte*float64(size)
+	return centreCost + byteCost*float64(size)
 }
 
-// out reports whether a target is ejected, or on trial with a call under way.
-func out(ld *carobload.Load) bool {
-	return ld.Ejected != carobinstant.Never || ld.Trial && ld.Open > 0
+// isUnavailable reports whether a target is ejected, or under trial with an
+// open attempt.
+func isUnavailable(load *carobload.Load) bool {
+	return load.Ejected != carobinstant.Never || load.Trial && load.Open > 0
 }
 
-// weigh estimates a target's load: of an own target it is known; of another it
-// is that of the newest report, and the own attempts made since.
-func weigh(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target, cd *candidate) {
-	if gt := w.Gates.Get(tg.ID); gt != nil && w.Owns(tg) {
-		cd.reported, cd.latency, cd.heard = float64(gt.Running+gt.Queued), gt.Latency, now
+// setReportedLoad sets the load of a candidate. This node's own target has a
+// gate, which is always current; for others the newest report is used, plus the
+// attempts that this node has sent since.
+func setReportedLoad(world *carobworld.World, now carobinstant.Instant, target *carobtarget.Target, cd *candidate) {
+	if gate := world.Gates.Get(target.ID); gate != nil && world.Owns(target) {
+		cd.reportedCalls, cd.latency, cd.reportedAt = float64(gate.Running+gate.Queued), gate.Latency, now
 		return
 	}
-	rp := &cd.load.Report
-	cd.reported = float64(rp.Running + rp.Queued + cd.load.Sent)
-	cd.age = now.Sub(cd.load.At)
-	cd.latency = rp.Latency.Duration()
+	report := &cd.load.Report
+	cd.reportedCalls = float64(report.Running + report.Queued + cd.load.Sent)
+	cd.reportAge = now.Sub(cd.load.At)
+	cd.latency = report.Latency.Duration()
 }
 
-func tried(cl *carobcall.Call, id carobtargetid.ID) bool {
-	for i := range cl.Attempts {
-		if cl.Attempts[i].Target == id {
+// tried reports whether an attempt at the call was already sent to the target.
+func tried(call *carobcall.Call, id carobtargetid.ID) bool {
+	for i := range call.Attempts {
+		if call.Attempts[i].Target == id {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *System) send(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call, cd candidate) {
-	cl.Stage, cl.Last = carobstage.Placed, carobkind.None
-	cl.Attempts = append(cl.Attempts, carobattempt.Attempt{
-		Target: cd.target, Node: cd.node, Incarnation: cd.incarnation, Sent: now,
+// sendAttempt records an attempt and orders it to be sent.
+func (s *System) sendAttempt(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, chosen candidate) {
+	call.Stage, call.Last = carobstage.Placed, carobkind.None
+	call.Attempts = append(call.Attempts, carobattempt.Attempt{
+		Target: chosen.targetID, Node: chosen.nodeID, Incarnation: chosen.incarnation, Sent: now,
 	})
 	s.turn++
-	cd.load.Sent++
-	cd.load.Open++
-	cd.load.Turn = s.turn
-	w.Decide(carobdecision.Decision{
-		Part: "route", Text: "attempt sent", Request: cl.Arrival.Request, Call: cl.Arrival.Call,
-		Attempt: len(cl.Attempts), Target: cd.target,
+	chosen.load.Sent++
+	chosen.load.Open++
+	chosen.load.Turn = s.turn
+	world.Decide(carobdecision.Decision{
+		Part: "route", Text: "attempt sent", Request: call.Arrival.Request, Call: call.Arrival.Call,
+		Attempt: len(call.Attempts), Target: chosen.targetID,
 		Inputs: []carobinput.Input{
 			{Name: "candidates", Value: float64(len(s.candidates))},
-			{Name: "flight", Value: math.Round(cd.flight*10) / 10},
-			{Name: "slots", Value: float64(cd.slots)},
-			{Name: "distance", Value: cd.distance},
-			carobinput.Age("reportms", now, cd.heard),
+			{Name: "flight", Value: math.Round(chosen.inFlight*10) / 10},
+			{Name: "slots", Value: float64(chosen.slots)},
+			{Name: "distance", Value: chosen.distance},
+			carobinput.Age("reportms", now, chosen.reportedAt),
 		},
 	})
-	wish := cl.Wish(now)
-	wish.Movable = len(cl.Attempts) == 1 && len(s.candidates) > 1 && cl.Arrival.Size <= mostMoved
-	w.Outbox.Sends = append(w.Outbox.Sends, carobsend.Send{
-		Job:    carobjobid.ID{Call: cl.Arrival.Call, Attempt: len(cl.Attempts)},
-		Target: cd.target, Peer: cd.peer, Incarnation: cd.incarnation, Patience: cl.Deadline.Sub(now),
-		Once: cl.Profile.Once, Wish: wish,
+	wish := call.Wish(now)
+	wish.Movable = len(call.Attempts) == 1 && len(s.candidates) > 1 && call.Arrival.Size <= maxMovableSize
+	world.Outbox.Sends = append(world.Outbox.Sends, carobsend.Send{
+		Job:    carobjobid.ID{Call: call.Arrival.Call, Attempt: len(call.Attempts)},
+		Target: chosen.targetID, Peer: chosen.peerAddress, Incarnation: chosen.incarnation, Patience: call.Deadline.Sub(now),
+		Once: call.Profile.Once, Wish: wish,
 	})
 }
--- a/pkg/carobrouting/waiting_test.go
+++ b/pkg/carobrouting/waiting_test.go
@@ -22,48 +22,54 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// crowd returns a world in which calls wait for a service of one node's targets.
-func crowd(calls, targets int, state carobreadiness.Readiness) *carobworld.World {
-	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "self"}, Limits: caroblimits.NewLimits()})
-	gp := carobgroup.Group{}
+// newWaitingWorld returns a world in which calls wait for a service whose
+// targets all belong to one node.
+func newWaitingWorld(calls, targets int, state carobreadiness.Readiness) *carobworld.World {
+	world := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "self"}, Limits: caroblimits.NewLimits()})
+	group := carobgroup.Group{}
 	for i := range targets {
 		id := carobtargetid.ID{Service: "lookups", Name: carobword.Word(rune('a' + i))}
-		w.Targets.Put(id, carobtarget.Target{ID: id, Node: "self", Slots: 1, State: state})
-		gp.Targets = append(gp.Targets, id)
+		world.Targets.Put(id, carobtarget.Target{ID: id, Node: "self", Slots: 1, State: state})
+		group.Targets = append(group.Targets, id)
 	}
-	w.Groups.Put("lookups", gp)
+	world.Groups.Put("lookups", group)
 	for i := range calls {
 		id := carobcallid.ID{Node: "self", Sequence: uint64(i)}
-		w.Calls.Put(id, carobcall.Call{
+		world.Calls.Put(id, carobcall.Call{
 			Arrival: carobarrival.Arrival{Call: id, Service: "lookups"}, Profile: carobprofile.NewProfile("lookups"), Deadline: 1 << 60,
 		})
 	}
-	return w
+	return world
 }
 
-// Calls that wait while no target is ready are all placed once one is.
-func TestCrowdIsPlacedTogether(t *testing.T) {
-	w, s := crowd(100, 3, carobreadiness.Leaving), NewSystem()
-	w.Begin(carobinbox.Inbox{})
-	s.Run(w, 1)
-	require.Empty(t, w.Outbox.Sends)
-	for _, tg := range w.Targets.All() {
-		tg.State = carobreadiness.Ready
+// Guards against calls that stay waiting after their service was found without
+// a target in an earlier tick.
+func TestWaitingCallsAreAllPlacedWhenTargetsBecomeReady(t *testing.T) {
+	world, s := newWaitingWorld(100, 3, carobreadiness.Leaving), NewSystem()
+	world.Begin(carobinbox.Inbox{})
+	s.Run(world, 1)
+	require.Empty(t, world.Outbox.Sends)
+	for _, target := range world.Targets.All() {
+		target.State = carobreadiness.Ready
 	}
-	w.Begin(carobinbox.Inbox{})
-	s.Run(w, 2)
-	require.Len(t, w.Outbox.Sends, 100)
+	world.Begin(carobinbox.Inbox{})
+	s.Run(world, 2)
+	require.Len(t, world.Outbox.Sends, 100)
 }
 
-func BenchmarkCrowdWithoutTarget(b *testing.B) {
-	w, s := crowd(10_000, 20, carobreadiness.Leaving), NewSystem()
+// Measures a tick with thousands of calls of a service that has no ready
+// target.
+func BenchmarkWaitingCallsWithoutTarget(b *testing.B) {
+	world, s := newWaitingWorld(10_000, 20, carobreadiness.Leaving), NewSystem()
 	for b.Loop() {
-		w.Begin(carobinbox.Inbox{})
-		s.Run(w, 1)
+		world.Begin(carobinbox.Inbox{})
+		s.Run(world, 1)
 	}
 }
 
-func TestSmallCallMayMoveOnce(t *testing.T) {
+// Guards against a call that is moved from target to target without end, or
+// whose long body is sent a second time.
+func TestOnlyFirstAttemptOfSmallCallIsMovable(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		targets  int
@@ -77,13 +83,13 @@
 		{"long body", 2, 64 * carobsize.KiB, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := crowd(1, c.targets, carobreadiness.Ready)
-			for _, cl := range w.Calls.All() {
-				cl.Arrival.Size, cl.Attempts = c.size, make([]carobattempt.Attempt, c.attempts)
+			world := newWaitingWorld(1, c.targets, carobreadiness.Ready)
+			for _, call := range world.Calls.All() {
+				call.Arrival.Size, call.Attempts = c.size, make([]carobattempt.Attempt, c.attempts)
 			}
-			w.Begin(carobinbox.Inbox{})
-			NewSystem().Run(w, 1)
-			require.Equal(t, c.movable, w.Outbox.Sends[0].Wish.Movable)
+			world.Begin(carobinbox.Inbox{})
+			NewSystem().Run(world, 1)
+			require.Equal(t, c.movable, world.Outbox.Sends[0].Wish.Movable)
 		})
 	}
 }
