--- a/pkg/carobejection/system.go
+++ b/pkg/carobejection/system.go
@@ -1,8 +1,8 @@
-// Package carobejection takes targets that fail much more often than their
-// peers out for a while.
+// Package carobejection ejects targets that fail much more often than the other
+// targets of their service.
 //
-// A target that fails fast has free slots and short latencies, and every rule
-// that looks at load would send it more calls, not fewer.
+// A target that fails fast has free slots and short latencies, so policies that
+// pick by load would send it more calls, not fewer.
 package carobejection
 
 import (
@@ -19,104 +19,113 @@
 )
 
 const (
-	// enough is how many recent replies an error rate needs to be trusted.
-	enough = 5
-	// streak is how many failures in a row count as an error rate of 1, however
-	// many successes came before.
-	streak = 4
-	// out is how long a target is out at least, and spread how much longer by
-	// chance, so that nodes do not all try it again at once.
-	out    = 1500 * time.Millisecond
-	spread = time.Second
-	// most is the share of a service's targets that may be out at once. Above it
-	// the fault is not the targets', and taking more out would only overload the
-	// rest.
-	most = 0.5
+	// minReplies is the weight of recent replies below which the error rate is
+	// ignored.
+	minReplies = 5
+	// failureStreak is the number of consecutive failures that count as an
+	// error rate of 1, whatever the earlier successes.
+	failureStreak = 4
+	// minEjection is the shortest ejection. A random part of ejectionJitter is
+	// added, so that nodes do not all try the target again at once.
+	minEjection    = 1500 * time.Millisecond
+	ejectionJitter = time.Second
+	// maxEjectedShare is the share of a service's targets that may be ejected
+	// at once. If more fail, the fault lies elsewhere, and ejecting them would
+	// only overload the rest.
+	maxEjectedShare = 0.5
 )
 
-// System ejects targets and lets them back by a trial: after a while one call
-// at a time may try the target, and its reply decides.
+// System ejects targets and readmits them after a trial: when the ejection
+// expires, the target receives one call at a time until a reply ends the trial.
 type System struct{}
 
-// NewSystem returns the system.
+// NewSystem returns the system, which has no state of its own.
 func NewSystem() *System {
 	return &System{}
 }
 
-// Run judges the targets that have replied in this tick. It runs after the
-// routing, which counts the replies.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	for _, rp := range w.Inbox.Replies {
-		if ld := w.Loads.Get(rp.Target); ld != nil {
-			judge(w, now, rp, ld)
+// Run evaluates the targets that replied in this tick and starts the trials of
+// those whose ejection has expired. It has to run after carobrouting, which
+// counts the replies.
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	for _, reply := range world.Inbox.Replies {
+		if load := world.Loads.Get(reply.Target); load != nil {
+			evaluate(world, now, reply, load)
 		}
 	}
-	for _, ld := range w.Loads.All() {
+	for _, load := range world.Loads.All() {
 		switch {
-		case ld.Ejected == carobinstant.Never:
-		case ld.Ejected.Reached(now):
-			ld.Ejected, ld.Trial = carobinstant.Never, true
+		case load.Ejected == carobinstant.Never:
+		case load.Ejected.Reached(now):
+			load.Ejected, load.Trial = carobinstant.Never, true
 		default:
-			w.WakeAt(ld.Ejected)
+			world.WakeAt(load.Ejected)
 		}
 	}
 }
 
-func judge(w *carobworld.World, now carobinstant.Instant, rp carobreply.Reply, ld *carobload.Load) {
+// evaluate ejects or readmits a target after a reply. Replies of a target that is
+// ejected are ignored: their attempts were sent before.
+func evaluate(world *carobworld.World, now carobinstant.Instant, reply carobreply.Reply, load *carobload.Load) {
 	switch {
-	case ld.Ejected != carobinstant.Never:
-	case ld.Trial && failed(rp):
-		eject(w, now, ld)
-	case ld.Trial && rp.Kind == carobkind.None:
-		ld.Trial, ld.Successes, ld.Failures, ld.Streak = false, 1, 0, 0
-		audit(w, rp.Target, "ejected", "in")
-	case !ld.Trial && worse(w, rp.Target, ld):
-		eject(w, now, ld)
-		audit(w, rp.Target, "in", "ejected")
+	case load.Ejected != carobinstant.Never:
+	case load.Trial && isFailure(reply):
+		eject(world, now, load)
+	case load.Trial && reply.Kind == carobkind.None:
+		load.Trial, load.Successes, load.Failures, load.Streak = false, 1, 0, 0
+		recordAudit(world, reply.Target, "ejected", "in")
+	case !load.Trial && shouldEject(world, reply.Target, load):
+		eject(world, now, load)
+		recordAudit(world, reply.Target, "in", "ejected")
 	}
 }
 
-func failed(rp carobreply.Reply) bool {
+// isFailure reports whether a reply counts against the target. Refusals do not.
+func isFailure(reply carobreply.Reply) bool {
 	const firstError = 500
-	return rp.Kind == carobkind.None && rp.Status >= firstError ||
-		rp.Kind == carobkind.Cut || rp.Kind == carobkind.Unreachable
+	return reply.Kind == carobkind.None && reply.Status >= firstError ||
+		reply.Kind == carobkind.Cut || reply.Kind == carobkind.Unreachable
 }
 
-// worse reports whether a target fails more often than its peers by more than
-// the profile allows, and may be taken out.
-func worse(w *carobworld.World, id carobtargetid.ID, ld *carobload.Load) bool {
-	pf, gp := w.ProfileOf(id.Service), w.Groups.Get(id.Service)
-	if pf == nil || gp == nil || pf.Eject <= 0 {
+// shouldEject reports whether a target's error rate exceeds that of the other
+// targets by more than the profile allows, and the service has enough targets
+// left.
+func shouldEject(world *carobworld.World, id carobtargetid.ID, load *carobload.Load) bool {
+	profile, group := world.ProfileOf(id.Service), world.Groups.Get(id.Service)
+	if profile == nil || group == nil || profile.Eject <= 0 {
 		return false
 	}
-	return recent(ld) > peers(w, gp, id)+float64(pf.Eject) &&
-		float64(outOf(w, gp)+1) <= most*float64(len(gp.Targets))
+	return errorRate(load) > errorRateOfOthers(world, group, id)+float64(profile.Eject) &&
+		float64(countUnavailable(world, group)+1) <= maxEjectedShare*float64(len(group.Targets))
 }
 
-// recent returns the target's error rate as of now.
-func recent(ld *carobload.Load) float64 {
+// errorRate returns the target's recent error rate, or 0 if there are too few
+// replies.
+func errorRate(load *carobload.Load) float64 {
 	switch {
-	case ld.Streak >= streak:
+	case load.Streak >= failureStreak:
 		return 1
-	case ld.Successes+ld.Failures < enough:
+	case load.Successes+load.Failures < minReplies:
 		return 0
 	default:
-		return rate(ld.Successes, ld.Failures)
+		return rate(load.Successes, load.Failures)
 	}
 }
 
-// peers returns the error rate of all other targets of the service together.
-func peers(w *carobworld.World, gp *carobgroup.Group, id carobtargetid.ID) float64 {
+// errorRateOfOthers returns the error rate of all other targets of the service
+// together.
+func errorRateOfOthers(world *carobworld.World, group *carobgroup.Group, id carobtargetid.ID) float64 {
 	var successes, failures float64
-	for _, other := range gp.Targets {
-		if ld := w.Loads.Get(other); ld != nil && other != id {
-			successes += ld.Successes
-			failures += ld.Failures
+	for _, other := range group.Targets {
+		if load := world.Loads.Get(other); load != nil && other != id {
+			successes += load.Successes
+			failures += load.Failures
 		}
 	}
 	return rate(successes, failures)
 }
 
+// rate returns the share of failures, or 0 if there are none.
 func rate(successes, failures float64) float64 {
 	if failures == 0 {
 		return 0
@@ -124,25 +133,28 @@
 	return failures / (successes + failures)
 }
 
-// outOf returns how many targets of the service are out or on trial.
-func outOf(w *carobworld.World, gp *carobgroup.Group) int {
-	n := 0
-	for _, id := range gp.Targets {
-		if ld := w.Loads.Get(id); ld != nil && (ld.Trial || ld.Ejected != carobinstant.Never) {
-			n++
+// countUnavailable returns how many targets of the service are ejected or under
+// trial.
+func countUnavailable(world *carobworld.World, group *carobgroup.Group) int {
+	count := 0
+	for _, id := range group.Targets {
+		if load := world.Loads.Get(id); load != nil && (load.Trial || load.Ejected != carobinstant.Never) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func eject(w *carobworld.World, now carobinstant.Instant, ld *carobload.Load) {
-	ld.Trial = false
-	ld.Ejected = now.Add(out + time.Duration(w.Random.Int64N(int64(spread))))
-	w.WakeAt(ld.Ejected)
+// eject ejects a target until now plus a random time.
+func eject(world *carobworld.World, now carobinstant.Instant, load *carobload.Load) {
+	load.Trial = false
+	load.Ejected = now.Add(minEjection + time.Duration(world.Random.Int64N(int64(ejectionJitter))))
+	world.WakeAt(load.Ejected)
 }
 
-func audit(w *carobworld.World, id carobtargetid.ID, from, to string) {
-	w.Outbox.Audits = append(w.Outbox.Audits, carobaudit.Audit{
-		Who: string(w.Self.Node), Part: "route", What: "target " + id.String(), From: from, To: to,
+// recordAudit records that a target was ejected or readmitted.
+func recordAudit(world *carobworld.World, id carobtargetid.ID, from, to string) {
+	world.Outbox.Audits = append(world.Outbox.Audits, carobaudit.Audit{
+		Who: string(world.Self.Node), Part: "route", What: "target " + id.String(), From: from, To: to,
 	})
 }
--- a/pkg/carobejection/system_test.go
+++ b/pkg/carobejection/system_test.go
@@ -26,77 +26,84 @@
 	return carobtargetid.ID{Service: "lookups", Name: carobword.Word(name)}
 }
 
-// made returns a world with a service of some targets.
-func made(loads map[string]carobload.Load) *carobworld.World {
-	w := carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()})
-	w.Profiles.Put("p", carobrevision.Revision{Change: carobchange.Change{Profile: carobprofile.NewProfile("p")}})
-	gp := carobgroup.Group{Profile: "p"}
-	for name, ld := range loads {
-		gp.Targets = append(gp.Targets, target(name))
-		w.Loads.Put(target(name), ld)
+// newWorld returns a world with one service, whose targets have the given
+// loads.
+func newWorld(loads map[string]carobload.Load) *carobworld.World {
+	world := carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()})
+	world.Profiles.Put("p", carobrevision.Revision{Change: carobchange.Change{Profile: carobprofile.NewProfile("p")}})
+	group := carobgroup.Group{Profile: "p"}
+	for name, load := range loads {
+		group.Targets = append(group.Targets, target(name))
+		world.Loads.Put(target(name), load)
 	}
-	w.Groups.Put("lookups", gp)
-	return w
+	world.Groups.Put("lookups", group)
+	return world
 }
 
-// hear runs a tick with one reply of target a.
-func hear(w *carobworld.World, now carobinstant.Instant, status int) {
-	w.Begin(carobinbox.Inbox{Replies: []carobreply.Reply{{Target: target("a"), Status: status}}})
-	NewSystem().Run(w, now)
+// tickWithReply runs a tick with one reply of target a.
+func tickWithReply(world *carobworld.World, now carobinstant.Instant, status int) {
+	world.Begin(carobinbox.Inbox{Replies: []carobreply.Reply{{Target: target("a"), Status: status}}})
+	NewSystem().Run(world, now)
 }
 
-func TestWhoIsEjected(t *testing.T) {
-	good, bad := carobload.Load{Successes: 10}, carobload.Load{Successes: 1, Failures: 9}
-	gone := carobload.Load{Ejected: carobinstant.Instant(time.Hour)}
+// Guards against keeping a failing target, and against ejecting targets on too
+// few replies or so many that the rest is overloaded.
+func TestEjectsTargetsThatFailMoreThanOthers(t *testing.T) {
+	healthy, failing := carobload.Load{Successes: 10}, carobload.Load{Successes: 1, Failures: 9}
+	ejected := carobload.Load{Ejected: carobinstant.Instant(time.Hour)}
 	for _, tc := range []struct {
 		name  string
 		loads map[string]carobload.Load
 		want  bool
 	}{
-		{"fails more than its peers", map[string]carobload.Load{"a": bad, "b": good, "c": good}, true},
-		{"fails as often as its peers", map[string]carobload.Load{"a": bad, "b": bad, "c": bad}, false},
-		{"fails in a row after many successes", map[string]carobload.Load{"a": {Successes: 90, Failures: 4, Streak: 4}, "b": good}, true},
-		{"too few replies", map[string]carobload.Load{"a": {Failures: 2}, "b": good, "c": good}, false},
-		{"half are out already", map[string]carobload.Load{"a": bad, "b": good, "c": gone}, false},
-		{"the only target", map[string]carobload.Load{"a": bad}, false},
-		{"fails a little", map[string]carobload.Load{"a": {Successes: 9, Failures: 1}, "b": good}, false},
+		{"fails more than other targets", map[string]carobload.Load{"a": failing, "b": healthy, "c": healthy}, true},
+		{"fails as often as other targets", map[string]carobload.Load{"a": failing, "b": failing, "c": failing}, false},
+		{"fails several times in a row after many successes", map[string]carobload.Load{"a": {Successes: 90, Failures: 4, Streak: 4}, "b": healthy}, true},
+		{"too few replies", map[string]carobload.Load{"a": {Failures: 2}, "b": healthy, "c": healthy}, false},
+		{"half are ejected already", map[string]carobload.Load{"a": failing, "b": healthy, "c": ejected}, false},
+		{"the only target", map[string]carobload.Load{"a": failing}, false},
+		{"fails occasionally", map[string]carobload.Load{"a": {Successes: 9, Failures: 1}, "b": healthy}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := made(tc.loads)
-			hear(w, 1, http.StatusInternalServerError)
-			require.Equal(t, tc.want, w.Loads.Get(target("a")).Ejected != carobinstant.Never)
+			world := newWorld(tc.loads)
+			tickWithReply(world, 1, http.StatusInternalServerError)
+			require.Equal(t, tc.want, world.Loads.Get(target("a")).Ejected != carobinstant.Never)
 		})
 	}
 }
 
-func TestTrialDecides(t *testing.T) {
+// Guards against targets that stay ejected after they recovered, and against
+// full traffic to those that still fail.
+func TestTrialReplyDecidesEjection(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		status int
-		back   bool
+		name    string
+		status  int
+		returns bool
 	}{
 		{"healed", http.StatusOK, true},
 		{"still failing", http.StatusInternalServerError, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := made(map[string]carobload.Load{"a": {Failures: 9}, "b": {Successes: 10}})
-			hear(w, 1, http.StatusInternalServerError)
-			ld := w.Loads.Get(target("a"))
-			require.NotEqual(t, carobinstant.Never, ld.Ejected)
-			require.Equal(t, ld.Ejected, w.Wake())
-			w.Begin(carobinbox.Inbox{})
-			NewSystem().Run(w, ld.Ejected)
-			require.True(t, ld.Trial)
-			hear(w, ld.Ejected+1, tc.status)
-			require.False(t, ld.Trial)
-			require.Equal(t, tc.back, ld.Ejected == carobinstant.Never)
+			world := newWorld(map[string]carobload.Load{"a": {Failures: 9}, "b": {Successes: 10}})
+			tickWithReply(world, 1, http.StatusInternalServerError)
+			load := world.Loads.Get(target("a"))
+			require.NotEqual(t, carobinstant.Never, load.Ejected)
+			require.Equal(t, load.Ejected, world.Wake())
+			world.Begin(carobinbox.Inbox{})
+			NewSystem().Run(world, load.Ejected)
+			require.True(t, load.Trial)
+			tickWithReply(world, load.Ejected+1, tc.status)
+			require.False(t, load.Trial)
+			require.Equal(t, tc.returns, load.Ejected == carobinstant.Never)
 		})
 	}
 }
 
-func TestRefusalsDoNotEndATrial(t *testing.T) {
-	w := made(map[string]carobload.Load{"a": {Trial: true}, "b": {Successes: 10}})
-	w.Begin(carobinbox.Inbox{Replies: []carobreply.Reply{{Target: target("a"), Kind: carobkind.Busy}}})
-	NewSystem().Run(w, 1)
-	require.True(t, w.Loads.Get(target("a")).Trial)
+// Guards against readmitting a target that has only refused, which proves
+// nothing of its health.
+func TestRefusalDoesNotEndTrial(t *testing.T) {
+	world := newWorld(map[string]carobload.Load{"a": {Trial: true}, "b": {Successes: 10}})
+	world.Begin(carobinbox.Inbox{Replies: []carobreply.Reply{{Target: target("a"), Kind: carobkind.Busy}}})
+	NewSystem().Run(world, 1)
+	require.True(t, world.Loads.Get(target("a")).Trial)
 }
--- a/pkg/carobprobing/system.go
+++ b/pkg/carobprobing/system.go
@@ -1,5 +1,5 @@
-// Package carobprobing asks for reports of load where those that ride on answers
-// are too old, within the budget of measuring.
+// Package carobprobing probes targets whose load report is too old, within the
+// measuring budget. Most reports need no probe: they are attached to replies.
 package carobprobing
 
 import (
@@ -19,170 +19,184 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// Names of the buckets in the world's table.
+// Keys of the measuring budget in World.Buckets.
 const (
-	// Bytes is the bytes sent for measuring.
+	// Bytes is the bucket of the bytes sent for measuring.
 	Bytes carobword.Word = "bytes"
-	// Time is the seconds of processor time.
+	// Time is the bucket of the processor time spent on measuring, in seconds.
 	Time carobword.Word = "time"
 )
 
-// A message costs more than its parts that vary: the frames, headers and tags
-// of a request, and of the other end's answer to it. Both prices are safely too
-// high, so that what is really spent stays below the cap.
 const (
-	fixedBytes  = 400
-	messageTime = 300 * time.Microsecond
-	// used is how long a target counts as in use after a call was placed among
-	// its peers.
-	used = time.Second
-	// period is how often reports are looked through while targets are in use.
-	period = 50 * time.Millisecond
-	// patience is how long an answer is waited for before it is asked for again.
-	patience = time.Second
-	// forget is the time after which the latency of a target without calls counts
-	// for less by a factor of e.
-	forget = 1500 * time.Millisecond
+	// messageOverhead and cpuPerMessage are the fixed cost of a probe or a
+	// report in bytes and processor time: the frames, headers and tags of the
+	// request and of the response to it. Both are set above the real cost, so
+	// that what is really spent stays below the cap.
+	messageOverhead = 400
+	cpuPerMessage   = 300 * time.Microsecond
+	// inUsePeriod is how long a target counts as in use after it was last a
+	// candidate for a call.
+	inUsePeriod = time.Second
+	// scanInterval is the interval between scans for old reports while targets
+	// are in use.
+	scanInterval = 50 * time.Millisecond
+	// probeTimeout is the time after which a probe without a report is sent
+	// again.
+	probeTimeout = time.Second
+	// latencyDecay is the time constant of the exponential decay of the latency
+	// of a target without calls.
+	latencyDecay = 1500 * time.Millisecond
 )
 
-// System sends probes and answers them. A probe or an answer that the budget
-// does not allow is not sent later either: it would only be out of date.
+// System sends probes and answers those of other nodes. A probe or report that
+// exceeds the budget is dropped instead of delayed, since it would be out of
+// date by the time it was sent.
 type System struct {
-	// due is when reports are looked through next.
-	due carobinstant.Instant
+	// nextScan is when reports are scanned next; Never while no target is in
+	// use.
+	nextScan carobinstant.Instant
 }
 
-// NewSystem returns the system.
+// NewSystem returns a System whose first scan is due at once.
 func NewSystem() *System {
 	return &System{}
 }
 
-// Run answers probes, takes in reports and sends a probe if one is useful.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	for _, ms := range w.Inbox.Messages {
+// Run answers the probes and stores the reports in the inbox. If a scan is due,
+// it probes the target with the oldest report.
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	for _, message := range world.Inbox.Messages {
 		switch {
-		case ms.Poll != nil:
-			answer(w, now, ms)
-		case ms.Report != nil:
-			hear(w, now, ms.Report)
+		case message.Poll != nil:
+			sendReport(world, now, message)
+		case message.Report != nil:
+			storeReport(world, now, message.Report)
 		}
 	}
-	if s.due != carobinstant.Never && !s.due.Reached(now) {
-		w.WakeAt(s.due)
+	if s.nextScan != carobinstant.Never && !s.nextScan.Reached(now) {
+		world.WakeAt(s.nextScan)
 		return
 	}
-	s.due = carobinstant.Never
-	if s.look(w, now) {
-		s.due = now.Add(period)
-		w.WakeAt(s.due)
+	s.nextScan = carobinstant.Never
+	if s.probeOldest(world, now) {
+		s.nextScan = now.Add(scanInterval)
+		world.WakeAt(s.nextScan)
 	}
 }
 
-// answer tells the load of an own target.
-func answer(w *carobworld.World, now carobinstant.Instant, ms carobmessage.Message) {
-	tg, gt := w.Targets.Get(ms.Poll.Target), w.Gates.Get(ms.Poll.Target)
-	if tg == nil || gt == nil || !w.Owns(tg) || !pay(w, now, tg.ID) {
+// sendReport answers a probe of one of this node's own targets.
+func sendReport(world *carobworld.World, now carobinstant.Instant, message carobmessage.Message) {
+	target, gate := world.Targets.Get(message.Poll.Target), world.Gates.Get(message.Poll.Target)
+	if target == nil || gate == nil || !world.Owns(target) || !spendBudget(world, now, target.ID) {
 		return
 	}
-	w.Tell(carobmessage.Message{To: ms.Back, Report: &carobreport.Report{
-		Target: tg.ID, Running: gt.Running, Queued: gt.Queued, Slots: max(gt.Limit, 1),
-		Latency: carobspan.Span(latency(gt, now)),
+	world.Tell(carobmessage.Message{To: message.Back, Report: &carobreport.Report{
+		Target: target.ID, Running: gate.Running, Queued: gate.Queued, Slots: max(gate.Limit, 1),
+		Latency: carobspan.Span(decayedLatency(gate, now)),
 	}})
 }
 
-// latency returns a target's latency, less the older it is: a target without
-// calls would otherwise keep a bad name for good.
-func latency(gt *carobgate.Gate, now carobinstant.Instant) time.Duration {
-	if gt.Running > 0 || gt.Learned == carobinstant.Never {
-		return gt.Latency
+// decayedLatency returns a target's latency. It decays while the target has no
+// calls; otherwise a target that was slow once would never be picked again.
+func decayedLatency(gate *carobgate.Gate, now carobinstant.Instant) time.Duration {
+	if gate.Running > 0 || gate.Learned == carobinstant.Never {
+		return gate.Latency
 	}
-	return time.Duration(float64(gt.Latency) * math.Exp(-float64(now.Sub(gt.Learned))/float64(forget)))
+	return time.Duration(float64(gate.Latency) * math.Exp(-float64(now.Sub(gate.Learned))/float64(latencyDecay)))
 }
 
-func hear(w *carobworld.World, now carobinstant.Instant, rp *carobreport.Report) {
-	if ld := w.Loads.Get(rp.Target); ld != nil {
-		ld.Report, ld.At, ld.Sent = *rp, now, 0
+// storeReport replaces the report of a target whose load is tracked.
+func storeReport(world *carobworld.World, now carobinstant.Instant, report *carobreport.Report) {
+	if load := world.Loads.Get(report.Target); load != nil {
+		load.Report, load.At, load.Sent = *report, now, 0
 	}
 }
 
-// look probes the target in use whose report is the oldest, if it is too old.
-// It reports whether any target is in use.
-func (s *System) look(w *carobworld.World, now carobinstant.Instant) bool {
+// probeOldest probes, of the targets in use that need a probe, the one with the
+// oldest report. It returns whether any target is in use.
+func (s *System) probeOldest(world *carobworld.World, now carobinstant.Instant) bool {
 	var oldest carobtargetid.ID
 	var chosen *carobload.Load
 	inUse := false
-	for id, ld := range w.Loads.All() {
-		if ld.Looked == carobinstant.Never || now.Sub(ld.Looked) > used {
+	for id, load := range world.Loads.All() {
+		if load.Looked == carobinstant.Never || now.Sub(load.Looked) > inUsePeriod {
 			continue
 		}
 		inUse = true
-		if stale(w, now, id, ld) && (chosen == nil || ld.At < chosen.At) {
-			oldest, chosen = id, ld
+		if needsProbe(world, now, id, load) && (chosen == nil || load.At < chosen.At) {
+			oldest, chosen = id, load
 		}
 	}
 	if chosen != nil {
-		probe(w, now, oldest, chosen)
+		sendProbe(world, now, oldest, chosen)
 	}
 	return inUse
 }
 
-// stale reports whether a target's report is older than the profile allows and
-// no answer is under way.
-func stale(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, ld *carobload.Load) bool {
-	pf := w.ProfileOf(id.Service)
-	if pf == nil || pf.Measure <= 0 || now.Sub(ld.At) < pf.Measure.Duration() {
+// needsProbe reports whether a target's report is older than the profile allows
+// and no probe is pending.
+func needsProbe(world *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, load *carobload.Load) bool {
+	profile := world.ProfileOf(id.Service)
+	if profile == nil || profile.Measure <= 0 || now.Sub(load.At) < profile.Measure.Duration() {
 		return false
 	}
-	return ld.Asked == carobinstant.Never || now.Sub(ld.Asked) > patience || ld.At > ld.Asked
+	return load.Asked == carobinstant.Never || now.Sub(load.Asked) > probeTimeout || load.At > load.Asked
 }
 
-func probe(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, ld *carobload.Load) {
-	tg := w.Targets.Get(id)
-	if tg == nil || w.Owns(tg) {
+// sendProbe probes the target of another node if the budget allows it.
+func sendProbe(world *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, load *carobload.Load) {
+	target := world.Targets.Get(id)
+	if target == nil || world.Owns(target) {
 		return
 	}
-	pr := w.Peers.Get(tg.Node)
-	if pr == nil || !pay(w, now, id) {
+	peer := world.Peers.Get(target.Node)
+	if peer == nil || !spendBudget(world, now, id) {
 		return
 	}
-	ld.Asked = now
-	w.Tell(carobmessage.Message{To: pr.Member.Peer, Poll: &carobpoll.Poll{Target: id}})
+	load.Asked = now
+	world.Tell(carobmessage.Message{To: peer.Member.Peer, Poll: &carobpoll.Poll{Target: id}})
 }
 
-// pay takes the price of one message out of both buckets, or out of none.
-func pay(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID) bool {
-	bytes, seconds := bucket(w, Bytes), bucket(w, Time)
+// spendBudget takes the cost of one message from both buckets, or from neither
+// if one of them has too little.
+func spendBudget(world *carobworld.World, now carobinstant.Instant, id carobtargetid.ID) bool {
+	bytes, seconds := bucketOf(world, Bytes), bucketOf(world, Time)
 	if bytes == nil || seconds == nil {
 		return false
 	}
-	price := Price(w, id)
-	fill(bytes, now, float64(w.Measure.Rate), price)
-	fill(seconds, now, float64(w.Measure.Share), messageTime.Seconds())
-	if bytes.Tokens < price || seconds.Tokens < messageTime.Seconds() {
+	price := Price(world, id)
+	refill(bytes, now, float64(world.Measure.Rate), price)
+	refill(seconds, now, float64(world.Measure.Share), cpuPerMessage.Seconds())
+	if bytes.Tokens < price || seconds.Tokens < cpuPerMessage.Seconds() {
 		bytes.Denied++
 		return false
 	}
-	return bytes.Spend(price) && seconds.Spend(messageTime.Seconds())
+	return bytes.Spend(price) && seconds.Spend(cpuPerMessage.Seconds())
 }
 
-// fill fills a bucket that saves up one message. What it saves is taken off the
-// rate, so that no second sends more than the rate; a rate below two messages a
-// second is halved instead, which caps every longer time.
-func fill(bk *carobbucket.Bucket, now carobinstant.Instant, rate, price float64) {
+// refill refills a bucket that holds at most one message. The price of that
+// message is subtracted from the rate, so that no second exceeds the rate. A
+// rate below two messages a second is halved instead, which keeps longer
+// periods below the cap. If the rate is below one message a second, the bucket
+// stays empty.
+func refill(bucket *carobbucket.Bucket, now carobinstant.Instant, rate, price float64) {
 	if rate < price {
 		return
 	}
-	bk.Fill(now, max(rate-price, rate/2), price)
+	bucket.Fill(now, max(rate-price, rate/2), price)
 }
 
-// Price returns the bytes that a probe of a target or its answer counts for.
-func Price(w *carobworld.World, id carobtargetid.ID) float64 {
-	return float64(fixedBytes + len(w.Self.Node) + len(w.Self.Peer) + len(id.Service) + len(id.Name))
+// Price returns the bytes that a probe of a target, or the report that answers
+// it, takes from the budget.
+func Price(world *carobworld.World, id carobtargetid.ID) float64 {
+	return float64(messageOverhead + len(world.Self.Node) + len(world.Self.Peer) + len(id.Service) + len(id.Name))
 }
 
-func bucket(w *carobworld.World, name carobword.Word) *carobbucket.Bucket {
-	if bk := w.Buckets.Get(name); bk != nil {
-		return bk
+// bucketOf returns a bucket and adds it if it is missing, or returns nil if the
+// table is full.
+func bucketOf(world *carobworld.World, name carobword.Word) *carobbucket.Bucket {
+	if bucket := world.Buckets.Get(name); bucket != nil {
+		return bucket
 	}
-	return w.Buckets.Put(name, carobbucket.Bucket{})
+	return world.Buckets.Put(name, carobbucket.Bucket{})
 }
