--- a/pkg/carobgroup/group.go
+++ b/pkg/carobgroup/group.go
@@ -1,4 +1,4 @@
-// Package carobgroup holds the rows of the services that a node knows.
+// Package carobgroup holds the row of a service in the tables of a node.
 package carobgroup
 
 import (
@@ -6,12 +6,14 @@
 	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
-// Group is the targets of one service.
+// Group has the targets of one service.
 type Group struct {
-	// Profile is the one that most targets picked; of several, the first by name.
+	// Profile is the name that most targets of the service announce; of
+	// several, the first in the order of names.
 	Profile carobword.Word
-	// Targets are in the order of their names.
+	// Targets are sorted by name.
 	Targets []carobtargetid.ID
-	// View has the targets that this node keeps in view, if they are not all.
+	// View is the subset of Targets that this node sends to; empty if it sends
+	// to all.
 	View []carobtargetid.ID
 }
--- a/pkg/carobgrouping/system.go
+++ b/pkg/carobgrouping/system.go
@@ -1,4 +1,5 @@
-// Package carobgrouping keeps the table of services in step with that of targets.
+// Package carobgrouping derives the table of services from the table of
+// targets.
 package carobgrouping
 
 import (
@@ -15,47 +16,51 @@
 // System groups targets by service whenever the table of targets has changed.
 type System struct{}
 
-// NewSystem returns the system.
+// NewSystem returns the system, which has no state of its own.
 func NewSystem() *System {
 	return &System{}
 }
 
-// Run rebuilds the table of services if it is out of step.
-func (s *System) Run(w *carobworld.World, _ carobinstant.Instant) {
-	if !w.TargetsChanged {
+// Run rebuilds the table of services if the table of targets has changed. The
+// subsets of targets are discarded too, and computed anew when a call needs
+// one.
+func (s *System) Run(world *carobworld.World, _ carobinstant.Instant) {
+	if !world.TargetsChanged {
 		return
 	}
-	w.TargetsChanged = false
-	for service := range w.Groups.All() {
-		w.Groups.Delete(service)
+	world.TargetsChanged = false
+	for service := range world.Groups.All() {
+		world.Groups.Delete(service)
 	}
-	for id := range w.Targets.All() {
-		join(w, id)
+	for id := range world.Targets.All() {
+		addTarget(world, id)
 	}
-	for _, gp := range w.Groups.All() {
-		slices.SortFunc(gp.Targets, func(a, b carobtargetid.ID) int { return cmp.Compare(a.Name, b.Name) })
-		gp.Profile = favourite(w, gp)
+	for _, group := range world.Groups.All() {
+		slices.SortFunc(group.Targets, func(a, b carobtargetid.ID) int { return cmp.Compare(a.Name, b.Name) })
+		group.Profile = mostCommonProfile(world, group)
 	}
 }
 
-func join(w *carobworld.World, id carobtargetid.ID) {
-	gp := w.Groups.Get(id.Service)
-	if gp == nil {
-		gp = w.Groups.Put(id.Service, carobgroup.Group{})
+// addTarget adds a target to the row of its service.
+func addTarget(world *carobworld.World, id carobtargetid.ID) {
+	group := world.Groups.Get(id.Service)
+	if group == nil {
+		group = world.Groups.Put(id.Service, carobgroup.Group{})
 	}
-	gp.Targets = append(gp.Targets, id)
+	group.Targets = append(group.Targets, id)
 }
 
-// favourite returns the profile that most targets of a service picked.
-func favourite(w *carobworld.World, gp *carobgroup.Group) carobword.Word {
-	votes := map[carobword.Word]int{}
-	var best carobword.Word
-	for _, id := range gp.Targets {
-		profile := w.Targets.Get(id).Profile
-		votes[profile]++
-		if votes[profile] > votes[best] || votes[profile] == votes[best] && profile < best {
-			best = profile
+// mostCommonProfile returns the profile that most targets of a service
+// announce; of several, the first in the order of names.
+func mostCommonProfile(world *carobworld.World, group *carobgroup.Group) carobword.Word {
+	counts := map[carobword.Word]int{}
+	var mostCommon carobword.Word
+	for _, id := range group.Targets {
+		profile := world.Targets.Get(id).Profile
+		counts[profile]++
+		if counts[profile] > counts[mostCommon] || counts[profile] == counts[mostCommon] && profile < mostCommon {
+			mostCommon = profile
 		}
 	}
-	return best
+	return mostCommon
 }
--- a/pkg/carobhedging/system.go
+++ b/pkg/carobhedging/system.go
@@ -1,4 +1,5 @@
-// Package carobhedging has slow calls tried a second time at another target.
+// Package carobhedging requests hedges: second attempts, at another target, at
+// calls that take long.
 package carobhedging
 
 import (
@@ -20,117 +21,126 @@
 )
 
 const (
-	// again is how often within a delay a call is looked at once more that got no
-	// second attempt since the budget was spent or all targets were busy.
-	again = 2
-	// shortest is the least delay.
-	shortest = time.Millisecond
-	// enough is how many latencies must be known before a quantile is trusted.
-	enough = 50
+	// retriesPerDelay is how often within a delay a hedge is requested again
+	// that was not sent because the budget was spent or all targets were busy.
+	retriesPerDelay = 2
+	// minDelay is the shortest time between an attempt and its hedge.
+	minDelay = time.Millisecond
+	// minSamples is the number of latencies below which the quantile is not
+	// used.
+	minSamples = 50
 )
 
-// System asks for a second attempt at an idempotent call when the first one
-// takes longer than a quantile of recent ones. It runs after the routing, whose
-// new attempts it takes note of; what it asks for is placed in the next tick.
+// System requests a second attempt at an idempotent call when the first one
+// takes longer than a quantile of the recent latencies. It has to run after
+// carobrouting, since it schedules the hedges of the attempts that carobrouting
+// has just sent. The hedges that it requests are sent in the next tick.
 type System struct {
-	// due has the calls that may get a second attempt.
-	due *carobagenda.Agenda[carobcallid.ID]
+	// pending has the calls that may be hedged, by the time of the next
+	// request.
+	pending *carobagenda.Agenda[carobcallid.ID]
 }
 
-// NewSystem returns the system.
+// NewSystem returns a System without pending hedges.
 func NewSystem() *System {
-	return &System{due: carobagenda.NewAgenda[carobcallid.ID]()}
+	return &System{pending: carobagenda.NewAgenda[carobcallid.ID]()}
 }
 
-// Run learns how fast services answer and asks for second attempts.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	for _, rp := range w.Inbox.Replies {
-		s.learn(w, now, rp)
+// Run records the latencies of answered calls and requests the hedges that are
+// due.
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	for _, reply := range world.Inbox.Replies {
+		s.recordLatency(world, now, reply)
 	}
-	for _, sd := range w.Outbox.Sends {
-		s.arm(w, now, sd)
+	for _, send := range world.Outbox.Sends {
+		s.schedule(world, now, send)
 	}
 	for {
-		id, ok := s.due.Pop(now)
+		id, ok := s.pending.Pop(now)
 		if !ok {
 			break
 		}
-		s.ask(w, now, id)
+		s.requestHedge(world, now, id)
 	}
-	if next := s.due.Next(); next != carobinstant.Never {
-		w.WakeAt(next)
+	if next := s.pending.Next(); next != carobinstant.Never {
+		world.WakeAt(next)
 	}
 }
 
-// learn takes in how long the attempts of an answered call took. Those that are
-// given up now would have taken longer still.
-func (s *System) learn(w *carobworld.World, now carobinstant.Instant, rp carobreply.Reply) {
-	cl := w.Calls.Get(rp.Job.Call)
-	if cl == nil || cl.Stage != carobstage.Delivering {
+// recordLatency adds the latencies of an answered call's attempts. Attempts
+// that are cancelled because of the answer count with the time until now, which
+// is a lower bound of their latency.
+func (s *System) recordLatency(world *carobworld.World, now carobinstant.Instant, reply carobreply.Reply) {
+	call := world.Calls.Get(reply.Job.Call)
+	if call == nil || call.Stage != carobstage.Delivering {
 		return
 	}
-	s.due.Set(rp.Job.Call, carobinstant.Never)
-	pc := paceOf(w, cl.Arrival.Service)
-	if pc == nil || rp.Kind != carobkind.None {
+	s.pending.Set(reply.Job.Call, carobinstant.Never)
+	pace := paceOf(world, call.Arrival.Service)
+	if pace == nil || reply.Kind != carobkind.None {
 		return
 	}
-	for i := range cl.Attempts {
-		if at := &cl.Attempts[i]; i == rp.Job.Attempt-1 || !at.Over {
-			pc.Latency.Add(now.Sub(at.Sent))
+	for i := range call.Attempts {
+		if at := &call.Attempts[i]; i == reply.Job.Attempt-1 || !at.Over {
+			pace.Latency.Add(now.Sub(at.Sent))
 		}
 	}
 }
 
-// arm notes when a new attempt is to be joined by a second one.
-func (s *System) arm(w *carobworld.World, now carobinstant.Instant, sd carobsend.Send) {
-	cl := w.Calls.Get(sd.Job.Call)
-	pc := paceOf(w, cl.Arrival.Service)
-	if pc == nil {
+// schedule sets when a call that got a new attempt is hedged.
+func (s *System) schedule(world *carobworld.World, now carobinstant.Instant, send carobsend.Send) {
+	call := world.Calls.Get(send.Job.Call)
+	pace := paceOf(world, call.Arrival.Service)
+	if pace == nil {
 		return
 	}
-	if !mayHedge(cl) || pc.Latency.Weight() < enough {
+	if !mayHedge(call) || pace.Latency.Weight() < minSamples {
 		return
 	}
-	s.due.Set(sd.Job.Call, now.Add(delay(cl, pc)))
+	s.pending.Set(send.Job.Call, now.Add(delay(call, pace)))
 }
 
-// mayHedge reports whether a call may run twice at once.
-func mayHedge(cl *carobcall.Call) bool {
-	return cl.Profile.Hedge > 0 && cl.Profile.Once == carobonce.No && !cl.Arrival.Streamed &&
-		len(cl.Attempts) < cl.Profile.Tries && cl.Open() == 1
+// mayHedge reports whether a call may have a second attempt beside the open
+// one.
+func mayHedge(call *carobcall.Call) bool {
+	return call.Profile.Hedge > 0 && call.Profile.Once == carobonce.No && !call.Arrival.Streamed &&
+		len(call.Attempts) < call.Profile.Tries && call.Open() == 1
 }
 
-// ask wants a second attempt if the budget has one. The routing pays when it
-// finds a target for it; until then the call is looked at again and again.
-func (s *System) ask(w *carobworld.World, now carobinstant.Instant, id carobcallid.ID) {
-	cl := w.Calls.Get(id)
-	if cl == nil || cl.Stage != carobstage.Placed || !mayHedge(cl) || !running(cl.Attempts) {
+// requestHedge requests a hedge if the retry budget has a token, and schedules
+// the next request in case this one is not carried out. The token is spent by
+// carobrouting when it finds a target.
+func (s *System) requestHedge(world *carobworld.World, now carobinstant.Instant, id carobcallid.ID) {
+	call := world.Calls.Get(id)
+	if call == nil || call.Stage != carobstage.Placed || !mayHedge(call) || !newestIsOpen(call.Attempts) {
 		return
 	}
-	pc := paceOf(w, cl.Arrival.Service)
-	if pc == nil {
+	pace := paceOf(world, call.Arrival.Service)
+	if pace == nil {
 		return
 	}
-	s.due.Set(id, now.Add(delay(cl, pc)/again))
-	if w.BudgetOf(cl.Arrival.Service).Tokens >= 1 {
-		cl.Extra = true
-		w.WakeAt(now.Add(time.Nanosecond))
+	s.pending.Set(id, now.Add(delay(call, pace)/retriesPerDelay))
+	if world.BudgetOf(call.Arrival.Service).Tokens >= 1 {
+		call.Extra = true
+		world.WakeAt(now.Add(time.Nanosecond))
 	}
 }
 
-// delay returns the age at which a call is tried a second time.
-func delay(cl *carobcall.Call, pc *carobpace.Pace) time.Duration {
-	return max(pc.Latency.Quantile(float64(cl.Profile.Hedge)), shortest)
+// delay returns the age of an attempt at which the call is hedged.
+func delay(call *carobcall.Call, pace *carobpace.Pace) time.Duration {
+	return max(pace.Latency.Quantile(float64(call.Profile.Hedge)), minDelay)
 }
 
-// running reports whether the newest attempt is the one without a reply.
-func running(attempts []carobattempt.Attempt) bool {
+// newestIsOpen reports whether the newest attempt has no reply yet.
+func newestIsOpen(attempts []carobattempt.Attempt) bool {
 	return !attempts[len(attempts)-1].Over
 }
 
-func paceOf(w *carobworld.World, service carobservice.Service) *carobpace.Pace {
-	if pc := w.Paces.Get(service); pc != nil {
-		return pc
+// paceOf returns the row of a service and adds it if it is missing. It returns
+// nil if the row is missing and the table is full.
+func paceOf(world *carobworld.World, service carobservice.Service) *carobpace.Pace {
+	if pace := world.Paces.Get(service); pace != nil {
+		return pace
 	}
-	return w.Paces.Put(service, carobpace.Pace{})
+	return world.Paces.Put(service, carobpace.Pace{})
 }
--- a/pkg/carobhedging/system_test.go
+++ b/pkg/carobhedging/system_test.go
@@ -21,68 +21,74 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// begin puts one call with one attempt in a world whose service answers in 10 ms.
-func begin(t *testing.T, change func(cl *carobcall.Call)) (*System, *carobworld.World, *carobcall.Call) {
+// newHedgeableCall runs a tick that sends the first attempt at a call to a
+// service that answers within 10 ms.
+func newHedgeableCall(t *testing.T, change func(call *carobcall.Call)) (*System, *carobworld.World, *carobcall.Call) {
 	t.Helper()
-	w := carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()})
-	pf := carobprofile.NewProfile("lookups")
-	pf.Once = carobonce.No
-	pc := paceOf(w, "lookups")
+	world := carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()})
+	profile := carobprofile.NewProfile("lookups")
+	profile.Once = carobonce.No
+	pace := paceOf(world, "lookups")
 	for range 1000 {
-		pc.Latency.Add(10 * time.Millisecond)
+		pace.Latency.Add(10 * time.Millisecond)
 	}
 	id := carobcallid.ID{Node: "n", Sequence: 1}
-	cl := w.Calls.Put(id, carobcall.Call{
-		Arrival: carobarrival.Arrival{Call: id, Service: "lookups"}, Profile: pf, Stage: carobstage.Placed,
+	call := world.Calls.Put(id, carobcall.Call{
+		Arrival: carobarrival.Arrival{Call: id, Service: "lookups"}, Profile: profile, Stage: carobstage.Placed,
 		Attempts: []carobattempt.Attempt{{Sent: 1}},
 	})
-	change(cl)
+	change(call)
 	s := NewSystem()
-	w.Outbox.Sends = []carobsend.Send{{Job: carobjobid.ID{Call: id, Attempt: 1}}}
-	s.Run(w, 1)
-	return s, w, cl
+	world.Outbox.Sends = []carobsend.Send{{Job: carobjobid.ID{Call: id, Attempt: 1}}}
+	s.Run(world, 1)
+	return s, world, call
 }
 
-func TestSlowCallsGetOneSecondAttempt(t *testing.T) {
+// Guards against hedging too early, and against hedging calls that must not run
+// twice, cannot be sent again or have no attempts left.
+func TestSlowIdempotentCallIsHedged(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		change func(cl *carobcall.Call)
+		change func(call *carobcall.Call)
 		want   bool
 	}{
 		{"idempotent", func(*carobcall.Call) {}, true},
-		{"at most once", func(cl *carobcall.Call) { cl.Profile.Once = carobonce.Call }, false},
-		{"keyed", func(cl *carobcall.Call) { cl.Profile.Once = carobonce.Key }, false},
-		{"body not kept", func(cl *carobcall.Call) { cl.Arrival.Streamed = true }, false},
-		{"one try", func(cl *carobcall.Call) { cl.Profile.Tries = 1 }, false},
-		{"no hedging", func(cl *carobcall.Call) { cl.Profile.Hedge = 0 }, false},
+		{"at most once", func(call *carobcall.Call) { call.Profile.Once = carobonce.Call }, false},
+		{"keyed", func(call *carobcall.Call) { call.Profile.Once = carobonce.Key }, false},
+		{"body not kept", func(call *carobcall.Call) { call.Arrival.Streamed = true }, false},
+		{"one attempt allowed", func(call *carobcall.Call) { call.Profile.Tries = 1 }, false},
+		{"no hedging", func(call *carobcall.Call) { call.Profile.Hedge = 0 }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s, w, cl := begin(t, tc.change)
-			w.Begin(carobinbox.Inbox{})
-			s.Run(w, carobinstant.Instant(5*time.Millisecond))
-			require.False(t, cl.Extra)
-			s.Run(w, carobinstant.Instant(20*time.Millisecond))
-			require.Equal(t, tc.want, cl.Extra)
+			s, world, call := newHedgeableCall(t, tc.change)
+			world.Begin(carobinbox.Inbox{})
+			s.Run(world, carobinstant.Instant(5*time.Millisecond))
+			require.False(t, call.Extra)
+			s.Run(world, carobinstant.Instant(20*time.Millisecond))
+			require.Equal(t, tc.want, call.Extra)
 		})
 	}
 }
 
-func TestHedgesAreCapped(t *testing.T) {
-	s, w, cl := begin(t, func(*carobcall.Call) {})
-	w.Begin(carobinbox.Inbox{})
-	w.BudgetOf("lookups").Tokens = 0.99
-	s.Run(w, carobinstant.Instant(20*time.Millisecond))
-	require.False(t, cl.Extra)
-	// The call is not forgotten.
-	w.BudgetOf("lookups").Tokens = 1
-	s.Run(w, carobinstant.Instant(30*time.Millisecond))
-	require.True(t, cl.Extra)
+// Guards against hedges beyond the retry budget, and against a call that is
+// dropped from the schedule when the budget is spent.
+func TestHedgeWaitsForRetryBudget(t *testing.T) {
+	s, world, call := newHedgeableCall(t, func(*carobcall.Call) {})
+	world.Begin(carobinbox.Inbox{})
+	world.BudgetOf("lookups").Tokens = 0.99
+	s.Run(world, carobinstant.Instant(20*time.Millisecond))
+	require.False(t, call.Extra)
+	// The hedge is still scheduled.
+	world.BudgetOf("lookups").Tokens = 1
+	s.Run(world, carobinstant.Instant(30*time.Millisecond))
+	require.True(t, call.Extra)
 }
 
-func TestAnsweredCallsAreNotHedged(t *testing.T) {
-	s, w, cl := begin(t, func(*carobcall.Call) {})
-	w.Begin(carobinbox.Inbox{})
-	cl.Stage = carobstage.Delivering
-	s.Run(w, carobinstant.Instant(20*time.Millisecond))
-	require.False(t, cl.Extra)
+// Guards against hedges that are requested after the call was answered.
+func TestAnsweredCallIsNotHedged(t *testing.T) {
+	s, world, call := newHedgeableCall(t, func(*carobcall.Call) {})
+	world.Begin(carobinbox.Inbox{})
+	call.Stage = carobstage.Delivering
+	s.Run(world, carobinstant.Instant(20*time.Millisecond))
+	require.False(t, call.Extra)
 }
--- a/pkg/carobinquiry/inquiry.go
+++ b/pkg/carobinquiry/inquiry.go
@@ -1,4 +1,4 @@
-// Package carobinquiry holds the rows of the probes that wait for an answer.
+// Package carobinquiry holds the liveness probes that await an answer.
 package carobinquiry
 
 import (
@@ -6,11 +6,11 @@
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 )
 
-// Inquiry is a probe of a node that has not answered yet.
+// Inquiry is a probe of a peer that has not answered yet.
 type Inquiry struct {
 	Node carobnodeid.ID
 	// Sent is when the probe was sent.
 	Sent carobinstant.Instant
-	// Relayed says that other nodes were asked to probe too.
+	// Relayed says that other nodes were asked to probe the peer too.
 	Relayed bool
 }
--- a/pkg/carobload/load.go
+++ b/pkg/carobload/load.go
@@ -1,4 +1,4 @@
-// Package carobload holds an entry node's view of the load of a target.
+// Package carobload holds an entry node's record of the load of a target.
 package carobload
 
 import (
@@ -8,32 +8,41 @@
 	"github.com/carobknot/carobknot/pkg/carobreport"
 )
 
-// Load is the view that one node has of one target.
+// Load is the load and health of one target as one node sees it.
 type Load struct {
-	// Report is the newest report, already stale when it comes.
+	// Report is the newest report. It is already out of date by the network
+	// delay when it is received.
 	Report carobreport.Report
-	// At is when the report came; Never before the first.
+	// At is when Report was received; Never before the first.
 	At carobinstant.Instant
-	// Looked is when the target was last among the candidates for a call.
+	// Looked is when the target was last a candidate for a call; Never if it
+	// was not.
 	Looked carobinstant.Instant
 	// Asked is when the last probe was sent; Never if none was.
 	Asked carobinstant.Instant
-	// Sent counts the own attempts made since the report that have no reply.
+	// Sent counts the attempts that this node sent since Report was received,
+	// less those that got a reply without a report; at least 0.
 	Sent int
-	// Open counts the own attempts that have no reply yet, at least 0.
+	// Open counts the attempts of this node that have no reply yet; at least 0.
 	Open int
-	// Turn is higher for targets that were chosen later.
+	// Turn is the number of the newest attempt sent to the target, counted over
+	// all targets.
 	Turn uint64
-	// Latency is the estimated time from sending to the reply, network included.
+	// Latency is the estimated time from sending to the reply, network
+	// included.
 	Latency time.Duration
-	// Successes and Failures decay with time; together they give the error rate.
+	// Successes and Failures decay with time; together they give the error
+	// rate.
 	Successes, Failures float64
-	// Streak is the failures since the last success.
+	// Streak counts the failures since the last success.
 	Streak int
-	// Counted is as of when Successes and Failures have decayed.
+	// Counted is the time up to which the decay of Successes and Failures is
+	// applied.
 	Counted carobinstant.Instant
-	// Ejected is until when the target gets no calls; Never if it is in.
+	// Ejected is when the ejection of the target expires; Never if it is not
+	// ejected.
 	Ejected carobinstant.Instant
-	// Trial says that the target is out but for one call at a time.
+	// Trial says that the ejection has expired, and the target receives one
+	// call at a time until a reply decides whether it is ejected again.
 	Trial bool
 }
--- a/pkg/carobpace/pace.go
+++ b/pkg/carobpace/pace.go
@@ -1,11 +1,12 @@
-// Package carobpace holds the rows of how fast services answer.
+// Package carobpace holds the recent latencies of a service.
 package carobpace
 
 import "github.com/carobknot/carobknot/pkg/carobdistribution"
 
-// Pace is how fast the targets of one service answer, as this node sees it.
+// Pace is how fast the targets of one service answer this node.
 type Pace struct {
-	// Latency is that of attempts, from their sending to the head of the answer.
-	// An attempt that was given up counts with the time until then.
+	// Latency is the distribution over the attempts, from sending to the head
+	// of the response. A cancelled attempt counts with the time until it was
+	// cancelled.
 	Latency carobdistribution.Distribution
 }
--- a/pkg/carobreport/report.go
+++ b/pkg/carobreport/report.go
@@ -1,4 +1,4 @@
-// Package carobreport holds what a node tells others of the load of its target.
+// Package carobreport holds the load report that a node sends for its target.
 package carobreport
 
 import (
@@ -6,8 +6,8 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Report is the load of a target as its node knew it when the report was made.
-// It rides on every answer and refusal.
+// Report is the load of a target as its node measured it when the report was
+// made. It is attached to every answer and refusal.
 type Report struct {
 	Target carobtargetid.ID `json:"target"`
 	// Running is the number of calls that run on the target, at least 0.
@@ -16,6 +16,6 @@
 	Queued int `json:"queued"`
 	// Slots is the number of calls that may run now, at least 1.
 	Slots int `json:"slots"`
-	// Latency is the estimated time that the target takes over a call.
+	// Latency is the estimated time that the target needs for a call.
 	Latency carobspan.Span `json:"latency"`
 }
