--- a/pkg/carobagenda/agenda.go
+++ b/pkg/carobagenda/agenda.go
@@ -1,7 +1,8 @@
-// Package carobagenda keeps what is due when.
+// Package carobagenda is a priority queue of keys, ordered by the instants at
+// which they are due.
 //
-// A table with thousands of rows must not be read through each tick to find the
-// few rows that are due. An agenda finds them in the order of their instants.
+// Systems use it instead of scanning a table of thousands of rows in each tick
+// for the few that are due.
 package carobagenda
 
 import (
@@ -10,32 +11,32 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
-// Agenda has an instant for each of its keys. It belongs to one goroutine.
+// Agenda has one instant for each key. It belongs to one goroutine.
 type Agenda[K comparable] struct {
-	entries entries[K]
+	entries entryHeap[K]
 }
 
 // NewAgenda returns an empty agenda.
 func NewAgenda[K comparable]() *Agenda[K] {
-	return &Agenda[K]{entries: entries[K]{places: map[K]int{}}}
+	return &Agenda[K]{entries: entryHeap[K]{indices: map[K]int{}}}
 }
 
-// Set makes a key due at an instant, instead of the one that it had. Never takes
-// the key out.
+// Set sets or replaces the instant at which a key is due. Never removes the
+// key.
 func (a *Agenda[K]) Set(key K, at carobinstant.Instant) {
-	place, ok := a.entries.places[key]
+	index, ok := a.entries.indices[key]
 	switch {
 	case ok && at == carobinstant.Never:
-		heap.Remove(&a.entries, place)
+		heap.Remove(&a.entries, index)
 	case ok:
-		a.entries.list[place].at = at
-		heap.Fix(&a.entries, place)
+		a.entries.list[index].at = at
+		heap.Fix(&a.entries, index)
 	case at != carobinstant.Never:
 		heap.Push(&a.entries, entry[K]{key: key, at: at})
 	}
 }
 
-// Next returns the earliest instant, or Never.
+// Next returns the earliest instant, or Never if the agenda is empty.
 func (a *Agenda[K]) Next() carobinstant.Instant {
 	if len(a.entries.list) == 0 {
 		return carobinstant.Never
@@ -43,16 +44,18 @@
 	return a.entries.list[0].at
 }
 
-// Pop takes out the key that is due first, if its instant has come.
+// Pop removes and returns the key with the earliest instant. It returns false
+// if no key is due at now.
 func (a *Agenda[K]) Pop(now carobinstant.Instant) (key K, ok bool) {
 	if !a.Next().Reached(now) {
 		return key, false
 	}
-	et, _ := heap.Pop(&a.entries).(entry[K])
-	return et.key, true
+	due, _ := heap.Pop(&a.entries).(entry[K])
+	return due.key, true
 }
 
-// First returns the key that is due first, whether its instant has come or not.
+// First returns the key with the earliest instant, whether due or not. It
+// returns false if the agenda is empty.
 func (a *Agenda[K]) First() (key K, ok bool) {
 	if len(a.entries.list) == 0 {
 		return key, false
@@ -65,43 +68,44 @@
 	return len(a.entries.list)
 }
 
+// entry is a key and the instant at which it is due.
 type entry[K comparable] struct {
 	key K
 	at  carobinstant.Instant
 }
 
-// entries is a heap for container/heap.
-type entries[K comparable] struct {
+// entryHeap implements heap.Interface and keeps the index of each key.
+type entryHeap[K comparable] struct {
 	list []entry[K]
-	// places has the index of each key in list.
-	places map[K]int
+	// indices has the index of each key in list.
+	indices map[K]int
 }
 
 // Len returns the number of entries.
-func (e *entries[K]) Len() int { return len(e.list) }
+func (e *entryHeap[K]) Len() int { return len(e.list) }
 
 // Less orders entries by their instants.
-func (e *entries[K]) Less(i, j int) bool { return e.list[i].at < e.list[j].at }
+func (e *entryHeap[K]) Less(i, j int) bool { return e.list[i].at < e.list[j].at }
 
 // Swap exchanges two entries.
-func (e *entries[K]) Swap(i, j int) {
+func (e *entryHeap[K]) Swap(i, j int) {
 	e.list[i], e.list[j] = e.list[j], e.list[i]
-	e.places[e.list[i].key], e.places[e.list[j].key] = i, j
+	e.indices[e.list[i].key], e.indices[e.list[j].key] = i, j
 }
 
 // Push adds an entry at the end.
-func (e *entries[K]) Push(x any) {
-	et, _ := x.(entry[K])
-	e.places[et.key] = len(e.list)
-	e.list = append(e.list, et)
+func (e *entryHeap[K]) Push(x any) {
+	added, _ := x.(entry[K])
+	e.indices[added.key] = len(e.list)
+	e.list = append(e.list, added)
 }
 
-// Pop takes the last entry out.
-func (e *entries[K]) Pop() any {
+// Pop removes the last entry.
+func (e *entryHeap[K]) Pop() any {
 	last := len(e.list) - 1
-	et := e.list[last]
+	removed := e.list[last]
 	e.list[last] = entry[K]{}
 	e.list = e.list[:last]
-	delete(e.places, et.key)
-	return et
+	delete(e.indices, removed.key)
+	return removed
 }
--- a/pkg/carobagenda/agenda_test.go
+++ b/pkg/carobagenda/agenda_test.go
@@ -10,8 +10,9 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
-// An agenda must do as a map does that is searched for its least instant.
-func TestAgendaAsMap(t *testing.T) {
+// Guards against keys that are lost, due too early or returned out of order, by
+// comparing an agenda with a map that is searched for the earliest instant.
+func TestAgendaMatchesMapModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		agenda, model := NewAgenda[int](), map[int]carobinstant.Instant{}
 		r.Repeat(map[string]func(*rapid.T){
@@ -28,7 +29,7 @@
 			"pop": func(r *rapid.T) {
 				now := carobinstant.Instant(rapid.IntRange(1, 20).Draw(r, "now"))
 				key, ok := agenda.Pop(now)
-				least := leastOf(model)
+				least := earliest(model)
 				require.Equal(r, least.Reached(now), ok)
 				if ok {
 					require.Equal(r, least, model[key])
@@ -37,13 +38,13 @@
 			},
 			"": func(r *rapid.T) {
 				require.Equal(r, len(model), agenda.Len())
-				require.Equal(r, leastOf(model), agenda.Next())
+				require.Equal(r, earliest(model), agenda.Next())
 			},
 		})
 	})
 }
 
-func leastOf(model map[int]carobinstant.Instant) carobinstant.Instant {
+func earliest(model map[int]carobinstant.Instant) carobinstant.Instant {
 	if len(model) == 0 {
 		return carobinstant.Never
 	}
--- a/pkg/carobbucket/bucket.go
+++ b/pkg/carobbucket/bucket.go
@@ -1,37 +1,38 @@
-// Package carobbucket is a token bucket, which caps what is spent over time.
+// Package carobbucket is a token bucket, which limits what is spent over time.
 package carobbucket
 
 import "github.com/carobknot/carobknot/pkg/carobinstant"
 
-// Bucket holds tokens. An empty one is ready to be filled.
+// Bucket holds tokens. The zero value holds none until it is filled.
 type Bucket struct {
-	// Tokens is what may be spent now. Only Overdraw takes it below 0.
+	// Tokens is what may be spent now. It is negative only after Overdraw.
 	Tokens float64
-	// Filled is as of when the bucket was last filled by time.
+	// Filled is when Fill last added tokens; Never before the first time.
 	Filled carobinstant.Instant
-	// Spent is what was taken out since the start, Denied how often too little
-	// was in.
+	// Spent is the sum of all tokens spent, and Denied the number of requests
+	// that were denied for lack of tokens.
 	Spent  float64
 	Denied uint64
 }
 
-// Earn adds tokens, up to the most that are saved.
-func (b *Bucket) Earn(tokens, most float64) {
-	b.Tokens = min(most, b.Tokens+tokens)
+// Earn adds tokens, up to the capacity.
+func (b *Bucket) Earn(tokens, capacity float64) {
+	b.Tokens = min(capacity, b.Tokens+tokens)
 }
 
-// Fill adds the tokens of the time since it was last filled. The first time it
-// fills the bucket to the brim.
-func (b *Bucket) Fill(now carobinstant.Instant, rate, most float64) {
+// Fill adds the tokens for the time since the last call at the rate per second,
+// up to the capacity. The first call fills the bucket to its capacity.
+func (b *Bucket) Fill(now carobinstant.Instant, rate, capacity float64) {
 	if b.Filled == carobinstant.Never {
-		b.Tokens = most
+		b.Tokens = capacity
 	} else {
-		b.Earn(now.Sub(b.Filled).Seconds()*rate, most)
+		b.Earn(now.Sub(b.Filled).Seconds()*rate, capacity)
 	}
 	b.Filled = now
 }
 
-// Spend takes tokens out and reports whether there were enough.
+// Spend removes tokens and reports true, or removes none and reports false if
+// there are too few.
 func (b *Bucket) Spend(tokens float64) bool {
 	if b.Tokens < tokens {
 		b.Denied++
@@ -42,9 +43,9 @@
 	return true
 }
 
-// Overdraw takes tokens out, even more than there are, unless the bucket is
-// empty, and reports whether it did. So an amount larger than the bucket is
-// spent too, and waited for afterwards.
+// Overdraw removes tokens and reports true if the bucket holds any at all, even
+// if too few. This allows amounts larger than the capacity; the debt then has
+// to be refilled before the next one.
 func (b *Bucket) Overdraw(tokens float64) bool {
 	if b.Tokens <= 0 {
 		b.Denied++
--- a/pkg/carobbucket/bucket_test.go
+++ b/pkg/carobbucket/bucket_test.go
@@ -10,21 +10,21 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
-// Over any stretch of time no more is spent than the rate allows and the bucket
-// holds at first.
-func TestBucketIsAHardCap(t *testing.T) {
+// Guards against spending more than the initial capacity plus the rate over the
+// elapsed time, whatever the steps and prices.
+func TestSpentTokensStayBelowRateAndCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0, 1000).Draw(t, "rate")
-		most := rapid.Float64Range(0, 100).Draw(t, "most")
+		capacity := rapid.Float64Range(0, 100).Draw(t, "most")
 		var b Bucket
 		start := carobinstant.Instant(1)
 		now := start
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "pause")))
-			b.Fill(now, rate, most)
+			b.Fill(now, rate, capacity)
 			b.Spend(rapid.Float64Range(0, 50).Draw(t, "price"))
 			require.GreaterOrEqual(t, b.Tokens, 0.0)
-			require.LessOrEqual(t, b.Spent, most+rate*now.Sub(start).Seconds()+1e-6)
+			require.LessOrEqual(t, b.Spent, capacity+rate*now.Sub(start).Seconds()+1e-6)
 		}
 	})
 }
--- a/pkg/carobdistribution/distribution.go
+++ b/pkg/carobdistribution/distribution.go
@@ -1,4 +1,5 @@
-// Package carobdistribution keeps the distribution of recent times.
+// Package carobdistribution estimates quantiles of recent durations with a
+// histogram of exponential buckets.
 package carobdistribution
 
 import (
@@ -7,64 +8,70 @@
 )
 
 const (
-	// steps is the number of buckets for each doubling.
-	steps = 8
-	// doublings above the shortest time that is told apart.
+	// bucketsPerDoubling is the number of buckets for each doubling of the
+	// duration.
+	bucketsPerDoubling = 8
+	// doublings is the number of doublings above minTime that the buckets
+	// cover.
 	doublings = 20
-	shortest  = 50 * time.Microsecond
-	// forget is the weight at which all that was seen counts for half from then on.
-	forget = 1000
+	// minTime is the upper bound of the first bucket.
+	minTime = 50 * time.Microsecond
+	// halvingWeight is the weight at which all counts are halved, so that older
+	// durations lose weight.
+	halvingWeight = 1000
 )
 
-// Distribution counts times in buckets that grow by a constant factor. Older
-// times count for less. The zero value has seen nothing.
+// Distribution counts durations in buckets that grow by a constant factor, with
+// less weight for older ones. The zero value is empty.
 type Distribution struct {
-	counts [steps * doublings]float64
-	total  float64
+	counts [bucketsPerDoubling * doublings]float64
+	weight float64
 }
 
-// Add takes in a time.
+// Add counts a duration.
 func (d *Distribution) Add(t time.Duration) {
-	if d.total >= forget {
+	if d.weight >= halvingWeight {
 		for i := range d.counts {
 			d.counts[i] /= 2
 		}
-		d.total /= 2
+		d.weight /= 2
 	}
-	d.counts[bucket(t)]++
-	d.total++
+	d.counts[bucketIndex(t)]++
+	d.weight++
 }
 
-// Weight returns how many recent times there are.
+// Weight returns the number of durations, with the older ones counted for less.
 func (d *Distribution) Weight() float64 {
-	return d.total
+	return d.weight
 }
 
-// Quantile returns the time that a share of the recent ones do not exceed, or 0
-// if there are none.
+// Quantile returns the duration that the given share of the recent ones does not
+// exceed, rounded up to the bound of its bucket, or 0 if there are none.
 func (d *Distribution) Quantile(share float64) time.Duration {
-	if d.total == 0 {
+	if d.weight == 0 {
 		return 0
 	}
-	left := share * d.total
+	remaining := share * d.weight
 	for i, count := range d.counts {
-		left -= count
-		if left <= 0 {
-			return upper(i)
+		remaining -= count
+		if remaining <= 0 {
+			return upperBound(i)
 		}
 	}
-	return upper(len(d.counts) - 1)
+	return upperBound(len(d.counts) - 1)
 }
 
-func bucket(t time.Duration) int {
-	if t <= shortest {
+// bucketIndex returns the bucket of a duration. Durations beyond the last
+// bucket are counted in it.
+func bucketIndex(t time.Duration) int {
+	if t <= minTime {
 		return 0
 	}
-	place := math.Ceil(steps * math.Log2(float64(t)/float64(shortest)))
-	return min(int(place), steps*doublings-1)
+	index := math.Ceil(bucketsPerDoubling * math.Log2(float64(t)/float64(minTime)))
+	return min(int(index), bucketsPerDoubling*doublings-1)
 }
 
-// upper returns the longest time of a bucket.
-func upper(place int) time.Duration {
-	return time.Duration(float64(shortest) * math.Exp2(float64(place)/steps))
+// upperBound returns the longest duration of a bucket.
+func upperBound(index int) time.Duration {
+	return time.Duration(float64(minTime) * math.Exp2(float64(index)/bucketsPerDoubling))
 }
--- a/pkg/carobdistribution/distribution_test.go
+++ b/pkg/carobdistribution/distribution_test.go
@@ -7,7 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestQuantiles(t *testing.T) {
+// Guards against quantiles that are off by more than 10 %, or that keep
+// following old durations after the latency has changed.
+func TestQuantilesFollowRecentTimes(t *testing.T) {
 	var d Distribution
 	require.Zero(t, d.Quantile(0.5))
 	for i := 1; i <= 900; i++ {
@@ -20,7 +22,7 @@
 		d.Add(time.Millisecond)
 	}
 	require.InEpsilon(t, 1, float64(d.Quantile(0.95))/float64(time.Millisecond), 0.1)
-	require.LessOrEqual(t, d.Weight(), float64(forget))
+	require.LessOrEqual(t, d.Weight(), float64(halvingWeight))
 	d.Add(0)
 	d.Add(24 * time.Hour)
 	require.Positive(t, d.Quantile(1))
--- a/pkg/caroblife/life.go
+++ b/pkg/caroblife/life.go
@@ -1,5 +1,5 @@
-// Package caroblife holds what a node remembers of the lives of the targets at
-// an address on its VM.
+// Package caroblife holds the newest instance of a target at an address on the
+// node's VM.
 package caroblife
 
 import (
@@ -7,19 +7,25 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Life is the newest life of a target at one address.
+// Life is one instance of a target, from its start to its end. The registry
+// uses it to ignore announcements that were overtaken by newer ones.
 type Life struct {
 	Target carobtargetid.ID
-	// Incarnation never goes down at one address. It is 0 for targets that do not
-	// tell theirs; those are taken at their newest word.
+	// Incarnation counts the starts of the target; it never decreases at one
+	// address. It is 0 for targets that do not announce it; every announcement
+	// of those counts as the newest.
 	Incarnation carobincarnation.Incarnation
-	// Sequence is that of the newest announcement; it never goes down in a life.
+	// Sequence is the number of the newest announcement; it never decreases
+	// within an incarnation. 0 if the target does not number them.
 	Sequence uint64
-	// Left says that the target took its leave: no later word of this life counts.
+	// Left says that the target has withdrawn: later announcements of this
+	// incarnation are ignored.
 	Left bool
 }
 
-// Older reports whether a word of a life comes too late to count.
+// Older reports whether an announcement is out of date: it is of an earlier
+// incarnation, or of this one after the target withdrew or with a number that
+// is not above Sequence.
 func (l *Life) Older(incarnation carobincarnation.Incarnation, sequence uint64) bool {
 	if incarnation != l.Incarnation {
 		return incarnation < l.Incarnation
--- a/pkg/carobmeasure/measure.go
+++ b/pkg/carobmeasure/measure.go
@@ -1,4 +1,4 @@
-// Package carobmeasure holds the budget for the work of measuring.
+// Package carobmeasure holds the budget for measuring load and latency.
 package carobmeasure
 
 import (
@@ -7,19 +7,18 @@
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
 
-// Measure is what operators let a node spend on measuring load and latency.
-// All are hard caps.
+// Measure limits what a node may spend on measuring. All limits are hard caps.
 type Measure struct {
-	// Rate is the most bytes a second that measuring sends.
+	// Rate is the maximum of bytes per second sent for measuring.
 	Rate carobrate.Rate `json:"rate"`
-	// Share is the most of one processor core that measuring uses.
+	// Share is the maximum share of one processor core used for measuring.
 	Share carobshare.Share `json:"share"`
-	// Checks is the most health checks a second of each own target that tells how
-	// slow its VM is; 0 is none.
+	// Checks is the maximum of health checks per second for each own target
+	// that reports its VM's slowness; 0 sends none.
 	Checks int `json:"checks"`
 }
 
-// NewMeasure returns the defaults.
+// NewMeasure returns the default budget.
 func NewMeasure() Measure {
 	return Measure{Rate: carobrate.Rate(2 * carobsize.KiB), Share: 0.01}
 }
--- a/pkg/carobpressure/pressure.go
+++ b/pkg/carobpressure/pressure.go
@@ -1,14 +1,16 @@
-// Package carobpressure holds what a target tells of its load.
+// Package carobpressure holds the load that a target reports of itself.
 package carobpressure
 
-// Pressure is a target's own word of its load, as fresh as the answer that it
-// came with.
+// Pressure is a target's own measurement of its load. It is as recent as the
+// response that it was attached to.
 type Pressure struct {
-	// Running and Waiting are calls at the target, of all callers; at least 0.
+	// Running and Waiting count the calls at the target, of all callers; at
+	// least 0.
 	Running, Waiting int
-	// Slots is how many calls the target runs at once; 0 if it does not tell.
+	// Slots is the number of calls that the target runs at once; 0 if not
+	// reported.
 	Slots int
-	// Slowness is how much longer than usual work takes on the VM now; 1 is as
-	// usual, 0 if the target does not tell.
+	// Slowness is how many times longer than usual work takes on the VM now; 0
+	// if not reported.
 	Slowness float64
 }
--- a/pkg/carobring/ring.go
+++ b/pkg/carobring/ring.go
@@ -1,19 +1,19 @@
-// Package carobring keeps the newest rows of one kind of entity, where older
-// rows may be forgotten.
+// Package carobring is a map of limited size that evicts the oldest rows.
 package carobring
 
-// Config is how a ring is made.
+// Config holds the settings of a ring.
 type Config struct {
-	// Limit is the most rows that the ring takes.
+	// Limit is the maximum number of rows. If it is not positive, no row is
+	// kept.
 	Limit int
 }
 
-// Ring keeps rows by key, and forgets the oldest for a new one when it is full.
-// It belongs to one goroutine.
+// Ring keeps rows by key and evicts the oldest one when a new one is added to a
+// full ring. It belongs to one goroutine.
 type Ring[K comparable, R any] struct {
-	// limit is never exceeded by len(rows).
+	// limit is the maximum of len(rows).
 	limit int
-	// order has each key of rows once, the oldest first, from index first on.
+	// order[first:] has each key of rows once, the oldest first.
 	order []K
 	first int
 	rows  map[K]R
@@ -30,25 +30,26 @@
 	return row, ok
 }
 
-// Put adds or replaces the row of a key. A key that stays keeps its age. Put
-// returns the key and row that were forgotten for it, if any were.
+// Put adds or replaces the row of a key. A replaced row keeps its age. Put
+// returns the evicted key and row, and whether a row was evicted; without a
+// positive limit that is the row that was passed.
 func (r *Ring[K, R]) Put(key K, row R) (K, R, bool) {
 	var oldest K
-	var forgotten R
+	var evicted R
 	if _, ok := r.rows[key]; ok {
 		r.rows[key] = row
-		return oldest, forgotten, false
+		return oldest, evicted, false
 	}
 	if r.limit <= 0 {
 		return key, row, true
 	}
 	full := len(r.rows) >= r.limit
 	if full {
-		oldest, forgotten = r.shift()
+		oldest, evicted = r.removeOldest()
 	}
 	r.order = append(r.order, key)
 	r.rows[key] = row
-	return oldest, forgotten, full
+	return oldest, evicted, full
 }
 
 // Len returns the number of rows.
@@ -56,8 +57,10 @@
 	return len(r.rows)
 }
 
-// shift takes the oldest row out.
-func (r *Ring[K, R]) shift() (K, R) {
+// removeOldest removes and returns the oldest row. The removed keys are cut
+// from order only once there are limit of them, so that the cost of the copy is
+// spread over many calls.
+func (r *Ring[K, R]) removeOldest() (K, R) {
 	oldest := r.order[r.first]
 	row := r.rows[oldest]
 	delete(r.rows, oldest)
--- a/pkg/carobring/ring_test.go
+++ b/pkg/carobring/ring_test.go
@@ -8,18 +8,20 @@
 	"github.com/carobknot/carobknot/pkg/carobring"
 )
 
-func TestRingForgetsTheOldest(t *testing.T) {
+// Guards against a ring that grows beyond its limit, evicts a newer row than
+// the oldest, or evicts one when a row is replaced.
+func TestFullRingEvictsOldestRow(t *testing.T) {
 	const limit = 3
 	r := carobring.NewRing[int, string](carobring.Config{Limit: limit})
 	for key := range 10 * limit {
-		old, row, full := r.Put(key, "row")
+		evicted, row, full := r.Put(key, "row")
 		require.Equal(t, key >= limit, full)
 		if full {
-			require.Equal(t, key-limit, old)
+			require.Equal(t, key-limit, evicted)
 			require.Equal(t, "row", row)
 		}
 		_, _, full = r.Put(key, "row")
-		require.False(t, full, "a key that is there takes no new place")
+		require.False(t, full, "replacing a row evicts none")
 		require.Equal(t, min(key+1, limit), r.Len())
 	}
 	_, ok := r.Get(10*limit - limit)
--- a/pkg/carobroute/route.go
+++ b/pkg/carobroute/route.go
@@ -1,4 +1,4 @@
-// Package carobroute holds what an operator says of the calls below one prefix
+// Package carobroute holds an operator's rule for the calls below a path prefix
 // of a host.
 package carobroute
 
@@ -13,22 +13,22 @@
 	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
-// Route says where calls go and how they are treated.
+// Route selects the services that get the calls and how the calls are treated.
 type Route struct {
-	// Name is the operator's, for logs.
+	// Name is given by the operator and used in logs.
 	Name carobword.Word `json:"name"`
-	// Host is that of the calls, without a port.
+	// Host is the host of the calls, without a port.
 	Host string `json:"host"`
-	// Prefix begins the paths of the calls. It begins and ends with a slash.
+	// Prefix is the path prefix of the calls. It begins and ends with a slash.
 	Prefix string `json:"prefix"`
 	// Once says how often a call may run.
 	Once carobonce.Once `json:"once"`
-	// Tries is on how many targets a call may run at most, at least 1.
+	// Tries is the maximum number of targets that a call may run on, at least 1.
 	Tries int `json:"tries"`
-	// Timeout is when a call has its final answer at the latest; 0 is when its
-	// caller's patience ends.
+	// Timeout limits the time until a call's final response; 0 is the caller's
+	// deadline.
 	Timeout carobspan.Span `json:"timeout"`
-	// Slo is the latency within which callers want their answer; 0 is none.
+	// Slo is the latency that callers expect; 0 if none is set.
 	Slo carobspan.Span `json:"slo"`
 	// Rank is the priority, 0 the highest.
 	Rank int `json:"rank"`
@@ -36,7 +36,7 @@
 	Split []carobpart.Part `json:"split"`
 }
 
-// Check tells whether all fields are within their bounds.
+// Check returns an error of kind Invalid if a field is out of bounds.
 func (r *Route) Check() error {
 	switch {
 	case r.Host == "":
@@ -48,23 +48,22 @@
 	case len(r.Split) == 0:
 		return carobkind.New(carobkind.Invalid, "route %s: no service", r.Name)
 	}
-	for _, pt := range r.Split {
-		if err := pt.Service.Check(); err != nil {
+	for _, part := range r.Split {
+		if err := part.Service.Check(); err != nil {
 			return err
 		}
-		if !(pt.Weight >= 0) {
-			return carobkind.New(carobkind.Invalid, "route %s: weight of %s is negative", r.Name, pt.Service)
+		if !(part.Weight >= 0) {
+			return carobkind.New(carobkind.Invalid, "route %s: weight of %s is negative", r.Name, part.Service)
 		}
 	}
 	return nil
 }
 
-// Apply returns a profile with what the route says in place of what the profile
-// says for all calls of a service.
-func (r *Route) Apply(pf carobprofile.Profile) carobprofile.Profile {
-	pf.Once, pf.Tries = r.Once, r.Tries
+// Apply returns the profile with those fields replaced that the route sets.
+func (r *Route) Apply(profile carobprofile.Profile) carobprofile.Profile {
+	profile.Once, profile.Tries = r.Once, r.Tries
 	if r.Timeout > 0 {
-		pf.Deadline = r.Timeout
+		profile.Deadline = r.Timeout
 	}
-	return pf
+	return profile
 }
--- a/pkg/carobroutes/routes.go
+++ b/pkg/carobroutes/routes.go
@@ -1,4 +1,4 @@
-// Package carobroutes holds the route table that an operator publishes as a
+// Package carobroutes holds the route table, which an operator publishes as a
 // whole.
 package carobroutes
 
@@ -13,77 +13,82 @@
 	"github.com/carobknot/carobknot/pkg/carobrouteversion"
 )
 
-// Routes is one version of the route table. It is not changed once made, so
-// that it may be shared.
+// Routes is one version of the route table. It is immutable once indexed, so
+// that goroutines may share it.
 type Routes struct {
 	Version carobrouteversion.Version `json:"version"`
-	// Routes have no two with the same host and prefix.
+	// Routes may be in any order. No two have the same host and prefix.
 	Routes []carobroute.Route `json:"routes"`
-	// hosts has the routes of each host, those with longer prefixes first.
-	hosts map[string][]*carobroute.Route
+	// byHost has the routes of each host, in order of decreasing prefix length;
+	// nil before the table is indexed.
+	byHost map[string][]*carobroute.Route
 }
 
-// Most is the most routes of a table.
+// Most is the maximum number of routes in a table.
 const Most = 20_000
 
-// NewRoutes checks a table and makes it ready for lookups.
+// NewRoutes returns a table that is checked and indexed, or an error of kind
+// Invalid.
 func NewRoutes(version carobrouteversion.Version, routes []carobroute.Route) (*Routes, error) {
-	rs := &Routes{Version: version, Routes: routes}
-	if err := rs.index(); err != nil {
+	table := &Routes{Version: version, Routes: routes}
+	if err := table.index(); err != nil {
 		return nil, err
 	}
-	return rs, nil
+	return table, nil
 }
 
-// UnmarshalJSON decodes a table and checks it.
+// UnmarshalJSON decodes, checks and indexes a table. Its errors are of kind
+// Invalid.
 func (r *Routes) UnmarshalJSON(text []byte) error {
 	type plain Routes
-	var rs plain
-	if err := json.Unmarshal(text, &rs); err != nil {
+	var table plain
+	if err := json.Unmarshal(text, &table); err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "decode routes")
 	}
-	*r = Routes(rs)
+	*r = Routes(table)
 	return r.index()
 }
 
-// Check tells whether the table is within its bounds, and makes it ready for
-// lookups. Tables from other nodes are decoded without that.
+// Check checks and indexes a table that was decoded by another codec than JSON,
+// such as one received from a peer. It does nothing if the table is indexed
+// already. Its errors are of kind Invalid.
 func (r *Routes) Check() error {
-	if r.hosts != nil {
+	if r.byHost != nil {
 		return nil
 	}
 	return r.index()
 }
 
+// index checks all routes and fills byHost.
 func (r *Routes) index() error {
 	if r.Version == carobrouteversion.None || len(r.Routes) > Most {
 		return carobkind.New(carobkind.Invalid, "routes: no version, or more than %d routes", Most)
 	}
-	hosts := map[string][]*carobroute.Route{}
+	byHost := map[string][]*carobroute.Route{}
 	for i := range r.Routes {
-		rt := &r.Routes[i]
-		if err := rt.Check(); err != nil {
+		route := &r.Routes[i]
+		if err := route.Check(); err != nil {
 			return err
 		}
-		hosts[rt.Host] = append(hosts[rt.Host], rt)
+		byHost[route.Host] = append(byHost[route.Host], route)
 	}
-	for _, rts := range hosts {
-		slices.SortFunc(rts, func(a, b *carobroute.Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
+	for _, hostRoutes := range byHost {
+		slices.SortFunc(hostRoutes, func(a, b *carobroute.Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
-	r.hosts = hosts
+	r.byHost = byHost
 	return nil
 }
 
-// Match returns the route with the longest prefix of the path, or nil. A port
-// of the host and a query of the path do not matter.
+// Match returns the route of the host with the longest prefix of the path, or
+// nil. The port of the host and the query of the path are ignored.
 func (r *Routes) Match(host, path string) *carobroute.Route {
 	if name, _, found := strings.Cut(host, ":"); found {
 		host = name
 	}
 	path, _, _ = strings.Cut(path, "?")
-	for _, rt := range r.hosts[host] {
-		if strings.HasPrefix(path, rt.Prefix) {
-			return rt
+	for _, route := range r.byHost[host] {
+		if strings.HasPrefix(path, route.Prefix) {
+			return route
 		}
 	}
 	return nil
--- a/pkg/carobroutes/routes_test.go
+++ b/pkg/carobroutes/routes_test.go
@@ -12,16 +12,18 @@
 	"github.com/carobknot/carobknot/pkg/carobroutes"
 )
 
-func route(host, prefix string) carobroute.Route {
+func newRoute(host, prefix string) carobroute.Route {
 	return carobroute.Route{
 		Name: "r", Host: host, Prefix: prefix, Once: carobonce.No, Tries: 2,
 		Split: []carobpart.Part{{Service: "lookups", Weight: 1}},
 	}
 }
 
+// Guards against calls that follow a shorter prefix, or that are not matched
+// because of a port or a query.
 func TestLongestPrefixWins(t *testing.T) {
-	rs, err := carobroutes.NewRoutes(7, []carobroute.Route{
-		route("a.example", "/one/"), route("a.example", "/one/two/"), route("b.example", "/"),
+	table, err := carobroutes.NewRoutes(7, []carobroute.Route{
+		newRoute("a.example", "/one/"), newRoute("a.example", "/one/two/"), newRoute("b.example", "/"),
 	})
 	require.NoError(t, err)
 	for _, c := range []struct{ name, host, path, prefix string }{
@@ -36,60 +38,64 @@
 		{"no such host", "c.example", "/one/", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			rt := rs.Match(c.host, c.path)
+			route := table.Match(c.host, c.path)
 			if c.prefix == "" {
-				require.Nil(t, rt)
+				require.Nil(t, route)
 				return
 			}
-			require.Equal(t, c.prefix, rt.Prefix)
+			require.Equal(t, c.prefix, route.Prefix)
 		})
 	}
 }
 
-func TestBrokenTablesAreRefused(t *testing.T) {
+// Guards against tables that pass the check with a field out of bounds.
+func TestInvalidTableIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(rt *carobroute.Route)
+		change func(route *carobroute.Route)
 	}{
-		{"no host", func(rt *carobroute.Route) { rt.Host = "" }},
-		{"prefix without slash", func(rt *carobroute.Route) { rt.Prefix = "/one" }},
-		{"no tries", func(rt *carobroute.Route) { rt.Tries = 0 }},
-		{"no service", func(rt *carobroute.Route) { rt.Split = nil }},
-		{"negative weight", func(rt *carobroute.Route) { rt.Split[0].Weight = -1 }},
-		{"bad service", func(rt *carobroute.Route) { rt.Split[0].Service = "A B" }},
+		{"no host", func(route *carobroute.Route) { route.Host = "" }},
+		{"prefix without slash", func(route *carobroute.Route) { route.Prefix = "/one" }},
+		{"no attempts allowed", func(route *carobroute.Route) { route.Tries = 0 }},
+		{"no service", func(route *carobroute.Route) { route.Split = nil }},
+		{"negative weight", func(route *carobroute.Route) { route.Split[0].Weight = -1 }},
+		{"invalid service", func(route *carobroute.Route) { route.Split[0].Service = "A B" }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			rt := route("a.example", "/one/")
-			c.change(&rt)
-			_, err := carobroutes.NewRoutes(7, []carobroute.Route{rt})
+			route := newRoute("a.example", "/one/")
+			c.change(&route)
+			_, err := carobroutes.NewRoutes(7, []carobroute.Route{route})
 			require.Error(t, err)
 		})
 	}
 	_, err := carobroutes.NewRoutes(0, nil)
-	require.Error(t, err, "a table has a version")
+	require.Error(t, err, "a table needs a version")
 }
 
-func TestTableSurvivesTheWire(t *testing.T) {
-	rs, err := carobroutes.NewRoutes(7, []carobroute.Route{route("a.example", "/one/")})
+// Guards against a decoded table without an index, in which no route matches.
+func TestTableIsUsableAfterJSONRoundTrip(t *testing.T) {
+	table, err := carobroutes.NewRoutes(7, []carobroute.Route{newRoute("a.example", "/one/")})
 	require.NoError(t, err)
-	text, err := json.Marshal(rs)
+	text, err := json.Marshal(table)
 	require.NoError(t, err)
-	var again carobroutes.Routes
-	require.NoError(t, json.Unmarshal(text, &again))
-	require.Equal(t, rs.Routes, again.Routes)
-	require.NotNil(t, again.Match("a.example", "/one/x"))
+	var decoded carobroutes.Routes
+	require.NoError(t, json.Unmarshal(text, &decoded))
+	require.Equal(t, table.Routes, decoded.Routes)
+	require.NotNil(t, decoded.Match("a.example", "/one/x"))
 }
 
+// Guards against tables that decode without error but have a route that matches
+// no call.
 func FuzzRoutes(f *testing.F) {
 	f.Add([]byte(`{"version":7,"routes":[{"name":"r","host":"a","prefix":"/","once":"no","tries":1,"split":[{"service":"s","weight":1}]}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var rs carobroutes.Routes
-		if json.Unmarshal(text, &rs) != nil {
+		var table carobroutes.Routes
+		if json.Unmarshal(text, &table) != nil {
 			return
 		}
-		require.NoError(t, rs.Check())
-		for i := range rs.Routes {
-			require.NotNil(t, rs.Match(rs.Routes[i].Host, rs.Routes[i].Prefix+"x"))
+		require.NoError(t, table.Check())
+		for i := range table.Routes {
+			require.NotNil(t, table.Match(table.Routes[i].Host, table.Routes[i].Prefix+"x"))
 		}
 	})
 }
--- a/pkg/carobrouting/policy_local_test.go
+++ b/pkg/carobrouting/policy_local_test.go
@@ -14,8 +14,8 @@
 // centre has room, and against calls held there when its targets are full or
 // slow.
 func TestLocalPolicyLeavesDataCentreOnlyIfFullOrSlow(t *testing.T) {
-	newCandidate := func(inCentre bool, flight float64, latency time.Duration, size carobsize.Size) candidate {
-		return candidate{sameCentre: inCentre, inFlight: flight, slots: 12, latency: latency, distance: distance(inCentre, size)}
+	newCandidate := func(inCentre bool, inFlight float64, latency time.Duration, size carobsize.Size) candidate {
+		return candidate{sameCentre: inCentre, inFlight: inFlight, slots: 12, latency: latency, distance: distance(inCentre, size)}
 	}
 	const usual = 100 * time.Millisecond
 	for _, c := range []struct {
--- a/pkg/carobrouting/subset.go
+++ b/pkg/carobrouting/subset.go
@@ -31,8 +31,8 @@
 func rankTargets(world *carobworld.World, targets []carobtargetid.ID) []carobtargetid.ID {
 	ranked := slices.Clone(targets)
 	slices.SortFunc(ranked, func(a, b carobtargetid.ID) int {
-		if nearA, nearB := inSameCentre(world, a), inSameCentre(world, b); nearA != nearB {
-			if nearA {
+		if sameA, sameB := inSameCentre(world, a), inSameCentre(world, b); sameA != sameB {
+			if sameA {
 				return -1
 			}
 			return 1
--- a/pkg/carobrouting/subset_test.go
+++ b/pkg/carobrouting/subset_test.go
@@ -19,7 +19,7 @@
 )
 
 // subsetOfNode returns the subset of one node of 60 in six data centres.
-func subsetOfNode(number, targets, spread int) []carobtargetid.ID {
+func subsetOfNode(number, targets, size int) []carobtargetid.ID {
 	world := carobworld.NewWorld(carobworld.Config{
 		Self: carobmember.Member{
 			Node: carobnodeid.ID(fmt.Sprintf("n%d", number)), Region: "r", Centre: carobcentre.Centre(fmt.Sprint(number % 6)),
@@ -36,18 +36,18 @@
 			Node: node, Region: "r", Centre: carobcentre.Centre(fmt.Sprint(i % 6)),
 		}})
 	}
-	return subset(world, group, spread)
+	return subset(world, group, size)
 }
 
-// Guards against subsets that reshuffle when a target is added, which would
-// discard all load reports, and against targets that too many or no nodes send
-// to.
+// Guards against subsets that reshuffle when a target is added, after which a
+// node has no load report of most of its targets, and against targets that too
+// many or no nodes send to.
 func TestSubsetsAreStableAndEven(t *testing.T) {
-	const nodes, targets, spread = 60, 60, 16
+	const nodes, targets, size = 60, 60, 16
 	counts := map[carobtargetid.ID]int{}
 	for n := range nodes {
-		before, after := subsetOfNode(n, targets, spread), subsetOfNode(n, targets+1, spread)
-		require.Len(t, before, spread)
+		before, after := subsetOfNode(n, targets, size), subsetOfNode(n, targets+1, size)
+		require.Len(t, before, size)
 		kept := 0
 		for _, id := range before {
 			counts[id]++
@@ -57,35 +57,35 @@
 				}
 			}
 		}
-		require.GreaterOrEqual(t, kept, spread-1, "an added target replaces at most one")
+		require.GreaterOrEqual(t, kept, size-1, "an added target replaces at most one")
 	}
 	for id, count := range counts {
-		require.InDelta(t, spread, count, spread*0.75, id)
+		require.InDelta(t, size, count, size*0.75, id)
 	}
 	require.Len(t, counts, targets)
-	require.Len(t, subsetOfNode(0, 4, spread), 4)
+	require.Len(t, subsetOfNode(0, 4, size), 4)
 }
 
 // Guards against calls that leave the data centre though its targets would fit
 // into the subset.
 func TestSubsetPrefersSameCentre(t *testing.T) {
-	near := 0
+	sameCentre := 0
 	for _, id := range subsetOfNode(0, 60, 16) {
 		var number int
 		_, err := fmt.Sscanf(string(id.Name), "t%d", &number)
 		require.NoError(t, err)
 		if number%6 == 0 {
-			near++
+			sameCentre++
 		}
 	}
-	require.Equal(t, 10, near, "all ten targets of the own data centre are in the subset")
+	require.Equal(t, 10, sameCentre, "all ten targets of the own data centre are in the subset")
 }
 
 // Guards against overloaded or slow targets in the data centre while others are
 // idle elsewhere, and against traffic to other data centres without need.
 func TestPreferSameCentreSpillsOverWhenLoadedOrSlow(t *testing.T) {
-	newCandidates := func(flight float64) []candidate {
-		return []candidate{{slots: 10, inFlight: flight, sameCentre: true}, {slots: 10}, {slots: 10, inFlight: 3}}
+	newCandidates := func(inFlight float64) []candidate {
+		return []candidate{{slots: 10, inFlight: inFlight, sameCentre: true}, {slots: 10}, {slots: 10, inFlight: 3}}
 	}
 	require.Len(t, preferSameCentre(newCandidates(7), 0.8), 1)
 	require.Len(t, preferSameCentre(newCandidates(8), 0.8), 3)
--- a/pkg/carobrouting/system.go
+++ b/pkg/carobrouting/system.go
@@ -165,7 +165,7 @@
 
 // distance returns the cost, in calls per slot, of reaching a target on another
 // VM with a body of the given size.
-func distance(near bool, size carobsize.Size) float64 {
+func distance(sameCentre bool, size carobsize.Size) float64 {
 	const (
 		vmCost     = 0.1
 		centreCost = 1.25
@@ -173,7 +173,7 @@
 		// centres.
 		byteCost = 1.0 / (32 << 10)
 	)
-	if near {
+	if sameCentre {
 		return vmCost
 	}
 	return centreCost + byteCost*float64(size)
@@ -188,15 +188,15 @@
 // setReportedLoad sets the load of a candidate. This node's own target has a
 // gate, which is always current; for others the newest report is used, plus the
 // attempts that this node has sent since.
-func setReportedLoad(world *carobworld.World, now carobinstant.Instant, target *carobtarget.Target, cd *candidate) {
+func setReportedLoad(world *carobworld.World, now carobinstant.Instant, target *carobtarget.Target, added *candidate) {
 	if gate := world.Gates.Get(target.ID); gate != nil && world.Owns(target) {
-		cd.reportedCalls, cd.latency, cd.reportedAt = float64(gate.Running+gate.Queued), gate.Latency, now
+		added.reportedCalls, added.latency, added.reportedAt = float64(gate.Running+gate.Queued), gate.Latency, now
 		return
 	}
-	report := &cd.load.Report
-	cd.reportedCalls = float64(report.Running + report.Queued + cd.load.Sent)
-	cd.reportAge = now.Sub(cd.load.At)
-	cd.latency = report.Latency.Duration()
+	report := &added.load.Report
+	added.reportedCalls = float64(report.Running + report.Queued + added.load.Sent)
+	added.reportAge = now.Sub(added.load.At)
+	added.latency = report.Latency.Duration()
 }
 
 // tried reports whether an attempt at the call was already sent to the target.
--- a/pkg/carobtarget/target.go
+++ b/pkg/carobtarget/target.go
@@ -1,4 +1,4 @@
-// Package carobtarget holds the rows of the targets that a node knows.
+// Package carobtarget holds the row of a target in the tables of a node.
 package carobtarget
 
 import (
@@ -10,22 +10,24 @@
 	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
-// Target is what a node knows of a target: who it is and where. Its load stands
-// in the table of loads, and, if it is the node's own, in the table of gates.
+// Target is the identity, address and announced properties of a target. Its
+// load is in the table of loads and, for the node's own targets, in the table
+// of gates.
 type Target struct {
 	ID carobtargetid.ID `json:"id"`
-	// Node runs on the target's VM. All calls for the target pass it.
+	// Node is the node on the target's VM. All calls to the target pass through
+	// it.
 	Node carobnodeid.ID `json:"node"`
-	// Address is known to the target's own node only.
+	// Address is known only to the target's own node; empty on others.
 	Address carobaddress.Address `json:"-"`
-	// Profile is the routing profile that the service picked.
+	// Profile is the name of the routing profile that the target announced.
 	Profile carobword.Word `json:"profile"`
-	// Slots is at least 1.
+	// Slots is the number of calls that the target runs at once, at least 1.
 	Slots int `json:"slots"`
-	// Conns is at least 1.
+	// Conns is the number of connections that the target accepts, at least 1.
 	Conns int `json:"conns"`
-	// State says whether the target takes new work.
+	// State says whether the target accepts new work.
 	State carobreadiness.Readiness `json:"state"`
-	// Heard is when the target last announced itself; Never on other nodes.
+	// Heard is when the newest announcement was received; Never on other nodes.
 	Heard carobinstant.Instant `json:"-"`
 }
--- a/pkg/carobthrottle/throttle.go
+++ b/pkg/carobthrottle/throttle.go
@@ -1,4 +1,5 @@
-// Package carobthrottle caps the bytes that a part of the node sends over time.
+// Package carobthrottle limits the bytes that a part of the node sends over
+// time.
 package carobthrottle
 
 import (
@@ -8,26 +9,28 @@
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
 
-// Config is how a throttle is made.
+// Config holds the settings of a throttle.
 type Config struct {
-	// Rate is what may be sent over time; Burst, at once.
+	// Rate is the sustained limit, and Burst the amount that may be sent at
+	// once.
 	Rate  carobrate.Rate
 	Burst carobsize.Size
 }
 
-// Throttle lets no more than Burst and Rate over the span pass in any span of
-// time, but for one amount larger than Burst.
+// Throttle limits the amount that passes in any period to Burst, plus Rate over
+// the period, plus the one amount that overdraws the bucket.
 type Throttle struct {
 	config Config
 	bucket carobbucket.Bucket
 }
 
-// NewThrottle returns a throttle of which nothing was spent yet.
+// NewThrottle returns a throttle with a full burst.
 func NewThrottle(c Config) *Throttle {
 	return &Throttle{config: c}
 }
 
-// Spend takes an amount and reports true, unless too much was spent before.
+// Spend reports whether an amount may be sent at now, and deducts it. It
+// refuses while earlier amounts have used up the limit.
 func (t *Throttle) Spend(now carobinstant.Instant, amount int) bool {
 	t.bucket.Fill(now, float64(t.config.Rate), float64(t.config.Burst))
 	return t.bucket.Overdraw(float64(amount))
--- a/pkg/carobthrottle/throttle_test.go
+++ b/pkg/carobthrottle/throttle_test.go
@@ -10,9 +10,9 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
-// In no span of time does more pass than the burst, the rate over the span, and
-// the one amount that overdraws.
-func TestThrottleHoldsInEverySpan(t *testing.T) {
+// Guards against a throttle that passes more in any period than the burst, the
+// rate over the period, and the one amount that overdraws.
+func TestThrottleLimitHoldsInEveryPeriod(t *testing.T) {
 	const rate, burst, largest = 1000, 4000, 1500
 	type spend struct {
 		at     carobinstant.Instant
