--- a/pkg/carobgrouping/system.go
+++ b/pkg/carobgrouping/system.go
@@ -21,9 +21,8 @@
 	return &System{}
 }
 
-// Run rebuilds the table of services if the table of targets has changed. The
-// subsets of targets are discarded too, and computed anew when a call needs
-// one.
+// Run rebuilds the table of services if the table of targets has changed. This
+// also discards the subsets, which are recomputed when a call needs one.
 func (s *System) Run(world *carobworld.World, _ carobinstant.Instant) {
 	if !world.TargetsChanged {
 		return
--- a/pkg/carobinquiry/inquiry.go
+++ b/pkg/carobinquiry/inquiry.go
@@ -11,6 +11,6 @@
 	Node carobnodeid.ID
 	// Sent is when the probe was sent.
 	Sent carobinstant.Instant
-	// Relayed says that other nodes were asked to probe the peer too.
+	// Relayed says that other nodes were requested to probe the peer too.
 	Relayed bool
 }
--- a/pkg/carobprobing/system_test.go
+++ b/pkg/carobprobing/system_test.go
@@ -31,7 +31,7 @@
 // other is a target of another node.
 var other = carobtargetid.ID{Service: "lookups", Name: "b"}
 
-// newWorld returns a world that knows a target of another node.
+// newWorld returns a world with a target of another node.
 func newWorld(rate carobrate.Rate) *carobworld.World {
 	world := carobworld.NewWorld(carobworld.Config{
 		Self: carobmember.Member{Node: "one", Peer: "127.0.0.1:1"}, Limits: caroblimits.NewLimits(),
