--- a/pkg/carobentry/claim.go
+++ b/pkg/carobentry/claim.go
@@ -21,93 +21,101 @@
 )
 
 const (
-	// claimPause is the time between two questions for a key.
-	claimPause = 50 * time.Millisecond
-	// The time between two tellings of an end grows from the first to the last.
-	settlePause, longestPause = 100 * time.Millisecond, 2 * time.Second
+	// claimRetryInterval is the time between two sendings of a claim that is not
+	// granted yet.
+	claimRetryInterval = 50 * time.Millisecond
+	// The backoff between two sendings of a settlement doubles from
+	// minSettlementBackoff up to maxSettlementBackoff.
+	minSettlementBackoff, maxSettlementBackoff = 100 * time.Millisecond, 2 * time.Second
 )
 
-// claim asks the home of a call's key for it, until the deadline comes.
-func claim(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call) {
-	if cl.Deadline.Reached(now) {
-		conclude(w, now, cl, unclaimed(cl))
+// sendClaim sends a claim for the call's idempotency key to the home of that key,
+// at most once every claimRetryInterval. It concludes the call at its deadline.
+func sendClaim(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
+	if call.Deadline.Reached(now) {
+		conclude(world, now, call, claimFailureKind(call))
 		return
 	}
-	w.WakeAt(cl.Deadline)
-	if due := cl.Asked.Add(claimPause); cl.Asked != carobinstant.Never && !due.Reached(now) {
-		w.WakeAt(due)
+	world.WakeAt(call.Deadline)
+	if due := call.Asked.Add(claimRetryInterval); call.Asked != carobinstant.Never && !due.Reached(now) {
+		world.WakeAt(due)
 		return
 	}
-	w.WakeAt(now.Add(claimPause))
-	cl.Asked = now
-	_, home := carobclaiming.Home(w, cl.Key())
-	w.Tell(carobmessage.Message{To: home, Claim: &carobclaim.Claim{Key: cl.Key(), Call: cl.Arrival.Call}})
+	world.WakeAt(now.Add(claimRetryInterval))
+	call.Asked = now
+	_, home := carobclaiming.Home(world, call.Key())
+	world.Tell(carobmessage.Message{To: home, Claim: &carobclaim.Claim{Key: call.Key(), Call: call.Arrival.Call}})
 }
 
-// unclaimed returns the kind of a call that did not get its key in time.
-func unclaimed(cl *carobcall.Call) carobkind.Kind {
-	if cl.Contested {
+// claimFailureKind returns the kind of a call that was not granted its key before its
+// deadline.
+func claimFailureKind(call *carobcall.Call) carobkind.Kind {
+	if call.Contested {
 		return carobkind.KeyUnknown
 	}
 	return carobkind.Unclaimed
 }
 
-// claimed takes in the answer of the home of a call's key.
-func claimed(w *carobworld.World, now carobinstant.Instant, rp *carobclaimreply.Reply) {
-	cl := w.Calls.Get(rp.Call)
-	if cl == nil || cl.Stage != carobstage.Claiming {
+// handleClaimReply handles the reply to a claim. It drops replies for calls that
+// are not waiting for a claim.
+func handleClaimReply(world *carobworld.World, now carobinstant.Instant, reply *carobclaimreply.Reply) {
+	call := world.Calls.Get(reply.Call)
+	if call == nil || call.Stage != carobstage.Claiming {
 		return
 	}
-	switch rp.Grant {
+	switch reply.Grant {
 	case carobgrant.Granted:
-		cl.Stage = carobstage.Waiting
+		call.Stage = carobstage.Waiting
 	case carobgrant.Wait:
-		cl.Contested = true
+		call.Contested = true
 	case carobgrant.Repeated:
-		retell(w, now, cl, rp.Kept)
+		concludeRepeated(world, now, call, reply.Kept)
 	case carobgrant.Unclaimed:
-		conclude(w, now, cl, carobkind.Unclaimed)
+		conclude(world, now, call, carobkind.Unclaimed)
 	default:
-		conclude(w, now, cl, carobkind.KeyUnknown)
+		conclude(world, now, call, carobkind.KeyUnknown)
 	}
 }
 
-// retell gives a caller the answer to an earlier call with its key.
-func retell(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call, kept *carobkept.Kept) {
+// concludeRepeated concludes a call with the stored answer to an earlier call that
+// had the same key, or with the kind Repeated if that answer was not stored.
+func concludeRepeated(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kept *carobkept.Kept) {
 	if kept == nil {
-		conclude(w, now, cl, carobkind.Repeated)
+		conclude(world, now, call, carobkind.Repeated)
 		return
 	}
-	w.Outbox.Conclusions = append(w.Outbox.Conclusions, carobconclusion.Conclusion{Call: cl.Arrival.Call, Kept: kept})
-	w.Calls.Delete(cl.Arrival.Call)
+	world.Outbox.Conclusions = append(world.Outbox.Conclusions, carobconclusion.Conclusion{Call: call.Arrival.Call, Kept: kept})
+	world.Calls.Delete(call.Arrival.Call)
 }
 
-// unsettle notes the end of a call that may hold its key, until its home has it.
-// When there is no room, the key stays held, and later calls with it do not run.
-func unsettle(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call, kind carobkind.Kind, kept *carobkept.Kept) {
-	if cl.Key() == (carobkey.Key{}) || cl.Asked == carobinstant.Never {
+// addSettlement stores the settlement of a call that may hold its key, until the home
+// of the key acknowledges it, and sends it for the first time. If the table is
+// full, the key stays claimed and later calls with it do not run.
+func addSettlement(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kind carobkind.Kind, kept *carobkept.Kept) {
+	if call.Key() == (carobkey.Key{}) || call.Asked == carobinstant.Never {
 		return
 	}
-	us := w.Unsettled.Put(cl.Arrival.Call, carobunsettled.Unsettled{
+	unsettled := world.Unsettled.Put(call.Arrival.Call, carobunsettled.Unsettled{
 		Settlement: carobsettlement.Settlement{
-			Claim: carobclaim.Claim{Key: cl.Key(), Call: cl.Arrival.Call}, Kind: kind, Kept: kept,
+			Claim: carobclaim.Claim{Key: call.Key(), Call: call.Arrival.Call}, Kind: kind, Kept: kept,
 		},
-		Due: now, Pause: settlePause,
+		Due: now, Pause: minSettlementBackoff,
 	})
-	if us != nil {
-		resend(w, now, us)
+	if unsettled != nil {
+		sendSettlement(world, now, unsettled)
 	}
 }
 
-// resend tells the home of a key the end of its call, if that is due.
-func resend(w *carobworld.World, now carobinstant.Instant, us *carobunsettled.Unsettled) {
-	if !us.Due.Reached(now) {
-		w.WakeAt(us.Due)
+// sendSettlement sends a settlement to the home of its key if it is due, and
+// doubles the backoff.
+func sendSettlement(world *carobworld.World, now carobinstant.Instant, unsettled *carobunsettled.Unsettled) {
+	if !unsettled.Due.Reached(now) {
+		world.WakeAt(unsettled.Due)
 		return
 	}
-	us.Due = now.Add(us.Pause)
-	us.Pause = min(2*us.Pause, longestPause)
-	w.WakeAt(us.Due)
-	_, home := carobclaiming.Home(w, us.Settlement.Claim.Key)
-	w.Tell(carobmessage.Message{To: home, Settlement: &us.Settlement})
+	unsettled.Due = now.Add(unsettled.Pause)
+	unsettled.Pause = min(2*unsettled.Pause, maxSettlementBackoff)
+	world.WakeAt(unsettled.Due)
+	_, home := carobclaiming.Home(world, unsettled.Settlement.Claim.Key)
+	world.Tell(carobmessage.Message{To: home, Settlement: &unsettled.Settlement})
 }
--- a/pkg/carobentry/fence.go
+++ b/pkg/carobentry/fence.go
@@ -18,148 +18,159 @@
 )
 
 const (
-	// grace is how much longer than its deadline a call waits for fence replies.
-	grace = 100 * time.Millisecond
-	// repeat is the time after which a fence without a reply is sent again.
-	repeat = 25 * time.Millisecond
+	// fenceGrace is how long after its deadline a call still waits for fence replies.
+	fenceGrace = 100 * time.Millisecond
+	// fenceRetryInterval is how long a fence may stay without a reply before it is
+	// sent again.
+	fenceRetryInterval = 25 * time.Millisecond
 )
 
-// Withdraw asks the target's node to give an attempt back if it still waits in
-// its queue. If it does, the attempt ends as Withdrawn and the call may be
-// placed elsewhere; if it has started, it goes on. Asking again is harmless.
-func Withdraw(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call, number int) {
-	at := &cl.Attempts[number-1]
-	if cl.Stage == carobstage.Placed && !at.Over && at.State == carobjobstate.Unasked {
-		ask(w, now, cl, number)
-		resume(w, now, cl)
+// Withdraw fences an attempt, so that the target's node removes it from the queue
+// if it has not started. The attempt then ends with the kind Withdrawn, and the
+// call may be sent to another target. An attempt that has started continues.
+// Withdraw may be called repeatedly for the same attempt.
+func Withdraw(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, number int) {
+	attempt := &call.Attempts[number-1]
+	if call.Stage == carobstage.Placed && !attempt.Over && attempt.State == carobjobstate.Unasked {
+		sendFence(world, now, call, number)
+		retryIfAllEnded(world, now, call)
 	}
 }
 
-// fence starts to find out whether the attempts of a call ran.
-func fence(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call) {
-	cl.Stage = carobstage.Fencing
-	pursue(w, now, cl)
+// startFencing starts to fence the attempts of a call, to find out whether any of
+// them ran.
+func startFencing(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
+	call.Stage = carobstage.Fencing
+	continueFencing(world, now, call)
 }
 
-// pursue asks about the attempts that are in doubt, and settles the call once
-// nothing more can be found out.
-func pursue(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call) {
-	for i := range cl.Attempts {
-		if !cl.Attempts[i].NotRun() && cl.Attempts[i].State == carobjobstate.Unasked {
-			ask(w, now, cl, i+1)
+// continueFencing sends the fences that are due for attempts whose state is not
+// known, and concludes or retries the call if the replies so far allow it.
+func continueFencing(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
+	for i := range call.Attempts {
+		if !call.Attempts[i].NotRun() && call.Attempts[i].State == carobjobstate.Unasked {
+			sendFence(world, now, call, i+1)
 		}
 	}
-	settle(w, now, cl)
+	resolveFenced(world, now, call)
 }
 
-// ask sends a fence for an attempt, unless one was sent just now.
-func ask(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call, number int) {
-	at := &cl.Attempts[number-1]
-	if due := at.Asked.Add(repeat); at.Asked != carobinstant.Never && !due.Reached(now) {
-		w.WakeAt(due)
+// sendFence sends a fence for an attempt, unless one was sent less than
+// fenceRetryInterval ago. An attempt at a target of this node is judged at once,
+// without a message. The state is Unknown if the target's node is gone or has
+// another incarnation.
+func sendFence(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, number int) {
+	attempt := &call.Attempts[number-1]
+	if due := attempt.Asked.Add(fenceRetryInterval); attempt.Asked != carobinstant.Never && !due.Reached(now) {
+		world.WakeAt(due)
 		return
 	}
-	at.Asked = now
-	fc := carobfence.Fence{Job: carobjobid.ID{Call: cl.Arrival.Call, Attempt: number}, Incarnation: at.Incarnation}
-	if at.Node == w.Self.Node {
-		settleAttempt(w, cl, number, carobfencing.Judge(w, fc))
+	attempt.Asked = now
+	fence := carobfence.Fence{Job: carobjobid.ID{Call: call.Arrival.Call, Attempt: number}, Incarnation: attempt.Incarnation}
+	if attempt.Node == world.Self.Node {
+		setJobState(world, call, number, carobfencing.Judge(world, fence))
 		return
 	}
-	pr := w.Peers.Get(at.Node)
-	if pr == nil || pr.Member.Incarnation != at.Incarnation {
-		settleAttempt(w, cl, number, carobjobstate.Unknown)
+	peer := world.Peers.Get(attempt.Node)
+	if peer == nil || peer.Member.Incarnation != attempt.Incarnation {
+		setJobState(world, call, number, carobjobstate.Unknown)
 		return
 	}
-	w.WakeAt(now.Add(repeat))
-	w.Tell(carobmessage.Message{To: pr.Member.Peer, Fence: &fc})
+	world.WakeAt(now.Add(fenceRetryInterval))
+	world.Tell(carobmessage.Message{To: peer.Member.Peer, Fence: &fence})
 }
 
-// takeReply takes in a fence reply from a target's node.
-func takeReply(w *carobworld.World, now carobinstant.Instant, fr *carobfencereply.FenceReply) {
-	cl := w.Calls.Get(fr.Job.Call)
-	if cl == nil || fr.Job.Attempt < 1 || fr.Job.Attempt > len(cl.Attempts) {
+// handleFenceReply handles a fence reply from a target's node. It drops replies for
+// unknown calls and attempts.
+func handleFenceReply(world *carobworld.World, now carobinstant.Instant, reply *carobfencereply.FenceReply) {
+	call := world.Calls.Get(reply.Job.Call)
+	if call == nil || reply.Job.Attempt < 1 || reply.Job.Attempt > len(call.Attempts) {
 		return
 	}
-	settleAttempt(w, cl, fr.Job.Attempt, fr.State)
-	switch cl.Stage {
+	setJobState(world, call, reply.Job.Attempt, reply.State)
+	switch call.Stage {
 	case carobstage.Fencing:
-		settle(w, now, cl)
+		resolveFenced(world, now, call)
 	case carobstage.Placed:
-		resume(w, now, cl)
+		retryIfAllEnded(world, now, call)
 	default:
 	}
 }
 
-// settleAttempt notes what became of an attempt. A job that was promised never to run
-// stays so, whatever a late message tells.
-func settleAttempt(w *carobworld.World, cl *carobcall.Call, number int, state carobjobstate.JobState) {
-	at := &cl.Attempts[number-1]
-	if at.State == carobjobstate.Never {
+// setJobState stores the job state of an attempt. The state Never is final: a
+// later message, such as a delayed or duplicate reply, does not change it.
+func setJobState(world *carobworld.World, call *carobcall.Call, number int, state carobjobstate.JobState) {
+	attempt := &call.Attempts[number-1]
+	if attempt.State == carobjobstate.Never {
 		return
 	}
-	at.State = state
+	attempt.State = state
 	if state != carobjobstate.Never {
 		return
 	}
-	cancel(w, cl, number)
-	at.Over, at.Kind, cl.Last = true, carobkind.Withdrawn, carobkind.Withdrawn
+	cancelAttempt(world, call, number)
+	attempt.Over, attempt.Kind, call.Last = true, carobkind.Withdrawn, carobkind.Withdrawn
 }
 
-// resume goes on with a call of which an attempt may have been withdrawn.
-func resume(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call) {
-	if cl.Open() == 0 {
-		failed(w, now, cl)
+// retryIfAllEnded retries or fences a call if its last open attempt was withdrawn.
+func retryIfAllEnded(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
+	if call.Open() == 0 {
+		retryOrFence(world, now, call)
 	}
 }
 
-// settle ends the doubt about a call, if it can be ended.
-func settle(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call) {
-	late := cl.Deadline.Reached(now)
+// resolveFenced concludes or retries a call that is being fenced, if the fence
+// replies so far suffice for that or the grace period is over.
+func resolveFenced(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
+	late := call.Deadline.Reached(now)
 	switch {
-	case cl.NotRun() && late:
-		conclude(w, now, cl, carobkind.Late)
-	case cl.NotRun():
-		again(w, now, cl)
-	case ran(cl) || cl.Grace.Reached(now):
-		conclude(w, now, cl, kindOfRun(cl))
+	case call.NotRun() && late:
+		conclude(world, now, call, carobkind.Late)
+	case call.NotRun():
+		retryFenced(world, now, call)
+	case mayHaveRun(call) || call.Grace.Reached(now):
+		conclude(world, now, call, unknownOutcomeKind(call))
 	default:
 	}
 }
 
-// again sends a call once more that was fenced before it ran, if the budget has
-// room and its body is still there.
-func again(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call) {
-	if len(cl.Attempts) < cl.Profile.Tries && !cl.Arrival.Streamed && w.BudgetOf(cl.Arrival.Service).Spend() {
-		cl.Stage = carobstage.Waiting
+// retryFenced retries a call none of whose attempts ran, if the profile allows
+// another attempt, its body is kept and the retry budget has a token. Otherwise it
+// concludes the call with the kind of its last failure.
+func retryFenced(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
+	if len(call.Attempts) < call.Profile.Tries && !call.Arrival.Streamed && world.BudgetOf(call.Arrival.Service).Spend() {
+		call.Stage = carobstage.Waiting
 		return
 	}
-	conclude(w, now, cl, cl.Last)
+	conclude(world, now, call, call.Last)
 }
 
-// ran reports whether some attempt is known to have started, or can never be
-// known not to have.
-func ran(cl *carobcall.Call) bool {
-	for i := range cl.Attempts {
-		if at := &cl.Attempts[i]; !at.NotRun() && at.State != carobjobstate.Unasked {
+// mayHaveRun reports whether an attempt is known to have started, or its node replied
+// that it cannot tell.
+func mayHaveRun(call *carobcall.Call) bool {
+	for i := range call.Attempts {
+		if attempt := &call.Attempts[i]; !attempt.NotRun() && attempt.State != carobjobstate.Unasked {
 			return true
 		}
 	}
 	return false
 }
 
-// kindOfRun returns the kind of a call of which some attempt may have run.
-func kindOfRun(cl *carobcall.Call) carobkind.Kind {
+// unknownOutcomeKind returns the kind with which to conclude a call when one of its
+// attempts may have run.
+func unknownOutcomeKind(call *carobcall.Call) carobkind.Kind {
 	kind := carobkind.Expired
-	for i := range cl.Attempts {
-		if at := &cl.Attempts[i]; doubtful(at) {
-			kind = at.Kind
+	for i := range call.Attempts {
+		if attempt := &call.Attempts[i]; explainsUnknownOutcome(attempt) {
+			kind = attempt.Kind
 		}
 	}
 	return kind
 }
 
-// doubtful reports whether the end of an attempt says why the call may have run.
-// That the entry gave it up says nothing: the deadline or another attempt does.
-func doubtful(at *carobattempt.Attempt) bool {
-	return at.Over && !at.NotRun() && at.Kind != carobkind.None && at.Kind != carobkind.Cancelled
+// explainsUnknownOutcome reports whether the kind of an attempt explains why the
+// outcome of the call is unknown. Cancelled does not: the entry itself cancelled
+// the attempt, because of the deadline or another attempt.
+func explainsUnknownOutcome(attempt *carobattempt.Attempt) bool {
+	return attempt.Over && !attempt.NotRun() && attempt.Kind != carobkind.None && attempt.Kind != carobkind.Cancelled
 }
--- a/pkg/carobentry/fence_test.go
+++ b/pkg/carobentry/fence_test.go
@@ -15,48 +15,53 @@
 	"github.com/carobknot/carobknot/pkg/carobonce"
 )
 
-// A call that may run once is sent again only after the first attempt was
-// promised never to run.
-func TestResendAfterNever(t *testing.T) {
+// Guards against a second run of a call that may run once: after a broken connection
+// it is retried only once the fence reply says that the first attempt never runs.
+func TestCallIsRetriedAfterFencedAsNever(t *testing.T) {
 	r := newRig(t, carobonce.Call)
 	r.arrive(false)
 	r.reply(1, carobkind.Cut)
 	require.Empty(t, r.world.Outbox.Sends)
-	require.Equal(t, []int{1}, r.fenced())
+	require.Equal(t, []int{1}, r.fencedAttempts())
 	r.fenceReply(1, carobjobstate.Never)
-	r.sent(2)
+	r.requireSent(2)
 }
 
-func TestNoResendAfterAnythingElse(t *testing.T) {
+// Guards against a second run: an attempt that ran, or whose state is unknown, is not
+// retried.
+func TestCallIsNotRetriedUnlessFencedAsNever(t *testing.T) {
 	for _, state := range []carobjobstate.JobState{carobjobstate.Done, carobjobstate.Unknown} {
 		t.Run(string(state), func(t *testing.T) {
 			r := newRig(t, carobonce.Call)
 			r.arrive(false)
 			r.reply(1, carobkind.Cut)
 			r.fenceReply(1, state)
-			r.concluded(carobkind.Cut)
+			r.requireConcluded(carobkind.Cut)
 		})
 	}
 }
 
-// Lost fences and replies are made up for, and the caller is told in time.
-func TestVerdictNeverComes(t *testing.T) {
+// Guards against a caller without a response when fences or their replies are lost:
+// fences are sent again, and the call is concluded soon after its deadline.
+func TestCallIsConcludedWithoutFenceReply(t *testing.T) {
 	r := newRig(t, carobonce.Call)
 	r.arrive(false)
-	came := r.now
+	arrivedAt := r.now
 	r.reply(1, carobkind.Cut)
 	fences := 1
 	for len(r.world.Outbox.Conclusions) == 0 && fences < 1000 {
 		r.now = r.world.Wake()
 		r.step(carobinbox.Inbox{})
-		fences += len(r.fenced())
+		fences += len(r.fencedAttempts())
 	}
-	r.concluded(carobkind.Cut)
+	r.requireConcluded(carobkind.Cut)
 	require.Greater(t, fences, 10)
-	require.LessOrEqual(t, r.now.Sub(came), patience+atMost+time.Millisecond)
+	require.LessOrEqual(t, r.now.Sub(arrivedAt), callTimeout+maxOverrun+time.Millisecond)
 }
 
-func TestDeadline(t *testing.T) {
+// Guards against a wrong outcome at the deadline: a call is concluded as Late only if
+// a fence reply shows that it never runs, and otherwise as Expired.
+func TestDeadlineFencesOpenAttempts(t *testing.T) {
 	cases := map[string]struct {
 		state carobjobstate.JobState
 		want  carobkind.Kind
@@ -70,38 +75,38 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, carobonce.Call)
 			r.arrive(false)
-			r.rest(patience)
+			r.advance(callTimeout)
 			r.step(carobinbox.Inbox{})
-			r.open()
+			r.requireOpen()
 			r.fenceReply(1, c.state)
-			r.concluded(c.want)
+			r.requireConcluded(c.want)
 			require.Len(t, r.world.Outbox.Cancels, 1)
 		})
 	}
 	t.Run("no reply", func(t *testing.T) {
 		r := newRig(t, carobonce.Call)
 		r.arrive(false)
-		came := r.now
-		r.rest(2 * patience)
-		r.concluded(carobkind.Expired)
-		require.LessOrEqual(t, r.now.Sub(came), patience+atMost+time.Millisecond)
+		arrivedAt := r.now
+		r.advance(2 * callTimeout)
+		r.requireConcluded(carobkind.Expired)
+		require.LessOrEqual(t, r.now.Sub(arrivedAt), callTimeout+maxOverrun+time.Millisecond)
 	})
-	t.Run("answer within the grace", func(t *testing.T) {
+	t.Run("answer within the grace period", func(t *testing.T) {
 		r := newRig(t, carobonce.Call)
 		r.arrive(false)
-		r.rest(patience)
+		r.advance(callTimeout)
 		r.step(carobinbox.Inbox{})
 		r.reply(1, carobkind.None)
 		require.Equal(t, 1, r.world.Outbox.Conclusions[0].Attempt)
 	})
-	t.Run("given up at the deadline", func(t *testing.T) {
+	t.Run("cancelled at the deadline", func(t *testing.T) {
 		r := newRig(t, carobonce.Call)
 		r.arrive(false)
-		r.rest(patience)
+		r.advance(callTimeout)
 		r.step(carobinbox.Inbox{})
 		r.reply(1, carobkind.Cancelled)
 		r.fenceReply(1, carobjobstate.Running)
-		r.concluded(carobkind.Expired)
+		r.requireConcluded(carobkind.Expired)
 	})
 	t.Run("node replaced", func(t *testing.T) {
 		r := newRig(t, carobonce.Call)
@@ -109,28 +114,29 @@
 		for _, pr := range r.world.Peers.All() {
 			pr.Member.Incarnation++
 		}
-		r.rest(patience)
-		r.concluded(carobkind.Expired)
+		r.advance(callTimeout)
+		r.requireConcluded(carobkind.Expired)
 	})
 }
 
-// "Not run" needs that every attempt is certain.
-func TestEveryAttemptCounts(t *testing.T) {
+// Guards against the outcome "not run" when only some of the attempts are known never
+// to run.
+func TestOneUnknownAttemptMakesOutcomeUnknown(t *testing.T) {
 	r := newRig(t, carobonce.No)
 	r.arrive(false)
 	r.reply(1, carobkind.Cut)
-	r.sent(2)
+	r.requireSent(2)
 	r.reply(2, carobkind.Cut)
-	r.sent(3)
+	r.requireSent(3)
 	r.reply(3, carobkind.Busy)
-	require.ElementsMatch(t, []int{1, 2}, r.fenced())
+	require.ElementsMatch(t, []int{1, 2}, r.fencedAttempts())
 	r.fenceReply(1, carobjobstate.Never)
-	r.open()
+	r.requireOpen()
 	r.fenceReply(2, carobjobstate.Unknown)
-	r.concluded(carobkind.Cut)
+	r.requireConcluded(carobkind.Cut)
 }
 
-func TestEveryAttemptNeverRan(t *testing.T) {
+func TestCallIsWithdrawnIfNoAttemptRan(t *testing.T) {
 	r := newRig(t, carobonce.No)
 	r.arrive(false)
 	r.reply(1, carobkind.Cut)
@@ -138,44 +144,48 @@
 	r.reply(3, carobkind.Busy)
 	r.fenceReply(1, carobjobstate.Never)
 	r.fenceReply(2, carobjobstate.Never)
-	r.concluded(carobkind.Withdrawn)
+	r.requireConcluded(carobkind.Withdrawn)
 }
 
-// Bytes of a streamed body may be gone, so it is not sent again.
+// Guards against retrying a call with a truncated body: a streamed body is not kept,
+// and part of it may already be consumed.
 func TestStreamedBodyIsNotSentAgain(t *testing.T) {
 	r := newRig(t, carobonce.Call)
 	r.arrive(true)
 	r.reply(1, carobkind.Cut)
 	r.fenceReply(1, carobjobstate.Never)
-	r.concluded(carobkind.Withdrawn)
+	r.requireConcluded(carobkind.Withdrawn)
 }
 
-// A reply that is late or came twice changes nothing.
-func TestStrayVerdicts(t *testing.T) {
+// Guards against late, duplicate or misaddressed fence replies changing the state of
+// a call.
+func TestStrayFenceRepliesAreIgnored(t *testing.T) {
 	r := newRig(t, carobonce.Call)
 	r.arrive(false)
 	r.reply(1, carobkind.Cut)
 	r.fenceReply(1, carobjobstate.Never)
-	r.sent(2)
+	r.requireSent(2)
 	r.fenceReply(1, carobjobstate.Running)
 	r.fenceReply(7, carobjobstate.Never)
-	r.open()
+	r.requireOpen()
 	require.Empty(t, r.world.Outbox.Sends)
 	r.reply(2, carobkind.None)
 	require.Equal(t, 2, r.world.Outbox.Conclusions[0].Attempt)
 	r.fenceReply(2, carobjobstate.Never)
-	r.open()
+	r.requireOpen()
 }
 
+// Guards against withdrawing a running attempt, and against charging the retry budget
+// for moving a queued one.
 func TestWithdraw(t *testing.T) {
 	t.Run("queued", func(t *testing.T) {
 		r := newRig(t, carobonce.Call)
 		r.arrive(false)
 		r.world.Begin(carobinbox.Inbox{})
 		carobentry.Withdraw(r.world, r.now, r.world.Calls.Get(r.call), 1)
-		require.Equal(t, []int{1}, r.fenced())
+		require.Equal(t, []int{1}, r.fencedAttempts())
 		r.fenceReply(1, carobjobstate.Never)
-		r.sent(2)
+		r.requireSent(2)
 		require.EqualValues(t, 1, r.world.BudgetOf(service).Moves)
 		require.Zero(t, r.world.BudgetOf(service).Spent)
 	})
@@ -190,21 +200,22 @@
 	})
 }
 
-// Resends stay within a few per cent of the calls when every attempt is cut.
-func TestBudget(t *testing.T) {
+// Guards against retry storms: when the connection of every attempt breaks, retries
+// stay within a few per cent of the calls.
+func TestRetryBudgetBoundsRetries(t *testing.T) {
 	const calls, burst = 1000, 10
 	r := newRig(t, carobonce.No)
 	sends := 0
 	for i := range calls {
 		r.call = carobcallid.ID{Node: "here", Incarnation: 3, Sequence: uint64(i + 1)}
-		r.step(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{Call: r.call, Service: service, Patience: patience}}})
+		r.step(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{Call: r.call, Service: service, Patience: callTimeout}}})
 		for attempt := 1; len(r.world.Outbox.Sends) > 0; attempt++ {
 			sends++
 			r.reply(attempt, carobkind.Cut)
 		}
 	}
 	require.LessOrEqual(t, sends-calls, calls/20+burst)
-	require.Greater(t, sends, calls, "some are sent again")
+	require.Greater(t, sends, calls, "some calls are retried")
 	require.EqualValues(t, sends-calls, r.world.BudgetOf(service).Spent)
 	require.NotZero(t, r.world.BudgetOf(service).Denied)
 }
--- /dev/null
+++ b/pkg/carobentry/log.go
@@ -0,0 +1,30 @@
+package carobentry
+
+import (
+	"time"
+
+	"github.com/carobknot/carobknot/pkg/carobcall"
+	"github.com/carobknot/carobknot/pkg/carobdecision"
+	"github.com/carobknot/carobknot/pkg/carobinput"
+	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobworld"
+)
+
+// logEnd records in the event log how a call ended.
+func logEnd(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, text string, kind carobkind.Kind, after time.Duration) {
+	decision := carobdecision.Decision{
+		Part: "entry", Text: text, Request: call.Arrival.Request, Call: call.Arrival.Call, Kind: kind,
+		Attempt: len(call.Attempts),
+		Inputs: []carobinput.Input{
+			{Name: "routes", Value: float64(world.RoutesVersion())},
+			carobinput.Age("agems", now, call.Came),
+			{Name: "leftms", Value: carobinput.Ms(call.Deadline.Sub(now))},
+			{Name: "afterms", Value: carobinput.Ms(after)},
+		},
+	}
+	if n := len(call.Attempts); n > 0 {
+		decision.Target = call.Attempts[n-1].Target
+	}
+	world.Decide(decision)
+}
--- a/pkg/carobentry/rig_test.go
+++ b/pkg/carobentry/rig_test.go
@@ -36,14 +36,14 @@
 )
 
 const (
-	service  = carobservice.Service("payouts")
-	patience = time.Second
-	// atMost is how long after its deadline a call may be concluded.
-	atMost = 100 * time.Millisecond
-	life   = 5
+	service     = carobservice.Service("payouts")
+	callTimeout = time.Second
+	// maxOverrun is how long after its deadline a call may be concluded.
+	maxOverrun        = 100 * time.Millisecond
+	targetIncarnation = 5
 )
 
-// rig is an entry node with one call, and several targets on other nodes.
+// rig is an entry node with one call, and four targets on other nodes.
 type rig struct {
 	t      *testing.T
 	world  *carobworld.World
@@ -55,29 +55,30 @@
 
 func newRig(t *testing.T, once carobonce.Once) *rig {
 	t.Helper()
-	w := carobworld.NewWorld(carobworld.Config{
+	world := carobworld.NewWorld(carobworld.Config{
 		Self: carobmember.Member{Node: "here", Incarnation: 3}, Limits: caroblimits.NewLimits(), Seed: 1,
 	})
-	gp := carobgroup.Group{Profile: "p"}
+	group := carobgroup.Group{Profile: "p"}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		id := carobtargetid.ID{Service: service, Name: carobword.Word(name)}
 		node := carobnodeid.ID("node-" + name)
-		w.Targets.Put(id, carobtarget.Target{ID: id, Node: node, Profile: "p", Slots: 4, State: carobreadiness.Ready})
-		w.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Incarnation: life, Peer: "peer"}})
-		gp.Targets = append(gp.Targets, id)
+		world.Targets.Put(id, carobtarget.Target{ID: id, Node: node, Profile: "p", Slots: 4, State: carobreadiness.Ready})
+		world.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Incarnation: targetIncarnation, Peer: "peer"}})
+		group.Targets = append(group.Targets, id)
 	}
-	w.Groups.Put(service, gp)
-	rv := carobrevision.Revision{}
-	rv.Change.Profile = carobprofile.NewProfile("p")
-	rv.Change.Profile.Once = once
-	w.Profiles.Put("p", rv)
+	world.Groups.Put(service, group)
+	revision := carobrevision.Revision{}
+	revision.Change.Profile = carobprofile.NewProfile("p")
+	revision.Change.Profile.Once = once
+	world.Profiles.Put("p", revision)
 	r := &rig{
-		t: t, world: w, now: 1, entry: carobentry.NewSystem(), router: carobrouting.NewSystem(),
+		t: t, world: world, now: 1, entry: carobentry.NewSystem(), router: carobrouting.NewSystem(),
 		call: carobcallid.ID{Node: "here", Incarnation: 3, Sequence: 1},
 	}
 	return r
 }
 
+// step runs one tick with the given inbox.
 func (r *rig) step(in carobinbox.Inbox) {
 	r.now++
 	r.world.Begin(in)
@@ -85,8 +86,9 @@
 	r.router.Run(r.world, r.now)
 }
 
-// rest lets time pass, with the ticks that are due.
-func (r *rig) rest(d time.Duration) {
+// advance moves the clock by d and runs the ticks that are due. It stops early at the
+// first tick that concludes a call.
+func (r *rig) advance(d time.Duration) {
 	end := r.now.Add(d)
 	for wake := r.world.Wake(); wake.Reached(end); wake = r.world.Wake() {
 		r.now = max(r.now, wake)
@@ -98,11 +100,13 @@
 	r.now = end
 }
 
+// arrive lets a call to the service arrive, and requires that its first attempt is
+// sent.
 func (r *rig) arrive(streamed bool) {
 	r.step(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{
-		{Call: r.call, Service: service, Patience: patience, Streamed: streamed},
+		{Call: r.call, Service: service, Patience: callTimeout, Streamed: streamed},
 	}})
-	r.sent(1)
+	r.requireSent(1)
 }
 
 func (r *rig) reply(attempt int, kind carobkind.Kind) {
@@ -117,33 +121,36 @@
 
 func (r *rig) job(attempt int) carobjobid.ID { return carobjobid.ID{Call: r.call, Attempt: attempt} }
 
-// sent requires that the last tick sent one attempt of that number.
-func (r *rig) sent(attempt int) {
+// requireSent requires that the last tick sent exactly one attempt, with this number.
+func (r *rig) requireSent(attempt int) {
 	r.t.Helper()
 	require.Len(r.t, r.world.Outbox.Sends, 1)
 	require.Equal(r.t, r.job(attempt), r.world.Outbox.Sends[0].Job)
 }
 
-// fenced returns the attempts that the last tick asked about.
-func (r *rig) fenced() []int {
+// fencedAttempts returns the numbers of the attempts for which the last tick sent a
+// fence.
+func (r *rig) fencedAttempts() []int {
 	var attempts []int
 	for _, ms := range r.world.Outbox.Messages {
 		if ms.Fence != nil {
-			require.EqualValues(r.t, life, ms.Fence.Incarnation)
+			require.EqualValues(r.t, targetIncarnation, ms.Fence.Incarnation)
 			attempts = append(attempts, ms.Fence.Job.Attempt)
 		}
 	}
 	return attempts
 }
 
-// concluded requires that the last tick told the caller an error.
-func (r *rig) concluded(kind carobkind.Kind) {
+// requireConcluded requires that the last tick concluded the call with this kind, and
+// that no call is left.
+func (r *rig) requireConcluded(kind carobkind.Kind) {
 	r.t.Helper()
 	require.Equal(r.t, []carobconclusion.Conclusion{{Call: r.call, Kind: kind}}, r.world.Outbox.Conclusions)
 	require.Zero(r.t, r.world.Calls.Len())
 }
 
-func (r *rig) open() {
+// requireOpen requires that the last tick concluded no call.
+func (r *rig) requireOpen() {
 	r.t.Helper()
 	require.Empty(r.t, r.world.Outbox.Conclusions)
 }
--- a/pkg/carobentry/route.go
+++ b/pkg/carobentry/route.go
@@ -8,21 +8,24 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// lookUp finds the route of a call and picks its service, or returns nil.
-func lookUp(w *carobworld.World, ar *carobarrival.Arrival) *carobroute.Route {
-	if w.Routes == nil {
+// findRoute returns the route that matches the host and path of a call, and sets the
+// call's service to one of the route's parts. It returns nil if there is no match
+// or no route table.
+func findRoute(world *carobworld.World, arrival *carobarrival.Arrival) *carobroute.Route {
+	if world.Routes == nil {
 		return nil
 	}
-	rt := w.Routes.Match(ar.Host, ar.Path)
-	if rt != nil {
-		ar.Service = rt.Split[pick(w, rt.Split)].Service
+	route := world.Routes.Match(arrival.Host, arrival.Path)
+	if route != nil {
+		arrival.Service = route.Split[pickPart(world, route.Split)].Service
 	}
-	return rt
+	return route
 }
 
-// pick draws a part of a route by the weights. A part that is short of room keeps
-// its share: the operator wants just that much of the calls there.
-func pick(w *carobworld.World, split []carobpart.Part) int {
+// pickPart returns the index of a random part of a route, weighted by the parts'
+// weights. The load of a part does not count, because the weights are the shares
+// of calls that the operator set.
+func pickPart(world *carobworld.World, split []carobpart.Part) int {
 	if len(split) == 1 {
 		return 0
 	}
@@ -30,20 +33,20 @@
 	for _, pt := range split {
 		sum += pt.Weight
 	}
-	at := w.Random.Float64() * sum
+	point := world.Random.Float64() * sum
 	for i, pt := range split {
-		if at < pt.Weight {
+		if point < pt.Weight {
 			return i
 		}
-		at -= pt.Weight
+		point -= pt.Weight
 	}
 	return 0
 }
 
-// unrouted returns the kind of a call without a route: a node that knows no route
-// table yet cannot say that there is none.
-func unrouted(w *carobworld.World) carobkind.Kind {
-	if w.Routes == nil {
+// noRouteKind returns the kind of a call that has no route. It is NotReady until the
+// node has a route table, because the table may contain the route.
+func noRouteKind(world *carobworld.World) carobkind.Kind {
+	if world.Routes == nil {
 		return carobkind.NotReady
 	}
 	return carobkind.NoRoute
--- a/pkg/carobentry/route_test.go
+++ b/pkg/carobentry/route_test.go
@@ -21,85 +21,95 @@
 
 const slo = 200 * time.Millisecond
 
-// routed puts a route table into force whose one route goes to the rig's service.
-func (r *rig) routed(once carobonce.Once, split ...carobpart.Part) {
+// setRoute sets a route table with one route, by default to the rig's service.
+func (r *rig) setRoute(once carobonce.Once, split ...carobpart.Part) {
 	r.t.Helper()
 	if len(split) == 0 {
 		split = []carobpart.Part{{Service: service, Weight: 1}}
 	}
-	rs, err := carobroutes.NewRoutes(1, []carobroute.Route{{
+	routes, err := carobroutes.NewRoutes(1, []carobroute.Route{{
 		Name: "r", Host: "a.example", Prefix: "/one/", Once: once, Tries: 2,
 		Timeout: carobspan.Span(400 * time.Millisecond), Slo: carobspan.Span(slo), Split: split,
 	}})
 	require.NoError(r.t, err)
-	r.world.Routes = rs
+	r.world.Routes = routes
 }
 
-func (r *rig) callOn(path string) {
+// arriveAt lets a call arrive that names a path instead of a service.
+func (r *rig) arriveAt(path string) {
 	r.step(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{
-		{Call: r.call, Request: "req", Host: "a.example", Path: path, Patience: patience},
+		{Call: r.call, Request: "req", Host: "a.example", Path: path, Patience: callTimeout},
 	}})
 }
 
-func (r *rig) status(attempt, status int) {
+// replyStatus replies to an attempt with a target's answer of this HTTP status.
+func (r *rig) replyStatus(attempt, status int) {
 	r.step(carobinbox.Inbox{Replies: []carobreply.Reply{{Job: r.job(attempt), Status: status}}})
 }
 
-func TestRouteIsNotFoundOnlyByATable(t *testing.T) {
+// Guards against a 404 for an existing route from a node that has no route table yet.
+func TestNoRouteNeedsRouteTable(t *testing.T) {
 	r := newRig(t, carobonce.Call)
-	r.callOn("/one/x")
-	r.concluded(carobkind.NotReady)
-	r.routed(carobonce.No)
-	r.callOn("/two/x")
-	r.concluded(carobkind.NoRoute)
-	r.callOn("/one/x")
-	r.sent(1)
+	r.arriveAt("/one/x")
+	r.requireConcluded(carobkind.NotReady)
+	r.setRoute(carobonce.No)
+	r.arriveAt("/two/x")
+	r.requireConcluded(carobkind.NoRoute)
+	r.arriveAt("/one/x")
+	r.requireSent(1)
 }
 
-func TestRouteShortensTheCallersPatience(t *testing.T) {
+// Guards against a caller's longer timeout overriding the timeout of the route.
+func TestRouteTimeoutLimitsCallerTimeout(t *testing.T) {
 	r := newRig(t, carobonce.Call)
-	r.routed(carobonce.Call)
-	r.callOn("/one/x")
+	r.setRoute(carobonce.Call)
+	r.arriveAt("/one/x")
 	require.Equal(t, 400*time.Millisecond, r.world.Outbox.Sends[0].Patience)
 	require.Equal(t, carobonce.Call, r.world.Outbox.Sends[0].Once)
 	require.Equal(t, slo, r.world.Outbox.Sends[0].Wish.Slo)
-	r.rest(400*time.Millisecond + atMost + time.Millisecond)
-	require.Len(t, r.world.Outbox.Conclusions, 1, "the caller has its answer soon after the route's timeout")
+	r.advance(400*time.Millisecond + maxOverrun + time.Millisecond)
+	require.Len(t, r.world.Outbox.Conclusions, 1, "the call is concluded soon after the route's timeout")
 }
 
-func TestSplitHoldsItsShares(t *testing.T) {
+// Guards against calls of a part without targets spilling over to the other part of
+// the split.
+func TestSplitKeepsShareOfPartWithoutTargets(t *testing.T) {
 	r := newRig(t, carobonce.Call)
-	r.routed(carobonce.No, carobpart.Part{Service: service, Weight: 80}, carobpart.Part{Service: "elsewhere", Weight: 20})
+	r.setRoute(carobonce.No, carobpart.Part{Service: service, Weight: 80}, carobpart.Part{Service: "elsewhere", Weight: 20})
 	const calls = 2000
-	here := 0
+	sentHere := 0
 	for i := range calls {
 		r.step(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{
-			Call: carobcallid.ID{Node: "here", Incarnation: 3, Sequence: uint64(i)}, Host: "a.example", Path: "/one/", Patience: patience,
+			Call: carobcallid.ID{Node: "here", Incarnation: 3, Sequence: uint64(i)}, Host: "a.example", Path: "/one/", Patience: callTimeout,
 		}}})
-		here += len(r.world.Outbox.Sends)
+		sentHere += len(r.world.Outbox.Sends)
 	}
-	require.InDelta(t, 0.8, float64(here)/calls, 0.03, "a part without targets keeps its share, and its calls are refused")
+	require.InDelta(t, 0.8, float64(sentHere)/calls, 0.03, "the part without targets keeps its share of the calls")
 }
 
-func TestShedCallMovesAtTheBudgetsExpense(t *testing.T) {
+// Guards against unbounded retries of calls that targets shed: each one costs a token
+// of the retry budget.
+func TestShedCallIsRetriedWithinBudget(t *testing.T) {
 	r := newRig(t, carobonce.Call)
-	r.routed(carobonce.Call)
+	r.setRoute(carobonce.Call)
 	r.world.BudgetOf(service).Tokens = 1
-	r.callOn("/one/x")
+	r.arriveAt("/one/x")
 	r.reply(1, carobkind.Shed)
-	r.sent(2)
+	r.requireSent(2)
 	require.Less(t, r.world.BudgetOf(service).Tokens, 1.0)
 	r.reply(2, carobkind.Shed)
 	require.Len(t, r.world.Outbox.Conclusions, 1)
 	require.Equal(t, carobkind.Shed, r.world.Outbox.Conclusions[0].Kind)
 }
 
-func TestFailedAnswerIsTriedAgainOnlyIfItMayRunTwice(t *testing.T) {
+// Guards against a second run of a call that is not idempotent after a 5xx answer,
+// and against retries of one that is beyond the budget.
+func TestFailedAnswerIsRetriedOnlyIfIdempotentAndInBudget(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		once   carobonce.Once
-		tokens float64
-		again  bool
+		name    string
+		once    carobonce.Once
+		tokens  float64
+		retried bool
 	}{
 		{"idempotent", carobonce.No, 1, true},
 		{"idempotent, no budget", carobonce.No, 0, false},
@@ -107,25 +117,27 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, carobonce.Call)
-			r.routed(c.once)
-			r.callOn("/one/x")
+			r.setRoute(c.once)
+			r.arriveAt("/one/x")
 			r.world.BudgetOf(service).Tokens = c.tokens
-			r.status(1, 500)
-			if c.again {
-				r.sent(2)
-				r.status(2, 500)
+			r.replyStatus(1, 500)
+			if c.retried {
+				r.requireSent(2)
+				r.replyStatus(2, 500)
 			}
 			require.Len(t, r.world.Outbox.Conclusions, 1)
-			require.Equal(t, carobkind.None, r.world.Outbox.Conclusions[0].Kind, "the target's own answer is passed on")
+			require.Equal(t, carobkind.None, r.world.Outbox.Conclusions[0].Kind, "the target's own answer is forwarded")
 		})
 	}
 }
 
-func TestCallerIsRefusedWhileItCanStillBeInTime(t *testing.T) {
+// Guards against refusing a busy call so late that a retry of the caller misses the
+// SLO.
+func TestBusyCallIsRefusedEarlyEnoughToRetryWithinSlo(t *testing.T) {
 	r := newRig(t, carobonce.Call)
-	r.routed(carobonce.Call)
-	r.callOn("/one/x")
-	came := r.now
+	r.setRoute(carobonce.Call)
+	r.arriveAt("/one/x")
+	arrivedAt := r.now
 	for attempt := 1; len(r.world.Outbox.Conclusions) == 0; attempt++ {
 		r.reply(attempt, carobkind.Busy)
 		for len(r.world.Outbox.Conclusions) == 0 && len(r.world.Outbox.Sends) == 0 {
@@ -133,14 +145,16 @@
 			r.step(carobinbox.Inbox{})
 		}
 	}
-	cn := r.world.Outbox.Conclusions[0]
-	require.Equal(t, carobkind.Busy, cn.Kind)
-	require.Less(t, r.now.Sub(came), slo/2, "refused early")
-	require.Positive(t, cn.After)
-	require.Less(t, r.now.Sub(came)+cn.After, slo, "told to come back within its SLO")
+	conclusion := r.world.Outbox.Conclusions[0]
+	require.Equal(t, carobkind.Busy, conclusion.Kind)
+	require.Less(t, r.now.Sub(arrivedAt), slo/2, "refused in the first half of the SLO")
+	require.Positive(t, conclusion.After)
+	require.Less(t, r.now.Sub(arrivedAt)+conclusion.After, slo, "the retry time is within the SLO")
 }
 
-func TestEndingNodeTellsWhatItKnows(t *testing.T) {
+// Guards against a wrong outcome at shutdown: a call that may have run is concluded
+// as Cut, any other as Leaving.
+func TestShutdownConcludesOpenCalls(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		reply carobkind.Kind
@@ -151,8 +165,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, carobonce.Call)
-			r.routed(carobonce.Call)
-			r.callOn("/one/x")
+			r.setRoute(carobonce.Call)
+			r.arriveAt("/one/x")
 			for attempt := 1; c.reply != carobkind.None && len(r.world.Outbox.Sends) > 0; attempt++ {
 				r.reply(attempt, c.reply)
 			}
@@ -163,44 +177,48 @@
 	}
 }
 
-func TestCallWithoutATargetIsRefusedEarly(t *testing.T) {
+// Guards against a call that has no ready target waiting for its deadline instead of
+// being refused within its SLO.
+func TestCallWithoutTargetIsRefusedEarly(t *testing.T) {
 	r := newRig(t, carobonce.Call)
-	r.routed(carobonce.Call)
+	r.setRoute(carobonce.Call)
 	for _, tg := range r.world.Targets.All() {
 		tg.State = carobreadiness.Leaving
 	}
-	r.callOn("/one/x")
-	came := r.now
-	r.open()
-	r.rest(time.Second)
+	r.arriveAt("/one/x")
+	arrivedAt := r.now
+	r.requireOpen()
+	r.advance(time.Second)
 	require.Len(t, r.world.Outbox.Conclusions, 1)
 	require.Equal(t, carobkind.NoTarget, r.world.Outbox.Conclusions[0].Kind)
-	require.Less(t, r.now.Sub(came), slo/2)
+	require.Less(t, r.now.Sub(arrivedAt), slo/2)
 }
 
-func TestEndingNodeTakesOnlyWhatItCanFinish(t *testing.T) {
+// Guards against accepting a call that cannot finish before the node ends: it is
+// refused with a short retry time, so that another node can serve it.
+func TestEndingNodeRefusesCallsItCannotFinish(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		left  time.Duration
 		taken bool
 	}{
-		{"ends behind the route's timeout", 420 * time.Millisecond, true},
-		{"ends before it", 380 * time.Millisecond, false},
+		{"ends after the route's timeout", 420 * time.Millisecond, true},
+		{"ends before the route's timeout", 380 * time.Millisecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, carobonce.Call)
-			r.routed(carobonce.No)
+			r.setRoute(carobonce.No)
 			r.step(carobinbox.Inbox{Ending: r.now.Add(c.left)})
-			r.callOn("/one/x")
+			r.arriveAt("/one/x")
 			if c.taken {
-				r.sent(1)
+				r.requireSent(1)
 				return
 			}
 			require.Len(t, r.world.Outbox.Conclusions, 1)
-			cn := r.world.Outbox.Conclusions[0]
-			require.Equal(t, carobkind.Leaving, cn.Kind)
-			require.Positive(t, cn.After)
-			require.Less(t, cn.After, slo/2, "another node serves it in time")
+			conclusion := r.world.Outbox.Conclusions[0]
+			require.Equal(t, carobkind.Leaving, conclusion.Kind)
+			require.Positive(t, conclusion.After)
+			require.Less(t, conclusion.After, slo/2, "another node can serve it within the SLO")
 		})
 	}
 }
--- a/pkg/carobentry/system.go
+++ b/pkg/carobentry/system.go
@@ -1,5 +1,5 @@
-// Package carobentry owns calls from their arrival until their callers have
-// been told how they ended.
+// Package carobentry owns the calls that arrive at this node, from their arrival
+// until the response is sent to the caller.
 package carobentry
 
 import (
@@ -31,17 +31,21 @@
 )
 
 const (
-	// firstRest is the mean of the first wait of a call that was refused by all.
-	firstRest = 10 * time.Millisecond
-	// mostDoublings bounds the waits.
-	mostDoublings = 4
-	// restPart is the part of its SLO that a call waits for room at most.
-	restPart = 8
-	// mostRefusals is how many attempts a call has at most.
-	mostRefusals = 100
+	// initialBackoff is the mean of the first backoff of a call whose attempts were
+	// all refused as Busy.
+	initialBackoff = 10 * time.Millisecond
+	// maxBackoffDoublings is how often the backoff doubles at most.
+	maxBackoffDoublings = 4
+	// sloDivisor bounds waits by the SLO: no backoff starts after 1/sloDivisor of it,
+	// and the mean time after which a refused caller should retry is at most that.
+	sloDivisor = 8
+	// maxBusyAttempts is the number of attempts from which on a call that was refused
+	// as Busy does not back off any more.
+	maxBusyAttempts = 100
 )
 
-// System takes calls in, follows their attempts and settles them.
+// System accepts or refuses arriving calls, decides after each reply whether to
+// retry, fence or conclude, and emits the conclusions.
 type System struct{}
 
 // NewSystem returns the system.
@@ -49,349 +53,372 @@
 	return &System{}
 }
 
-// Run takes in what has come for calls.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	for _, ar := range w.Inbox.Arrivals {
-		arrive(w, now, ar)
+// Run handles the arrivals, replies, messages, deliveries and hangups of the
+// inbox, then the timers of all calls and unsettled claims.
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	for _, arrival := range world.Inbox.Arrivals {
+		handleArrival(world, now, arrival)
 	}
-	for _, rp := range w.Inbox.Replies {
-		reply(w, now, rp)
+	for _, reply := range world.Inbox.Replies {
+		handleReply(world, now, reply)
 	}
-	for i := range w.Inbox.Messages {
-		receive(w, now, &w.Inbox.Messages[i])
+	for i := range world.Inbox.Messages {
+		handleMessage(world, now, &world.Inbox.Messages[i])
 	}
-	for _, dl := range w.Inbox.Deliveries {
-		deliver(w, now, dl)
+	for _, delivery := range world.Inbox.Deliveries {
+		handleDelivery(world, now, delivery)
 	}
-	for _, id := range w.Inbox.Hangups {
-		if cl := w.Calls.Get(id); cl != nil {
-			conclude(w, now, cl, carobkind.Cancelled)
+	for _, id := range world.Inbox.Hangups {
+		if call := world.Calls.Get(id); call != nil {
+			conclude(world, now, call, carobkind.Cancelled)
 		}
 	}
-	for _, cl := range w.Calls.All() {
-		if w.Inbox.End {
-			end(w, now, cl)
+	for _, call := range world.Calls.All() {
+		if world.Inbox.End {
+			concludeAtShutdown(world, now, call)
 			continue
 		}
-		watch(w, now, cl)
+		runTimers(world, now, call)
 	}
-	for _, us := range w.Unsettled.All() {
-		resend(w, now, us)
+	for _, unsettled := range world.Unsettled.All() {
+		sendSettlement(world, now, unsettled)
 	}
 }
 
-// receive takes in what other nodes tell of calls.
-func receive(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message) {
-	if ms.FenceReply != nil {
-		takeReply(w, now, ms.FenceReply)
+// handleMessage handles the messages of other nodes that concern calls of this node.
+func handleMessage(world *carobworld.World, now carobinstant.Instant, message *carobmessage.Message) {
+	if message.FenceReply != nil {
+		handleFenceReply(world, now, message.FenceReply)
 	}
-	if ms.ClaimReply != nil {
-		claimed(w, now, ms.ClaimReply)
+	if message.ClaimReply != nil {
+		handleClaimReply(world, now, message.ClaimReply)
 	}
-	if ms.Settled != nil {
-		w.Unsettled.Delete(*ms.Settled)
+	if message.Settled != nil {
+		world.Unsettled.Delete(*message.Settled)
 	}
 }
 
-func arrive(w *carobworld.World, now carobinstant.Instant, ar carobarrival.Arrival) {
-	var rt *carobroute.Route
-	if ar.Service == "" {
-		if rt = lookUp(w, &ar); rt == nil {
-			refuse(w, now, ar, unrouted(w), 0)
+// handleArrival accepts a call and adds its row, or refuses it.
+func handleArrival(world *carobworld.World, now carobinstant.Instant, arrival carobarrival.Arrival) {
+	var route *carobroute.Route
+	if arrival.Service == "" {
+		if route = findRoute(world, &arrival); route == nil {
+			refuse(world, now, arrival, noRouteKind(world), 0)
 			return
 		}
 	}
-	kind := refusalOf(w, ar)
+	kind := refusalKind(world, arrival)
 	if kind != carobkind.None {
-		refuse(w, now, ar, kind, 0)
+		refuse(world, now, arrival, kind, 0)
 		return
 	}
-	cl := newCall(w, now, ar, rt)
-	if w.Ending.Before(cl.Deadline) {
-		// It may not have its answer when the node ends, and elsewhere it will.
-		refuse(w, now, ar, carobkind.Leaving, comeBack(w, &cl, carobkind.Leaving))
+	call := newCall(world, now, arrival, route)
+	if world.Ending.Before(call.Deadline) {
+		// The node may stop before the call is answered; another node has the time.
+		refuse(world, now, arrival, carobkind.Leaving, retryAfter(world, &call, carobkind.Leaving))
 		return
 	}
-	w.EarnRetry(ar.Service)
-	w.Calls.Put(ar.Call, cl)
+	world.EarnRetry(arrival.Service)
+	world.Calls.Put(arrival.Call, call)
 }
 
-// newCall returns the row of a call that can be taken in.
-func newCall(w *carobworld.World, now carobinstant.Instant, ar carobarrival.Arrival, rt *carobroute.Route) carobcall.Call {
-	pf := *w.ProfileOf(ar.Service)
-	if rt != nil {
-		pf = rt.Apply(pf)
+// newCall returns the row of an accepted call. It starts in the stage Claiming if
+// the call needs its idempotency key.
+func newCall(world *carobworld.World, now carobinstant.Instant, arrival carobarrival.Arrival, route *carobroute.Route) carobcall.Call {
+	profile := *world.ProfileOf(arrival.Service)
+	if route != nil {
+		profile = route.Apply(profile)
 	}
-	cl := carobcall.Call{
-		Arrival: ar, Profile: pf, Route: rt, Came: now, Deadline: now.Add(patience(ar, pf, rt)), Last: carobkind.NoTarget,
+	call := carobcall.Call{
+		Arrival: arrival, Profile: profile, Route: route, Came: now,
+		Deadline: now.Add(timeoutOf(arrival, profile, route)), Last: carobkind.NoTarget,
 	}
-	if rt != nil && rt.Slo > 0 {
-		cl.Slo = now.Add(rt.Slo.Duration())
+	if route != nil && route.Slo > 0 {
+		call.Slo = now.Add(route.Slo.Duration())
 	}
-	if cl.Key() != (carobkey.Key{}) {
-		cl.Stage = carobstage.Claiming
+	if call.Key() != (carobkey.Key{}) {
+		call.Stage = carobstage.Claiming
 	}
-	return cl
+	return call
 }
 
-// patience returns how long a call may take. What an operator says of a route
-// shortens what the caller says.
-func patience(ar carobarrival.Arrival, pf carobprofile.Profile, rt *carobroute.Route) time.Duration {
+// timeoutOf returns the timeout of a call: the caller's, limited by the route's, or
+// the profile's deadline if the caller gave none.
+func timeoutOf(arrival carobarrival.Arrival, profile carobprofile.Profile, route *carobroute.Route) time.Duration {
 	switch {
-	case ar.Patience <= 0:
-		return pf.Deadline.Duration()
-	case rt != nil && rt.Timeout > 0:
-		return min(ar.Patience, rt.Timeout.Duration())
+	case arrival.Patience <= 0:
+		return profile.Deadline.Duration()
+	case route != nil && route.Timeout > 0:
+		return min(arrival.Patience, route.Timeout.Duration())
 	default:
-		return ar.Patience
+		return arrival.Patience
 	}
 }
 
-// refusalOf returns why a call cannot be taken in at all, or None.
-func refusalOf(w *carobworld.World, ar carobarrival.Arrival) carobkind.Kind {
+// refusalKind returns the kind with which to refuse an arriving call, or None if it
+// can be accepted.
+func refusalKind(world *carobworld.World, arrival carobarrival.Arrival) carobkind.Kind {
 	switch {
-	case w.Stopping && !servedElsewhere(w, ar.Service):
+	case world.Stopping && !servedElsewhere(world, arrival.Service):
 		return carobkind.Leaving
-	case w.Calls.Full():
+	case world.Calls.Full():
 		return carobkind.Busy
-	case w.Groups.Get(ar.Service) == nil:
+	case world.Groups.Get(arrival.Service) == nil:
 		return carobkind.NoTarget
-	case w.ProfileOf(ar.Service) == nil:
+	case world.ProfileOf(arrival.Service) == nil:
 		return carobkind.NotReady
 	default:
 		return carobkind.None
 	}
 }
 
-// servedElsewhere reports whether another node has a target of the service. A
-// node that is stopping still serves the calls that come on open connections.
-func servedElsewhere(w *carobworld.World, service carobservice.Service) bool {
-	gp := w.Groups.Get(service)
-	return gp != nil && lo.SomeBy(gp.Targets, func(id carobtargetid.ID) bool {
-		tg := w.Targets.Get(id)
-		return tg != nil && !w.Owns(tg) && tg.State == carobreadiness.Ready
+// servedElsewhere reports whether another node has a ready target of the service.
+// If so, a node that is stopping still accepts calls on open connections and
+// sends them there.
+func servedElsewhere(world *carobworld.World, service carobservice.Service) bool {
+	group := world.Groups.Get(service)
+	return group != nil && lo.SomeBy(group.Targets, func(id carobtargetid.ID) bool {
+		target := world.Targets.Get(id)
+		return target != nil && !world.Owns(target) && target.State == carobreadiness.Ready
 	})
 }
 
-func reply(w *carobworld.World, now carobinstant.Instant, rp carobreply.Reply) {
-	cl := w.Calls.Get(rp.Job.Call)
-	if cl == nil || rp.Job.Attempt < 1 || rp.Job.Attempt > len(cl.Attempts) {
+// handleReply handles the reply to an attempt. It drops replies for unknown calls and
+// for attempts that have ended.
+func handleReply(world *carobworld.World, now carobinstant.Instant, reply carobreply.Reply) {
+	call := world.Calls.Get(reply.Job.Call)
+	if call == nil || reply.Job.Attempt < 1 || reply.Job.Attempt > len(call.Attempts) {
 		return
 	}
-	at := &cl.Attempts[rp.Job.Attempt-1]
-	if at.Over {
+	attempt := &call.Attempts[reply.Job.Attempt-1]
+	if attempt.Over {
 		return
 	}
-	if shed(cl, rp) {
-		cancel(w, cl, rp.Job.Attempt)
-		rp.Kind = carobkind.Busy
+	if isTargetRefusal(call, reply) {
+		cancelAttempt(world, call, reply.Job.Attempt)
+		reply.Kind = carobkind.Busy
 	}
-	at.Over, at.Kind = true, rp.Kind
-	if cl.Stage != carobstage.Placed && cl.Stage != carobstage.Fencing {
+	attempt.Over, attempt.Kind = true, reply.Kind
+	if call.Stage != carobstage.Placed && call.Stage != carobstage.Fencing {
 		return
 	}
-	if rp.Kind == carobkind.None && repeatFailed(w, now, cl, rp) {
+	if reply.Kind == carobkind.None && retryFailedAnswer(world, now, call, reply) {
 		return
 	}
-	if rp.Kind == carobkind.None {
-		answer(w, now, cl, rp.Job.Attempt)
+	if reply.Kind == carobkind.None {
+		forwardAnswer(world, now, call, reply.Job.Attempt)
 		return
 	}
-	cl.Last = rp.Kind
-	if cl.Open() == 0 {
-		failed(w, now, cl)
+	call.Last = reply.Kind
+	if call.Open() == 0 {
+		retryOrFence(world, now, call)
 	}
 }
 
-// shed reports whether a target's answer proves that it did not run the call.
-// Its body is then not wanted.
-func shed(cl *carobcall.Call, rp carobreply.Reply) bool {
-	return rp.Kind == carobkind.None && cl.Profile.Refuse && rp.Status == http.StatusServiceUnavailable
+// isTargetRefusal reports whether a target's answer proves that it did not run the
+// call: a 503, if the profile says so. The body of such an answer is discarded.
+func isTargetRefusal(call *carobcall.Call, reply carobreply.Reply) bool {
+	return reply.Kind == carobkind.None && call.Profile.Refuse && reply.Status == http.StatusServiceUnavailable
 }
 
-// repeatFailed sends a call that may run again once more if its target answered
-// that it failed, and reports whether it did. Without budget or time for that,
-// the caller gets the target's answer.
-func repeatFailed(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call, rp carobreply.Reply) bool {
-	if rp.Status < http.StatusInternalServerError || cl.Route == nil || !mayRepeat(cl) || cl.Open() > 0 ||
-		cl.Runs() >= cl.Profile.Tries || cl.Slo.Reached(now) || !w.BudgetOf(cl.Arrival.Service).Spend() {
+// retryFailedAnswer retries an idempotent call that a target answered with a 5xx
+// status, and reports whether it did. If no tries, budget or time are left, the
+// caller gets the target's answer.
+func retryFailedAnswer(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, reply carobreply.Reply) bool {
+	if reply.Status < http.StatusInternalServerError || call.Route == nil || !mayRunAgain(call) || call.Open() > 0 ||
+		call.Runs() >= call.Profile.Tries || call.Slo.Reached(now) || !world.BudgetOf(call.Arrival.Service).Spend() {
 		return false
 	}
-	cl.Stage = carobstage.Waiting
+	call.Stage = carobstage.Waiting
 	return true
 }
 
-// failed decides on a call of which all attempts have failed.
-func failed(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call) {
-	left := len(cl.Attempts) < cl.Profile.Tries && !cl.Deadline.Reached(now)
+// retryOrFence retries a call that has no open attempt, lets it back off, or fences
+// its attempts.
+func retryOrFence(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
+	left := len(call.Attempts) < call.Profile.Tries && !call.Deadline.Reached(now)
 	switch {
-	case left && moves(cl):
-		w.BudgetOf(cl.Arrival.Service).Moves++
-		cl.Stage = carobstage.Waiting
-	case cl.Last == carobkind.Busy && cl.NotRun() && len(cl.Attempts) < mostRefusals && mayRest(now, cl):
-		rest(w, now, cl)
-	case left && mayGoOn(cl) && w.BudgetOf(cl.Arrival.Service).Spend():
-		cl.Stage = carobstage.Waiting
+	case left && retryIsFree(call):
+		world.BudgetOf(call.Arrival.Service).Moves++
+		call.Stage = carobstage.Waiting
+	case call.Last == carobkind.Busy && call.NotRun() && len(call.Attempts) < maxBusyAttempts && mayBackOff(now, call):
+		backOff(world, now, call)
+	case left && mayRetry(call) && world.BudgetOf(call.Arrival.Service).Spend():
+		call.Stage = carobstage.Waiting
 	default:
-		fence(w, now, cl)
+		startFencing(world, now, call)
 	}
 }
 
-// mayGoOn reports whether a call may be sent again at the budget's expense.
-func mayGoOn(cl *carobcall.Call) bool {
-	return cl.NotRun() || mayRepeat(cl)
+// mayRetry reports whether a call may be retried at the cost of a token of the
+// retry budget.
+func mayRetry(call *carobcall.Call) bool {
+	return call.NotRun() || mayRunAgain(call)
 }
 
-// moves reports whether another attempt at a call costs nothing: none has run,
-// and the last one reached no target.
-func moves(cl *carobcall.Call) bool {
-	return cl.NotRun() && cl.Last != carobkind.Shed && cl.Last != carobkind.Misdirected
+// retryIsFree reports whether another attempt at a call needs no token of the retry
+// budget, because no attempt ran and the last one did not reach a target.
+func retryIsFree(call *carobcall.Call) bool {
+	return call.NotRun() && call.Last != carobkind.Shed && call.Last != carobkind.Misdirected
 }
 
-// rest lets a call wait at its entry that every target it was offered to was too
-// busy for. A jump of load is over in milliseconds, and a caller that has time
-// left would rather wait than be refused. The waits grow, so that calls beyond
-// what the targets can do cost few refusals.
-func rest(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call) {
-	doublings := min(len(cl.Attempts)-cl.Profile.Tries, mostDoublings)
-	pause := firstRest << max(0, doublings)
-	cl.Rest = now.Add(pause/2 + time.Duration(w.Random.Int64N(int64(pause))))
-	cl.Stage = carobstage.Waiting
+// backOff starts a jittered backoff of a call that all tried targets refused as Busy.
+// Most load spikes last a few milliseconds, so a short wait at the entry avoids
+// refusing a caller that has time left. The backoff grows, so that calls above
+// the capacity of the targets cause few refused attempts.
+func backOff(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
+	doublings := min(len(call.Attempts)-call.Profile.Tries, maxBackoffDoublings)
+	pause := initialBackoff << max(0, doublings)
+	call.Rest = now.Add(pause/2 + time.Duration(world.Random.Int64N(int64(pause))))
+	call.Stage = carobstage.Waiting
 }
 
-// mayRest reports whether a call that nobody has room for now may still wait. One
-// with an SLO waits for a part of it at most: later it would be too late for its
-// caller, who learns more from a refusal.
-func mayRest(now carobinstant.Instant, cl *carobcall.Call) bool {
-	if cl.Deadline.Reached(now) {
+// mayBackOff reports whether a call that no target accepts may wait longer. A call
+// with an SLO waits for 1/sloDivisor of it at most: a refusal at that time lets the
+// caller retry within the SLO, but a later one may not.
+func mayBackOff(now carobinstant.Instant, call *carobcall.Call) bool {
+	if call.Deadline.Reached(now) {
 		return false
 	}
-	return cl.Slo == carobinstant.Never || now.Sub(cl.Came) < cl.Slo.Sub(cl.Came)/restPart
+	return call.Slo == carobinstant.Never || now.Sub(call.Came) < call.Slo.Sub(call.Came)/sloDivisor
 }
 
-// mayRepeat reports whether a call may run though an attempt at it may have.
-func mayRepeat(cl *carobcall.Call) bool {
-	return cl.Profile.Once == carobonce.No && !cl.Arrival.Streamed
+// mayRunAgain reports whether a call may be sent again even if an earlier attempt
+// may have run: it is idempotent, and its body is kept.
+func mayRunAgain(call *carobcall.Call) bool {
+	return call.Profile.Once == carobonce.No && !call.Arrival.Streamed
 }
 
-// answer picks the attempt whose answer the caller gets.
-func answer(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call, attempt int) {
-	cl.Stage = carobstage.Delivering
-	tell(w, now, cl, "answer passed on", carobkind.None, 0)
-	cancelOthers(w, cl, attempt)
-	w.Outbox.Conclusions = append(w.Outbox.Conclusions, carobconclusion.Conclusion{
-		Call: cl.Arrival.Call, Attempt: attempt,
+// forwardAnswer orders that the answer to an attempt is forwarded to the caller, and
+// cancels the other attempts.
+func forwardAnswer(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, attempt int) {
+	call.Stage = carobstage.Delivering
+	logEnd(world, now, call, "answer forwarded", carobkind.None, 0)
+	cancelOthers(world, call, attempt)
+	world.Outbox.Conclusions = append(world.Outbox.Conclusions, carobconclusion.Conclusion{
+		Call: call.Arrival.Call, Attempt: attempt,
 	})
 }
 
-func deliver(w *carobworld.World, now carobinstant.Instant, dl carobdelivery.Delivery) {
-	if cl := w.Calls.Get(dl.Job.Call); cl != nil {
-		unsettle(w, now, cl, carobkind.None, dl.Kept)
-		w.Calls.Delete(dl.Job.Call)
+// handleDelivery settles and deletes a call once the forwarding of its answer has
+// ended.
+func handleDelivery(world *carobworld.World, now carobinstant.Instant, delivery carobdelivery.Delivery) {
+	if call := world.Calls.Get(delivery.Job.Call); call != nil {
+		addSettlement(world, now, call, carobkind.None, delivery.Kept)
+		world.Calls.Delete(delivery.Job.Call)
 	}
 }
 
-// watch sees to it that a call goes on when no message comes.
-func watch(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call) {
-	if cl.Stage == carobstage.Delivering {
+// runTimers runs the timers of a call: resending of claims and fences, the deadline
+// and the end of the grace period.
+func runTimers(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
+	if call.Stage == carobstage.Delivering {
 		return
 	}
-	if cl.Stage == carobstage.Claiming {
-		claim(w, now, cl)
+	if call.Stage == carobstage.Claiming {
+		sendClaim(world, now, call)
 		return
 	}
-	if cl.Stage == carobstage.Waiting && cl.Starved && cl.Slo != carobinstant.Never && !mayRest(now, cl) {
-		starve(w, now, cl)
+	if call.Stage == carobstage.Waiting && call.Starved && call.Slo != carobinstant.Never && !mayBackOff(now, call) {
+		concludeStarved(world, now, call)
 		return
 	}
-	if !cl.Deadline.Reached(now) {
-		w.WakeAt(cl.Deadline)
-	} else if cl.Grace == carobinstant.Never {
-		cl.Grace = now.Add(grace)
-		cl.Stage = carobstage.Fencing
+	if !call.Deadline.Reached(now) {
+		world.WakeAt(call.Deadline)
+	} else if call.Grace == carobinstant.Never {
+		call.Grace = now.Add(fenceGrace)
+		call.Stage = carobstage.Fencing
 	}
-	w.WakeAt(cl.Grace)
-	if cl.Stage == carobstage.Fencing {
-		pursue(w, now, cl)
+	world.WakeAt(call.Grace)
+	if call.Stage == carobstage.Fencing {
+		continueFencing(world, now, call)
 	}
 }
 
-// starve ends a call that no target can take. Whoever waits for an answer until
-// its deadline learns no more than now, and comes back later.
-func starve(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call) {
-	if cl.NotRun() {
-		conclude(w, now, cl, carobkind.NoTarget)
+// concludeStarved concludes a call for which there is no target. A call with an SLO
+// does not wait for its deadline, because an earlier error lets the caller retry
+// sooner.
+func concludeStarved(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
+	if call.NotRun() {
+		conclude(world, now, call, carobkind.NoTarget)
 		return
 	}
-	conclude(w, now, cl, kindOfRun(cl))
+	conclude(world, now, call, unknownOutcomeKind(call))
 }
 
-// end tells a caller what is known of its call when the node ends. An answer that
-// waits on the connection behind it can then still be delivered.
-func end(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call) {
+// concludeAtShutdown concludes a call because the node ends: as Leaving if it has
+// not run, as Cut if it may have. The conclusion lets an answer that is queued
+// behind it on the same connection be delivered.
+func concludeAtShutdown(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
 	switch {
-	case cl.Stage == carobstage.Delivering:
-	case cl.NotRun():
-		conclude(w, now, cl, carobkind.Leaving)
+	case call.Stage == carobstage.Delivering:
+	case call.NotRun():
+		conclude(world, now, call, carobkind.Leaving)
 	default:
-		conclude(w, now, cl, carobkind.Cut)
+		conclude(world, now, call, carobkind.Cut)
 	}
 }
 
-// conclude tells the caller an error and forgets the call.
-func conclude(w *carobworld.World, now carobinstant.Instant, cl *carobcall.Call, kind carobkind.Kind) {
-	if cl.NotRun() {
-		unsettle(w, now, cl, carobkind.Withdrawn, nil)
+// conclude orders that the caller gets an error, cancels all open attempts, and
+// deletes the call.
+func conclude(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kind carobkind.Kind) {
+	if call.NotRun() {
+		addSettlement(world, now, call, carobkind.Withdrawn, nil)
 	} else {
-		unsettle(w, now, cl, kind, nil)
+		addSettlement(world, now, call, kind, nil)
 	}
-	cancelOthers(w, cl, 0)
-	after := comeBack(w, cl, kind)
-	w.Outbox.Conclusions = append(w.Outbox.Conclusions, carobconclusion.Conclusion{
-		Call: cl.Arrival.Call, Kind: kind, After: after,
+	cancelOthers(world, call, 0)
+	after := retryAfter(world, call, kind)
+	world.Outbox.Conclusions = append(world.Outbox.Conclusions, carobconclusion.Conclusion{
+		Call: call.Arrival.Call, Kind: kind, After: after,
 	})
-	tell(w, now, cl, "call ended without an answer", kind, after)
-	w.Calls.Delete(cl.Arrival.Call)
+	logEnd(world, now, call, "call ended without an answer", kind, after)
+	world.Calls.Delete(call.Arrival.Call)
 }
 
-// comeBack returns after how long a caller with an SLO may try again: a time
-// within it, spread so that callers do not come back together. 0 is what the kind
-// says.
-func comeBack(w *carobworld.World, cl *carobcall.Call, kind carobkind.Kind) time.Duration {
+// retryAfter returns after what time a caller with an SLO should retry: within the
+// SLO and jittered, so that refused callers do not retry at the same time. It is 0
+// if there is no SLO or the kind has no retry time; the kind's own retry time
+// applies then.
+func retryAfter(world *carobworld.World, call *carobcall.Call, kind carobkind.Kind) time.Duration {
 	after := kind.Retry()
-	if after == 0 || cl.Slo == carobinstant.Never {
+	if after == 0 || call.Slo == carobinstant.Never {
 		return 0
 	}
-	step := min(after, cl.Slo.Sub(cl.Came)/restPart)
-	return step/2 + time.Duration(w.Random.Int64N(int64(step)))
+	step := min(after, call.Slo.Sub(call.Came)/sloDivisor)
+	return step/2 + time.Duration(world.Random.Int64N(int64(step)))
 }
 
-func cancelOthers(w *carobworld.World, cl *carobcall.Call, keep int) {
-	for i := range cl.Attempts {
+// cancelOthers cancels all open attempts of a call except the attempt numbered
+// keep; 0 cancels all.
+func cancelOthers(world *carobworld.World, call *carobcall.Call, keep int) {
+	for i := range call.Attempts {
 		if i+1 != keep {
-			cancel(w, cl, i+1)
+			cancelAttempt(world, call, i+1)
 		}
 	}
 }
 
-// cancel gives an attempt up that has no reply yet.
-func cancel(w *carobworld.World, cl *carobcall.Call, number int) {
-	if !cl.Attempts[number-1].Over {
-		w.Outbox.Cancels = append(w.Outbox.Cancels, carobjobid.ID{Call: cl.Arrival.Call, Attempt: number})
+// cancelAttempt orders that an attempt is cancelled if it has no reply yet.
+func cancelAttempt(world *carobworld.World, call *carobcall.Call, number int) {
+	if !call.Attempts[number-1].Over {
+		world.Outbox.Cancels = append(world.Outbox.Cancels, carobjobid.ID{Call: call.Arrival.Call, Attempt: number})
 	}
 }
 
-// refuse turns away a call that was not taken in. After is when it may come back; 0
-// is what the kind says.
-func refuse(w *carobworld.World, now carobinstant.Instant, ar carobarrival.Arrival, kind carobkind.Kind, after time.Duration) {
-	w.Outbox.Conclusions = append(w.Outbox.Conclusions, carobconclusion.Conclusion{Call: ar.Call, Kind: kind, After: after})
+// refuse concludes a call that is not accepted. The caller may retry after the
+// given time; if that is 0, the kind's own retry time applies.
+func refuse(world *carobworld.World, now carobinstant.Instant, arrival carobarrival.Arrival, kind carobkind.Kind, after time.Duration) {
+	world.Outbox.Conclusions = append(world.Outbox.Conclusions, carobconclusion.Conclusion{
+		Call: arrival.Call, Kind: kind, After: after,
+	})
 	inputs := []carobinput.Input{
-		{Name: "routes", Value: float64(w.RoutesVersion())}, {Name: "services", Value: float64(w.Groups.Len())},
+		{Name: "routes", Value: float64(world.RoutesVersion())}, {Name: "services", Value: float64(world.Groups.Len())},
 	}
-	if w.Ending != carobinstant.Never {
-		inputs = append(inputs, carobinput.Input{Name: "endsms", Value: float64(w.Ending.Sub(now).Milliseconds())})
+	if world.Ending != carobinstant.Never {
+		inputs = append(inputs, carobinput.Input{Name: "endsms", Value: float64(world.Ending.Sub(now).Milliseconds())})
 	}
-	w.Decide(carobdecision.Decision{
-		Part: "entry", Text: "call turned away", Request: ar.Request, Call: ar.Call, Kind: kind, Inputs: inputs,
+	world.Decide(carobdecision.Decision{
+		Part: "entry", Text: "call turned away", Request: arrival.Request, Call: arrival.Call, Kind: kind, Inputs: inputs,
 	})
 }
