--- a/pkg/carobattempt/attempt.go
+++ b/pkg/carobattempt/attempt.go
@@ -1,4 +1,4 @@
-// Package carobattempt holds the attempts that an entry node makes at a call.
+// Package carobattempt defines the attempts of a call, as its entry node sees them.
 package carobattempt
 
 import (
@@ -13,22 +13,24 @@
 // Attempt is one sending of a call to a target's node.
 type Attempt struct {
 	Target carobtargetid.ID
-	Node   carobnodeid.ID
-	// Incarnation is the one that the attempt is meant for.
+	// Node is the target's node.
+	Node carobnodeid.ID
+	// Incarnation is that of the target's node when the attempt was sent. Another
+	// incarnation of the node refuses the attempt.
 	Incarnation carobincarnation.Incarnation
 	// Sent is when the attempt was sent.
 	Sent carobinstant.Instant
-	// Over says that the attempt has its reply.
+	// Over is set once the attempt has ended: it has a reply, or it was withdrawn.
 	Over bool
-	// Kind is how the attempt ended; None for an answer.
+	// Kind is why the attempt failed; None if it is open or was answered.
 	Kind carobkind.Kind
-	// State is what the target's node last told of the attempt.
+	// State is the job state from the last fence reply; Unasked if there was none.
 	State carobjobstate.JobState
-	// Asked is when the target's node was last asked; Never if it was not.
+	// Asked is when a fence for the attempt was last sent; Never if none was.
 	Asked carobinstant.Instant
 }
 
-// NotRun reports whether the attempt has certainly not run and never will.
+// NotRun reports whether it is certain that the attempt has not run and never will.
 func (a *Attempt) NotRun() bool {
 	return a.State == carobjobstate.Never || a.Over && a.Kind.NotRun()
 }
--- a/pkg/carobcall/call.go
+++ b/pkg/carobcall/call.go
@@ -1,4 +1,4 @@
-// Package carobcall holds the rows of the calls that a node is the entry of.
+// Package carobcall defines the row of a call in the table of its entry node.
 package carobcall
 
 import (
@@ -14,67 +14,72 @@
 	"github.com/carobknot/carobknot/pkg/carobwish"
 )
 
-// Call is a call from its arrival until its caller has the answer or the error.
+// Call is the state of a call from its arrival until the response is sent to the
+// caller.
 type Call struct {
+	// Arrival is the request as the traffic goroutine reported it, with the service
+	// of the route filled in.
 	Arrival carobarrival.Arrival
-	// Profile is the one in force when the call came. It stays for the call.
+	// Profile is the service's profile at the time of arrival, with the settings of
+	// the route applied. Later revisions do not change it.
 	Profile carobprofile.Profile
-	// Route is the one that the call took; nil if its caller named the service.
+	// Route is the route that the call matched; nil if the caller named the service.
 	Route *carobroute.Route
-	// Slo is when the answer is wanted; Never if nobody said.
+	// Slo is the instant by which the caller should have its answer, from the SLO of
+	// the route; Never if there is none.
 	Slo carobinstant.Instant
-	// Came is when the call came.
+	// Came is the instant of arrival.
 	Came carobinstant.Instant
-	// Deadline is when the caller's patience ends.
+	// Deadline is the instant at which the call times out.
 	Deadline carobinstant.Instant
-	// Asked is when its home was last asked for the call's key; Never if the call
-	// needs none, or it was not asked yet.
+	// Asked is when a claim for the call's idempotency key was last sent; Never if
+	// the call needs no key or no claim was sent yet.
 	Asked carobinstant.Instant
-	// Contested says that another call holds the key.
+	// Contested is set if another call holds the idempotency key.
 	Contested bool
-	// Grace is when a call whose deadline has come is settled though fence replies
-	// are missing; Never before the deadline.
+	// Grace is the instant at which a call that is past its deadline is concluded
+	// even if fence replies are missing; Never before the deadline.
 	Grace carobinstant.Instant
-	// Stage only ever goes up, but for Placed and Fencing back to Waiting.
+	// Stage only increases, except that a retry sets it from Placed or Fencing back
+	// to Waiting.
 	Stage carobstage.Stage
-	// Extra says that a second attempt is wanted beside the one under way.
+	// Extra is set if the call should be hedged: the next tick sends a second attempt
+	// beside the open one if a target is free and the retry budget has a token.
 	Extra bool
-	// Starved says that no target was found for the call when one was last looked
-	// for.
+	// Starved is set if the last tick that tried to place the call found no target.
 	Starved bool
-	// Rest is until when a call waits that all its tries were refused for want of
-	// room; Never if it need not.
+	// Rest is the end of the call's backoff after its targets refused it as busy;
+	// Never if it does not back off.
 	Rest carobinstant.Instant
-	// Attempts has attempt n at index n-1.
+	// Attempts holds attempt number n at index n-1.
 	Attempts []carobattempt.Attempt
-	// Last is the kind of the newest failed attempt.
+	// Last is the kind of the most recent failure of an attempt.
 	Last carobkind.Kind
 }
 
-// Open returns how many attempts have no reply yet.
+// Open returns the number of attempts that have not ended.
 func (c *Call) Open() int {
-	n := 0
+	count := 0
 	for i := range c.Attempts {
 		if !c.Attempts[i].Over {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Runs returns on how many targets the call may have run.
+// Runs returns the number of attempts that may have run.
 func (c *Call) Runs() int {
-	n := 0
+	count := 0
 	for i := range c.Attempts {
 		if !c.Attempts[i].NotRun() {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// NotRun reports whether the call has certainly not run and never will, unless
-// it is sent again.
+// NotRun reports whether it is certain that no attempt so far has run or ever will.
 func (c *Call) NotRun() bool {
 	for i := range c.Attempts {
 		if !c.Attempts[i].NotRun() {
@@ -84,16 +89,17 @@
 	return true
 }
 
-// Wish returns what the caller wants, as of now.
+// Wish returns what an attempt that is sent now tells the target's node about the
+// call's priority and SLO.
 func (c *Call) Wish(now carobinstant.Instant) carobwish.Wish {
-	ws := carobwish.Wish{Request: c.Arrival.Request, Rank: c.Rank(), Once: c.Profile.Once}
+	wish := carobwish.Wish{Request: c.Arrival.Request, Rank: c.Rank(), Once: c.Profile.Once}
 	if c.Slo != carobinstant.Never {
-		ws.Slo, ws.Whole = c.Slo.Sub(now), c.Slo.Sub(c.Came)
+		wish.Slo, wish.Whole = c.Slo.Sub(now), c.Slo.Sub(c.Came)
 	}
-	return ws
+	return wish
 }
 
-// Rank returns the priority of the call, 0 the highest.
+// Rank returns the priority of the call, from its route; 0 is the highest.
 func (c *Call) Rank() int {
 	if c.Route == nil {
 		return 0
@@ -102,7 +108,7 @@
 }
 
 // Key returns the idempotency key that the call must claim before it runs. It is
-// empty if the call needs none.
+// zero if the call needs none.
 func (c *Call) Key() carobkey.Key {
 	if c.Profile.Once != carobonce.Key || c.Arrival.Key == "" {
 		return carobkey.Key{}
