--- a/pkg/carobarrival/arrival.go
+++ b/pkg/carobarrival/arrival.go
@@ -1,4 +1,4 @@
-// Package carobarrival holds the message that a call has come from a caller.
+// Package carobarrival defines the message that a call has arrived from a caller.
 package carobarrival
 
 import (
@@ -10,24 +10,26 @@
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
 
-// Arrival says that a call has come to this node, which is its entry from now on.
+// Arrival reports to the control goroutine that a call has arrived at this node,
+// its entry.
 type Arrival struct {
 	Call carobcallid.ID
-	// Request is the caller's name for the call.
+	// Request is the caller's ID of the request; empty if it sent none.
 	Request carobrequestid.ID
-	// Service is whose targets are called. If it is empty, the route that Host and
-	// Path lead to says so.
+	// Service is the service that the call is for. If it is empty, the route that
+	// matches Host and Path determines it.
 	Service carobservice.Service
 	Host    string
 	Path    string
-	// Patience is the time that the caller gives; 0 if it names none.
+	// Patience is the caller's timeout; 0 if it gave none.
 	Patience time.Duration
 	// Key is the idempotency key; empty if there is none.
 	Key string
-	// Size is how long the body is, if it is kept.
+	// Size is the length of the body in bytes, if the body is buffered.
 	Size carobsize.Size
-	// Streamed says that the body is too long to be kept for another attempt.
+	// Streamed is set if the body is not buffered for another attempt, because it is
+	// too long or the memory for buffers is used up.
 	Streamed bool
-	// Trace is the trace context of the caller, as W3C writes it.
+	// Trace is the caller's W3C traceparent header; empty if there was none.
 	Trace string
 }
--- a/pkg/carobconclusion/conclusion.go
+++ b/pkg/carobconclusion/conclusion.go
@@ -1,4 +1,5 @@
-// Package carobconclusion holds the order to tell a caller the end of its call.
+// Package carobconclusion defines the effect that sends the response of a call to
+// its caller.
 package carobconclusion
 
 import (
@@ -9,17 +10,19 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Conclusion orders that the caller gets an attempt's answer or an error.
+// Conclusion orders that the caller of a call gets the answer to an attempt, a kept
+// answer or an error.
 type Conclusion struct {
 	Call carobcallid.ID
 	// Kind is the error; None if the caller gets an answer.
 	Kind carobkind.Kind
-	// After is when the caller may try again; 0 is what the kind
-	// says.
+	// After is the time after which the caller may retry; if it is 0, the kind's own
+	// retry time applies.
 	After time.Duration
-	// Attempt is the one whose answer the caller gets; 0 if Kind is not None.
+	// Attempt is the number of the attempt whose answer the caller gets; 0 if there
+	// is an error or a kept answer.
 	Attempt int
-	// Kept is an answer kept from an earlier call, which the caller gets if it is
-	// not nil. Kind is None and Attempt is 0 then.
+	// Kept is the kept answer to an earlier call with the same idempotency key; nil
+	// if the caller gets something else. Kind is None and Attempt is 0 if it is set.
 	Kept *carobkept.Kept
 }
