--- a/pkg/carobreply/reply.go
+++ b/pkg/carobreply/reply.go
@@ -1,4 +1,4 @@
-// Package carobreply holds the message that an attempt has its reply.
+// Package carobreply defines the message that an attempt has a reply.
 package carobreply
 
 import (
@@ -8,16 +8,16 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Reply tells the entry how an attempt went.
+// Reply reports to the control goroutine of the entry node how an attempt ended.
 type Reply struct {
 	Job carobjobid.ID
-	// Target is where the attempt was sent.
+	// Target is the target that the attempt was sent to.
 	Target carobtargetid.ID
-	// Kind is None if the head of a target's answer is here, and Cancelled if the
-	// attempt was given up before.
+	// Kind is None if the head of the target's answer has arrived, and Cancelled if
+	// the entry cancelled the attempt before that.
 	Kind carobkind.Kind
-	// Status is the target's HTTP status; 0 if Kind is not None.
+	// Status is the HTTP status of the target's answer; 0 if Kind is not None.
 	Status int
-	// Report is the load of the target; nil if the reply brought none.
+	// Report is the load of the target; nil if the reply did not contain it.
 	Report *carobreport.Report
 }
--- a/pkg/carobsend/send.go
+++ b/pkg/carobsend/send.go
@@ -1,4 +1,4 @@
-// Package carobsend holds the order to send an attempt.
+// Package carobsend defines the effect that sends an attempt.
 package carobsend
 
 import (
@@ -12,19 +12,20 @@
 	"github.com/carobknot/carobknot/pkg/carobwish"
 )
 
-// Send orders an attempt to be sent to a target's node.
+// Send orders that an attempt is sent to a target's node.
 type Send struct {
 	Job    carobjobid.ID
 	Target carobtargetid.ID
 	// Peer is the address of the target's node; empty if that is this node.
-	Peer        carobaddress.Address
+	Peer carobaddress.Address
+	// Incarnation is that of the target's node; another incarnation refuses the job.
 	Incarnation carobincarnation.Incarnation
-	// Patience is the time left to the call.
+	// Patience is the time left until the deadline of the call.
 	Patience time.Duration
-	// Once says how often the call may run.
+	// Once is how often the call may run.
 	Once carobonce.Once
-	// Wish is what the caller wants of the call.
+	// Wish holds the priority and the SLO, by which the target's node orders its queue.
 	Wish carobwish.Wish
-	// Trace is the trace context for the target's node, as W3C writes it.
+	// Trace is the W3C traceparent header for the target's node.
 	Trace string
 }
