--- a/pkg/caroboutcome/outcome.go
+++ b/pkg/caroboutcome/outcome.go
@@ -1,15 +1,15 @@
-// Package caroboutcome says what became of a call.
+// Package caroboutcome lists the outcomes of a call.
 package caroboutcome
 
-// Outcome is what the caller is told of its call.
+// Outcome tells the caller whether its call has run. Each response carries it.
 type Outcome string
 
-// The outcomes.
+// The outcomes of a call.
 const (
-	// Answered: a target's whole answer is what follows.
+	// Answered: the response is the complete answer of a target.
 	Answered Outcome = "answered"
-	// NotRun: no target ran the call, and none will.
+	// NotRun: no target has run the call, and none will.
 	NotRun Outcome = "not-run"
-	// Unknown: a target may have run the call, or may still.
+	// Unknown: a target may have run the call, or may run it later.
 	Unknown Outcome = "unknown"
 )
--- a/pkg/carobstage/stage.go
+++ b/pkg/carobstage/stage.go
@@ -1,21 +1,22 @@
-// Package carobstage says how far a call has come on its entry node.
+// Package carobstage lists the stages of a call at its entry node.
 package carobstage
 
-// Stage is a step in the life of a call.
+// Stage is the progress of a call.
 type Stage int
 
-// The stages, in order. Waiting is the zero value, since most calls begin there.
+// The stages, in order. Waiting is the zero value, because most calls need no
+// idempotency key and start there.
 const (
-	// Claiming: the call needs its idempotency key.
+	// Claiming: the call waits until its idempotency key is granted.
 	Claiming Stage = iota - 1
-	// Waiting: the call needs a target.
+	// Waiting: the call waits until a target is chosen for the next attempt.
 	Waiting
-	// Placed: an attempt is under way.
+	// Placed: at least one attempt is open.
 	Placed
-	// Fencing: it is being found out whether the attempts ran.
+	// Fencing: fences are sent to find out whether the attempts ran.
 	Fencing
-	// Delivering: an answer is on its way to the caller.
+	// Delivering: an answer is being forwarded to the caller.
 	Delivering
-	// Settled: the caller has been told.
+	// Settled: the caller has its response.
 	Settled
 )
