--- a/pkg/carobonce/once.go
+++ b/pkg/carobonce/once.go
@@ -1,12 +1,12 @@
-// Package carobonce says how often a call may run.
+// Package carobonce defines how often a call may run.
 package carobonce
 
 import "github.com/carobknot/carobknot/pkg/carobkind"
 
-// Once is the promise that a profile makes about runs of a call.
+// Once is the guarantee of a profile or route about the runs of a call.
 type Once string
 
-// The promises.
+// The guarantees.
 const (
 	// No: the call is idempotent and may run more than once.
 	No Once = "no"
@@ -16,11 +16,11 @@
 	Key Once = "key"
 )
 
-// UnmarshalText decodes a promise and checks it.
+// UnmarshalText decodes a guarantee. It returns an Invalid error for any other text.
 func (o *Once) UnmarshalText(text []byte) error {
-	switch on := Once(text); on {
+	switch once := Once(text); once {
 	case No, Call, Key:
-		*o = on
+		*o = once
 		return nil
 	default:
 		return carobkind.New(carobkind.Invalid, "once %q is none of \"no\", \"call\" and \"key\"", text)
--- a/pkg/carobwish/wish.go
+++ b/pkg/carobwish/wish.go
@@ -1,4 +1,5 @@
-// Package carobwish holds what a caller wants of its call, beyond an answer.
+// Package carobwish defines the attributes of a call by which a target's node orders
+// its queue.
 package carobwish
 
 import (
@@ -8,22 +9,22 @@
 	"github.com/carobknot/carobknot/pkg/carobrequestid"
 )
 
-// Wish travels with an attempt, so that the target's node can put calls into an
-// order.
+// Wish is sent with each attempt. The target's node uses it to decide which queued
+// job to start first and which to shed.
 type Wish struct {
-	// Request is the caller's name for the call.
+	// Request is the caller's ID of the request; empty if it sent none.
 	Request carobrequestid.ID
-	// Rank is the priority, 0 the highest.
+	// Rank is the priority of the call; 0 is the highest.
 	Rank int
-	// Slo is the time left until the answer is wanted, below 0 if that has passed;
-	// 0 if nobody said.
+	// Slo is the time left until the SLO of the call is missed, negative if it has
+	// been missed; 0 if the call has no SLO.
 	Slo time.Duration
-	// Whole is the time that the caller wanted the answer in when it came; 0 if
-	// nobody said.
+	// Whole is the SLO of the call, counted from its arrival at the entry node; 0 if
+	// the call has none.
 	Whole time.Duration
-	// Once says how often the call may run.
+	// Once is how often the call may run.
 	Once carobonce.Once
-	// Movable says that the call has another target at little cost, and need not wait
-	// for one that is slow.
+	// Movable is set if the call can be sent to another target at little cost,
+	// instead of waiting for a slow one.
 	Movable bool
 }
