--- a/pkg/carobkept/kept.go
+++ b/pkg/carobkept/kept.go
@@ -1,15 +1,16 @@
-// Package carobkept holds small answers that are kept for resubmissions.
+// Package carobkept defines the answers that are kept for later calls with the same
+// idempotency key.
 package carobkept
 
-// MaxBody is the longest body that is kept.
+// MaxBody is the length in bytes of the longest body that is kept.
 const MaxBody = 4 << 10
 
-// Kept is a whole answer of a target.
+// Kept is a complete answer of a target.
 type Kept struct {
-	// Status is the HTTP status.
+	// Status is the HTTP status of the answer.
 	Status int `json:"status"`
-	// Type is the content type.
+	// Type is the content type; empty if the answer had none.
 	Type string `json:"type,omitempty"`
-	// Body has at most MaxBody bytes.
+	// Body is at most MaxBody bytes long.
 	Body []byte `json:"body,omitempty"`
 }
--- a/pkg/carobparent/parent.go
+++ b/pkg/carobparent/parent.go
@@ -1,5 +1,5 @@
-// Package carobparent holds the trace context that calls carry from hop to hop,
-// as the W3C recommendation "Trace Context" writes it.
+// Package carobparent encodes and decodes the traceparent header of the W3C
+// recommendation "Trace Context", which calls carry from hop to hop.
 package carobparent
 
 import (
@@ -9,82 +9,86 @@
 	"strings"
 )
 
-// Parent names a trace and one span in it. The zero value names none.
+// Parent identifies a span and its trace. The zero value identifies none.
 type Parent struct {
-	// Trace is the same for all hops of a call. It is not zero.
+	// Trace is the trace ID, the same for all hops of a call. It is not zero.
 	Trace [16]byte
-	// Span is one hop's own. It is not zero.
+	// Span is the ID of one hop. It is not zero.
 	Span [8]byte
-	// Flags are the caller's; sampled is the lowest bit.
+	// Flags are the trace flags; the lowest bit means sampled.
 	Flags byte
 }
 
 const (
-	version = "00"
-	sampled = 1
-	// length is that of the text in version 00; later versions are no shorter.
-	length = 55
-	dash   = "-"
+	version     = "00"
+	sampledFlag = 1
+	// headerLength is the length of a header of version 00; those of later versions
+	// are at least as long.
+	headerLength = 55
+	separator    = "-"
 )
 
-// NewParent returns the first span of a new trace.
-func NewParent(r *rand.Rand) Parent {
-	p := Parent{Flags: sampled}
-	for p.Trace == [16]byte{} {
-		binary.BigEndian.PutUint64(p.Trace[:8], r.Uint64())
-		binary.BigEndian.PutUint64(p.Trace[8:], r.Uint64())
+// NewParent returns the root span of a new trace, sampled.
+func NewParent(random *rand.Rand) Parent {
+	parent := Parent{Flags: sampledFlag}
+	for parent.Trace == [16]byte{} {
+		binary.BigEndian.PutUint64(parent.Trace[:8], random.Uint64())
+		binary.BigEndian.PutUint64(parent.Trace[8:], random.Uint64())
 	}
-	return p.Child(r)
+	return parent.Child(random)
 }
 
-// Child returns a new span of the same trace.
-func (p Parent) Child(r *rand.Rand) Parent {
+// Child returns a span with a new random ID in the same trace.
+func (p Parent) Child(random *rand.Rand) Parent {
 	p.Span = [8]byte{}
 	for p.Span == [8]byte{} {
-		binary.BigEndian.PutUint64(p.Span[:], r.Uint64())
+		binary.BigEndian.PutUint64(p.Span[:], random.Uint64())
 	}
 	return p
 }
 
-// String writes the header's value.
+// String returns the header value in version 00.
 func (p Parent) String() string {
-	b := make([]byte, 0, length)
-	b = append(b, version+dash...)
-	b = append(hex.AppendEncode(b, p.Trace[:]), dash...)
-	b = append(hex.AppendEncode(b, p.Span[:]), dash...)
+	b := make([]byte, 0, headerLength)
+	b = append(b, version+separator...)
+	b = append(hex.AppendEncode(b, p.Trace[:]), separator...)
+	b = append(hex.AppendEncode(b, p.Span[:]), separator...)
 	return string(hex.AppendEncode(b, []byte{p.Flags}))
 }
 
-// Parse reads a header's value. It reports false for what is no trace context:
-// the trace then starts anew, as the recommendation says.
+// Parse decodes a header value and keeps only the sampled flag. It returns false if
+// the value is malformed; the caller then starts a new trace, as the recommendation
+// demands.
 func Parse(text string) (Parent, bool) {
 	const fields = 4
-	parts := strings.SplitN(text, dash, fields+1)
-	if len(parts) < fields || len(text) < length || !hexadecimal(parts[0], 1) || parts[0] == "ff" {
+	parts := strings.SplitN(text, separator, fields+1)
+	if len(parts) < fields || len(text) < headerLength || !isLowerHex(parts[0], 1) || parts[0] == "ff" {
 		return Parent{}, false
 	}
-	if parts[0] == version && len(text) != length {
+	if parts[0] == version && len(text) != headerLength {
 		return Parent{}, false
 	}
-	var p Parent
+	var parent Parent
 	var flags [1]byte
-	if !decode(p.Trace[:], parts[1]) || !decode(p.Span[:], parts[2]) || !decode(flags[:], parts[3]) {
+	if !decodeHex(parent.Trace[:], parts[1]) || !decodeHex(parent.Span[:], parts[2]) || !decodeHex(flags[:], parts[3]) {
 		return Parent{}, false
 	}
-	p.Flags = flags[0] & sampled
-	return p, p.Trace != [16]byte{} && p.Span != [8]byte{}
+	parent.Flags = flags[0] & sampledFlag
+	return parent, parent.Trace != [16]byte{} && parent.Span != [8]byte{}
 }
 
-func decode(into []byte, text string) bool {
-	if !hexadecimal(text, len(into)) {
+// decodeHex fills into from lower-case hexadecimal digits, and reports whether the
+// text has exactly the right length and digits.
+func decodeHex(into []byte, text string) bool {
+	if !isLowerHex(text, len(into)) {
 		return false
 	}
 	_, err := hex.Decode(into, []byte(text))
 	return err == nil
 }
 
-// hexadecimal reports whether text has n bytes in lower-case digits.
-func hexadecimal(text string, n int) bool {
+// isLowerHex reports whether text encodes n bytes in lower-case hexadecimal digits.
+func isLowerHex(text string, n int) bool {
 	const digits = 2
 	return len(text) == digits*n && strings.Trim(text, "0123456789abcdef") == ""
 }
