--- a/pkg/carobbudget/budget.go
+++ b/pkg/carobbudget/budget.go
@@ -1,29 +1,29 @@
-// Package carobbudget bounds how many attempts a service's calls get beyond
-// their first, so that retries cannot multiply the load of a service in trouble.
+// Package carobbudget limits the retries and hedges of a service's calls, so that
+// retries cannot multiply the load of an overloaded or failing service.
 package carobbudget
 
-// Budget is the token bucket of one service's resends and hedges. Moves after a
-// refusal by a node cost nothing, since a refused attempt reached no target; they
-// are bounded by the profile's tries.
+// Budget is the token bucket for the retries and hedges of one service at this node.
+// A retry after a refusal by a target's node costs no token, because the refused
+// attempt did not reach a target; the profile's tries limit such retries.
 type Budget struct {
-	// Tokens is at least 0.
+	// Tokens is the number of tokens in the bucket, at least 0.
 	Tokens float64
-	// Calls counts the calls that came.
+	// Calls counts the accepted calls.
 	Calls uint64
-	// Spent counts the resends and hedges, Denied those that the budget forbade.
+	// Spent counts the retries and hedges that cost a token, Denied those for which
+	// there was none.
 	Spent, Denied uint64
-	// Moves counts the attempts after a refusal.
+	// Moves counts the retries that cost no token.
 	Moves uint64
 }
 
-// Earn takes in a call, which brings a share of a token, up to the most that
-// are saved.
+// Earn counts a call, and adds its share of a token to the bucket, up to most tokens.
 func (b *Budget) Earn(share, most float64) {
 	b.Calls++
 	b.Tokens = min(most, b.Tokens+share)
 }
 
-// Spend reports whether one more resend or hedge may be made, and pays for it.
+// Spend takes a token for a retry or hedge, and reports whether there was one.
 func (b *Budget) Spend() bool {
 	if b.Tokens < 1 {
 		b.Denied++
