--- a/pkg/carobcallid/id.go
+++ b/pkg/carobcallid/id.go
@@ -1,4 +1,4 @@
-// Package carobcallid names the calls.
+// Package carobcallid defines the IDs of calls.
 package carobcallid
 
 import (
@@ -11,34 +11,35 @@
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 )
 
-// ID names a call. No two calls ever have the same ID.
+// ID identifies a call. It is unique over all nodes and restarts.
 type ID struct {
-	// Node is the entry node, which owns the call.
+	// Node is the entry node of the call.
 	Node carobnodeid.ID
-	// Incarnation is the entry node's.
+	// Incarnation is that of the entry node.
 	Incarnation carobincarnation.Incarnation
-	// Sequence counts the calls of this incarnation.
+	// Sequence is the number of the call within the incarnation.
 	Sequence uint64
 }
 
 const (
-	separator = "~"
-	base      = 36
-	bits      = 64
+	separator  = "~"
+	numberBase = 36
+	numberBits = 64
 )
 
-// String writes the ID as "node~incarnation~sequence", the numbers in base 36.
+// String returns the ID as "node~incarnation~sequence", with the numbers in base 36.
 func (i ID) String() string {
-	incarnation := strconv.FormatUint(uint64(i.Incarnation), base)
-	return string(i.Node) + separator + incarnation + separator + strconv.FormatUint(i.Sequence, base)
+	incarnation := strconv.FormatUint(uint64(i.Incarnation), numberBase)
+	return string(i.Node) + separator + incarnation + separator + strconv.FormatUint(i.Sequence, numberBase)
 }
 
-// MarshalText writes the ID as String does.
+// MarshalText encodes the ID as String does.
 func (i ID) MarshalText() ([]byte, error) {
 	return []byte(i.String()), nil
 }
 
-// UnmarshalText reads what MarshalText writes.
+// UnmarshalText decodes the form of MarshalText. It returns an Invalid error for any
+// other text.
 func (i *ID) UnmarshalText(text []byte) error {
 	id, err := Parse(string(text))
 	if err != nil {
@@ -48,22 +49,24 @@
 	return nil
 }
 
-// Parse reads what String writes.
+// Parse decodes the form of String. It returns an Invalid error for any other text.
 func Parse(text string) (ID, error) {
 	const parts = 3
 	fields := strings.Split(text, separator)
 	if len(fields) != parts {
-		return ID{}, malformed(text)
+		return ID{}, malformedError(text)
 	}
 	node := carobnodeid.ID(fields[0])
-	incarnation, errIncarnation := strconv.ParseUint(fields[1], base, bits)
-	sequence, errSequence := strconv.ParseUint(fields[2], base, bits)
+	incarnation, errIncarnation := strconv.ParseUint(fields[1], numberBase, numberBits)
+	sequence, errSequence := strconv.ParseUint(fields[2], numberBase, numberBits)
 	if node.Check() != nil || errIncarnation != nil || errSequence != nil {
-		return ID{}, malformed(text)
+		return ID{}, malformedError(text)
 	}
 	return ID{Node: node, Incarnation: carobincarnation.Incarnation(incarnation), Sequence: sequence}, nil
 }
 
-func malformed(text string) error {
+// malformedError returns the error for a text that is not an ID. It quotes at most
+// the first 80 characters, since the text may come from a caller.
+func malformedError(text string) error {
 	return carobkind.New(carobkind.Invalid, "call id %s is not of the form node~incarnation~sequence", fmt.Sprintf("%.80q", text))
 }
--- a/pkg/carobrequestid/id.go
+++ b/pkg/carobrequestid/id.go
@@ -1,6 +1,6 @@
-// Package carobrequestid names the requests as their callers do.
+// Package carobrequestid defines the IDs that callers give their requests.
 package carobrequestid
 
-// ID is the name that a caller gave its request. It is passed on unchanged and
-// stands in logs; nothing is decided by it. It may be empty.
+// ID is the request ID that a caller sent, or empty. It is forwarded unchanged and
+// logged, and does not affect any decision.
 type ID string
