--- a/pkg/carobnodeid/id.go
+++ b/pkg/carobnodeid/id.go
@@ -1,18 +1,18 @@
-// Package carobnodeid names the nodes.
+// Package carobnodeid defines the IDs of nodes.
 package carobnodeid
 
 import "github.com/carobknot/carobknot/pkg/carobword"
 
-// ID is the name of a node, from its settings. It outlives the process: a node
-// that starts again under its name has the same ID and a higher incarnation.
+// ID is the name of a node, from its settings. It is stable over restarts: a node
+// that restarts has the same ID and a higher incarnation.
 type ID string
 
-// Check tells whether the name is a word.
+// Check returns an Invalid error if the name is not a word.
 func (i ID) Check() error {
 	return carobword.Word(i).Check("node")
 }
 
-// UnmarshalText decodes a name and checks it.
+// UnmarshalText decodes a name and checks it as Check does.
 func (i *ID) UnmarshalText(text []byte) error {
 	id := ID(text)
 	if err := id.Check(); err != nil {
--- a/pkg/carobtargetid/id.go
+++ b/pkg/carobtargetid/id.go
@@ -1,4 +1,4 @@
-// Package carobtargetid names the targets.
+// Package carobtargetid defines the IDs of targets.
 package carobtargetid
 
 import (
@@ -9,25 +9,25 @@
 	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
-// ID names a target: its service, and its name within the service.
+// ID identifies a target by its service and its name within the service.
 type ID struct {
-	// Service is the service that the target serves.
 	Service carobservice.Service
 	// Name is unique within the service.
 	Name carobword.Word
 }
 
-// String writes the ID as "service/name".
+// String returns the ID as "service/name".
 func (i ID) String() string {
 	return string(i.Service) + "/" + string(i.Name)
 }
 
-// MarshalText writes the ID as "service/name".
+// MarshalText encodes the ID as "service/name".
 func (i ID) MarshalText() ([]byte, error) {
 	return []byte(i.String()), nil
 }
 
-// UnmarshalText reads "service/name" and checks both.
+// UnmarshalText decodes "service/name". It returns an Invalid error if the slash is
+// missing or a part is not a word.
 func (i *ID) UnmarshalText(text []byte) error {
 	service, name, ok := strings.Cut(string(text), "/")
 	if !ok {
