--- a/pkg/carobregion/region.go
+++ b/pkg/carobregion/region.go
@@ -1,13 +1,14 @@
-// Package carobregion names the regions.
+// Package carobregion defines the names of regions.
 package carobregion
 
 import "github.com/carobknot/carobknot/pkg/carobword"
 
-// Region is the name of a group of data centres that can lose touch with the
-// other groups.
+// Region is the name of a group of data centres. A network partition can separate a
+// region from the others.
 type Region string
 
-// UnmarshalText decodes a name and checks it.
+// UnmarshalText decodes a name. It returns an Invalid error if the name is not a
+// word.
 func (r *Region) UnmarshalText(text []byte) error {
 	if err := carobword.Word(text).Check("region"); err != nil {
 		return err
--- a/pkg/carobservice/service.go
+++ b/pkg/carobservice/service.go
@@ -1,4 +1,4 @@
-// Package carobservice names the services that callers ask for.
+// Package carobservice defines the names of services.
 package carobservice
 
 import (
@@ -6,21 +6,22 @@
 	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
-// Service is the name of a group of targets that answer the same calls. A
-// caller names it in the Host header.
+// Service is the name of a group of targets that answer the same calls. Callers send
+// it in the Host header.
 type Service string
 
-// Check tells whether the name is a word that may stand in a host name.
+// Check returns an Invalid error if the name is not a word. Each word can be used as
+// a host name.
 func (s Service) Check() error {
 	return carobword.Word(s).Check("service")
 }
 
-// UnmarshalText decodes a name and checks it.
+// UnmarshalText decodes a name and checks it as Check does.
 func (s *Service) UnmarshalText(text []byte) error {
-	sv := Service(text)
-	if err := sv.Check(); err != nil {
+	service := Service(text)
+	if err := service.Check(); err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "decode service")
 	}
-	*s = sv
+	*s = service
 	return nil
 }
