--- a/pkg/carobaddress/address.go
+++ b/pkg/carobaddress/address.go
@@ -1,4 +1,4 @@
-// Package carobaddress holds the addresses that processes listen at.
+// Package carobaddress defines the network addresses that processes listen on.
 package carobaddress
 
 import (
@@ -7,10 +7,11 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Address is an IP number and a port, "127.0.0.1:7001".
+// Address is an IP address and a port, such as "127.0.0.1:7001". Host names are not
+// allowed.
 type Address string
 
-// Check tells whether the address is an IP number and a port.
+// Check returns an Invalid error if the address is not an IP address and a port.
 func (a Address) Check() error {
 	if _, err := netip.ParseAddrPort(string(a)); err != nil {
 		return carobkind.New(carobkind.Invalid, "address %q is not an IP number and a port", string(a))
@@ -18,12 +19,12 @@
 	return nil
 }
 
-// UnmarshalText decodes an address and checks it.
+// UnmarshalText decodes an address and checks it as Check does.
 func (a *Address) UnmarshalText(text []byte) error {
-	ad := Address(text)
-	if err := ad.Check(); err != nil {
+	address := Address(text)
+	if err := address.Check(); err != nil {
 		return err
 	}
-	*a = ad
+	*a = address
 	return nil
 }
--- a/pkg/carobcentre/centre.go
+++ b/pkg/carobcentre/centre.go
@@ -1,4 +1,4 @@
-// Package carobcentre names the data centres.
+// Package carobcentre defines the names of data centres.
 package carobcentre
 
 import "github.com/carobknot/carobknot/pkg/carobword"
@@ -6,7 +6,8 @@
 // Centre is the name of a data centre.
 type Centre string
 
-// UnmarshalText decodes a name and checks it.
+// UnmarshalText decodes a name. It returns an Invalid error if the name is not a
+// word.
 func (c *Centre) UnmarshalText(text []byte) error {
 	if err := carobword.Word(text).Check("centre"); err != nil {
 		return err
