--- a/pkg/carobincarnation/incarnation.go
+++ b/pkg/carobincarnation/incarnation.go
@@ -1,7 +1,8 @@
-// Package carobincarnation tells the lives of a node apart.
+// Package carobincarnation defines the number that distinguishes the starts of a
+// node.
 package carobincarnation
 
-// Incarnation is a number that grows each time a node starts. Messages name the
-// incarnation that they are meant for, so that a replaced node refuses what was
-// sent to its predecessor.
+// Incarnation increases each time a node starts. A message contains the incarnation
+// of its receiver, so that a restarted node refuses messages that were sent to its
+// predecessor.
 type Incarnation uint64
--- a/pkg/caroboffset/offset.go
+++ b/pkg/caroboffset/offset.go
@@ -1,8 +1,9 @@
-// Package caroboffset numbers the records of a stream in the platform's log.
+// Package caroboffset defines the offsets of records in a stream of the platform's
+// log.
 package caroboffset
 
-// Offset is the place of a record in its stream. The first record has offset 0.
+// Offset is the position of a record in its stream. The first record has offset 0.
 type Offset int64
 
-// None stands before the first record.
+// None is the position before the first record: no record has been read or written.
 const None Offset = -1
