--- a/pkg/carobspan/span.go
+++ b/pkg/carobspan/span.go
@@ -1,4 +1,4 @@
-// Package carobspan holds lengths of time as settings and profiles write them.
+// Package carobspan defines the text form of durations in settings and profiles.
 package carobspan
 
 import (
@@ -7,25 +7,26 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Span is a length of time, written with its unit: "250ms", "5s".
+// Span is a duration that is encoded with its unit, such as "250ms" or "5s".
 type Span time.Duration
 
-// Duration returns the span as a time.Duration.
+// Duration converts the span to a time.Duration.
 func (s Span) Duration() time.Duration {
 	return time.Duration(s)
 }
 
-// String writes the span with its unit.
+// String returns the span with its unit.
 func (s Span) String() string {
 	return time.Duration(s).String()
 }
 
-// MarshalText writes the span with its unit.
+// MarshalText encodes the span with its unit.
 func (s Span) MarshalText() ([]byte, error) {
 	return []byte(s.String()), nil
 }
 
-// UnmarshalText reads a span, which must not be negative.
+// UnmarshalText decodes a span. It returns an Invalid error if the unit is missing
+// or the span is negative.
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
