--- a/pkg/carobrate/rate.go
+++ b/pkg/carobrate/rate.go
@@ -1,4 +1,4 @@
-// Package carobrate holds rates of bytes as settings write them.
+// Package carobrate defines the text form of byte rates in settings.
 package carobrate
 
 import (
@@ -9,31 +9,31 @@
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
 
-// Rate is a number of bytes a second, written "2KiB/s".
+// Rate is a number of bytes per second, encoded such as "2KiB/s".
 type Rate float64
 
-const suffix = "/s"
+const perSecond = "/s"
 
-// Over returns the bytes that the rate allows in d.
+// Over returns the number of bytes that the rate allows in d.
 func (r Rate) Over(d time.Duration) float64 {
 	return float64(r) * d.Seconds()
 }
 
-// MarshalText writes the rate with its unit.
+// MarshalText encodes the rate with its unit, rounded as a Size is.
 func (r Rate) MarshalText() ([]byte, error) {
-	return []byte(carobsize.Size(r).String() + suffix), nil
+	return []byte(carobsize.Size(r).String() + perSecond), nil
 }
 
-// UnmarshalText reads a rate.
+// UnmarshalText decodes a rate. It returns an Invalid error if the unit is missing.
 func (r *Rate) UnmarshalText(text []byte) error {
-	amount, ok := strings.CutSuffix(string(text), suffix)
+	amount, ok := strings.CutSuffix(string(text), perSecond)
 	if !ok {
-		return carobkind.New(carobkind.Invalid, "rate %q does not end in %q", text, suffix)
+		return carobkind.New(carobkind.Invalid, "rate %q does not end in %q", text, perSecond)
 	}
-	var sz carobsize.Size
-	if err := sz.UnmarshalText([]byte(amount)); err != nil {
+	var size carobsize.Size
+	if err := size.UnmarshalText([]byte(amount)); err != nil {
 		return err
 	}
-	*r = Rate(sz)
+	*r = Rate(size)
 	return nil
 }
--- a/pkg/carobshare/share.go
+++ b/pkg/carobshare/share.go
@@ -1,4 +1,4 @@
-// Package carobshare holds parts of a whole as settings and profiles write them.
+// Package carobshare defines the text form of percentages in settings and profiles.
 package carobshare
 
 import (
@@ -8,17 +8,18 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Share is a part of a whole between 0 and 1, written "5%".
+// Share is a fraction between 0 and 1 that is encoded as a percentage, such as "5%".
 type Share float64
 
 const percent = 100
 
-// MarshalText writes the share in per cent.
+// MarshalText encodes the share as a percentage.
 func (s Share) MarshalText() ([]byte, error) {
 	return []byte(strconv.FormatFloat(float64(s)*percent, 'g', -1, 64) + "%"), nil
 }
 
-// UnmarshalText reads a share in per cent.
+// UnmarshalText decodes a percentage. It returns an Invalid error unless the text is
+// between "0%" and "100%".
 func (s *Share) UnmarshalText(text []byte) error {
 	number, ok := strings.CutSuffix(string(text), "%")
 	f, err := strconv.ParseFloat(number, 64)
