--- a/pkg/carobadmission/limit.go
+++ b/pkg/carobadmission/limit.go
@@ -9,35 +9,37 @@
 )
 
 const (
-	// slow is the slowness above which a target gets fewer jobs at once, and slowPart
-	// the part of its slots that it gets then. A target that is cold is less slow.
-	slow     = 2
-	slowPart = 0.4
-	// keptPart is the part of the limit that is kept for calls which other calls wait
-	// for, while such come, and awaitedFor how long after the newest that is.
-	keptPart   = 1.0 / 6
-	awaitedFor = 2 * time.Second
-	// fresh is how long a reading of the slowness counts.
-	fresh = 300 * time.Millisecond
+	// slownessThreshold is the slowness above which a VM counts as slow. The slowness of
+	// a target that is only cold is lower.
+	slownessThreshold = 2
+	// slowSlotShare is the share of a target's slots that may be used while its VM is
+	// slow.
+	slowSlotShare = 0.4
+	// reservedSlotShare is the share of the job limit that is reserved for nested calls.
+	reservedSlotShare = 1.0 / 6
+	// reservationPeriod is how long slots stay reserved after the newest nested call.
+	reservationPeriod = 2 * time.Second
+	// maxLimitReadingAge is the age up to which a slowness reading lowers the job limit.
+	maxLimitReadingAge = 300 * time.Millisecond
 )
 
-// limit returns how many jobs may run at a target now. It answers a VM whose
-// neighbours take its processor: what runs there then takes several times as long,
-// and starting more only makes all of it late.
-func limit(gt *carobgate.Gate, now carobinstant.Instant) int {
-	most := float64(gt.Slots)
-	if gt.Slowness > slow && now.Sub(gt.Told) < fresh {
-		most *= slowPart
+// jobLimit returns how many jobs may run at a target now, at least 1. The limit is
+// lower while neighbours of the VM use its processor: jobs then take several times as
+// long, and starting more of them would only delay all of them.
+func jobLimit(gt *carobgate.Gate, now carobinstant.Instant) int {
+	slots := float64(gt.Slots)
+	if gt.Slowness > slownessThreshold && now.Sub(gt.Told) < maxLimitReadingAge {
+		slots *= slowSlotShare
 	}
-	return max(1, int(most+0.5))
+	return max(1, int(slots+0.5))
 }
 
-// room returns how many jobs may run at a target for one more to start. It answers
-// targets that call each other: where all slots are taken by jobs that wait for such
-// calls, nothing moves.
-func room(gt *carobgate.Gate, now carobinstant.Instant, jb *carobjob.Job) int {
-	if short(jb) || gt.Awaited == carobinstant.Never || now.Sub(gt.Awaited) > awaitedFor {
+// jobLimitFor returns the number of running jobs below which the job may start, at
+// least 1. Some slots are reserved for nested calls because targets that call each
+// other would deadlock if jobs waiting for nested calls held every slot.
+func jobLimitFor(gt *carobgate.Gate, now carobinstant.Instant, jb *carobjob.Job) int {
+	if isNested(jb) || gt.Awaited == carobinstant.Never || now.Sub(gt.Awaited) > reservationPeriod {
 		return gt.Limit
 	}
-	return max(1, gt.Limit-int(keptPart*float64(gt.Limit)+0.5))
+	return max(1, gt.Limit-int(reservedSlotShare*float64(gt.Limit)+0.5))
 }
--- a/pkg/carobadmission/slowness.go
+++ b/pkg/carobadmission/slowness.go
@@ -12,37 +12,43 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// A VM whose neighbours take its processor for a moment is several times slower,
-// and a job that starts then stays slow to its end, long after the moment is over.
-// So a target whose VM is slow starts nothing, and its jobs wait until the moment is
-// over, which costs them less. What the target says of it is soon out of date, and is
-// asked for anew before a job starts.
+// A VM is several times slower for a short period while its neighbours use its
+// processor. A job that starts in such a period stays slow until it ends, long after
+// the period is over. Admission therefore starts no jobs while the VM is slow: waiting
+// for the end of the period costs a job less time than running through it. A slowness
+// reading is out of date after a few milliseconds, so a health check fetches a new one
+// before a job starts.
 //
-// A VM that stays slow is another matter: to wait for it helps nobody. Slowness that
-// lasts becomes what is usual for the target.
+// Waiting does not help if the VM stays slow. Persistent slowness therefore becomes
+// the target's baseline, and a VM counts as slow only in relation to its baseline.
 
 const (
-	// readingAge is how long a reading that the VM is as fast as usual holds for a start,
-	// and slowReadingAge one that it is not.
-	readingAge     = 10 * time.Millisecond
-	slowReadingAge = 20 * time.Millisecond
-	// lasting is how long a VM is slow without a break until that is usual for it.
-	lasting = time.Second
-	// gap is the longest time between two readings that tell of the time between them.
-	gap = 100 * time.Millisecond
-	// checkPatience is how long a job waits for the answer to a health check.
-	checkPatience = 25 * time.Millisecond
-	// unansweredPause is how long a target is not asked that did not answer, and
-	// untoldPause one
-	// that answered and did not tell.
-	unansweredPause = 200 * time.Millisecond
-	untoldPause     = 10 * time.Second
-	// burst is the part of a second's checks that may come at once.
-	burst = 0.25
+	// maxReadingAge is the age up to which a reading of a VM that is not slow allows a
+	// job to start.
+	maxReadingAge = 10 * time.Millisecond
+	// maxSlowReadingAge is the age up to which a reading of a slow VM prevents starts.
+	maxSlowReadingAge = 20 * time.Millisecond
+	// baselineDelay is how long a VM must be slow without interruption before that
+	// slowness becomes its baseline.
+	baselineDelay = time.Second
+	// maxReadingGap is the longest interval between two slow readings for which the VM
+	// is assumed to have been slow in between.
+	maxReadingGap = 100 * time.Millisecond
+	// checkTimeout is how long a job waits for the result of a health check.
+	checkTimeout = 25 * time.Millisecond
+	// unansweredBackoff is the time without health checks after a target did not
+	// answer one.
+	unansweredBackoff = 200 * time.Millisecond
+	// noReadingBackoff is the time without health checks after a target answered one
+	// without a slowness reading.
+	noReadingBackoff = 10 * time.Second
+	// checkBurst is the burst size of health checks, as a share of the checks allowed
+	// per second.
+	checkBurst = 0.25
 )
 
-// takeHealth takes in what came of a health check.
-func takeHealth(w *carobworld.World, now carobinstant.Instant, hl carobhealth.Health) {
+// handleHealth records the result of a health check and updates the job limit.
+func handleHealth(w *carobworld.World, now carobinstant.Instant, hl carobhealth.Health) {
 	gt := w.Gates.Get(hl.Target)
 	if gt == nil {
 		return
@@ -50,78 +56,84 @@
 	gt.Asked = carobinstant.Never
 	switch {
 	case hl.Pressure == nil:
-		gt.QuietUntil = now.Add(unansweredPause)
+		gt.QuietUntil = now.Add(unansweredBackoff)
 		return
 	case hl.Pressure.Slowness == 0:
-		gt.QuietUntil = now.Add(untoldPause)
+		gt.QuietUntil = now.Add(noReadingBackoff)
 		return
 	}
-	takeReading(gt, now, hl.Pressure.Slowness)
-	gt.Limit = limit(gt, now)
+	recordReading(gt, now, hl.Pressure.Slowness)
+	gt.Limit = jobLimit(gt, now)
 	gt.Changed = true
 }
 
-// takeReading takes in a reading of how slow a target's VM is.
-func takeReading(gt *carobgate.Gate, now carobinstant.Instant, slowness float64) {
-	before := gt.Told
+// recordReading records a slowness reading of a target's VM. A reading that is not slow
+// becomes the baseline at once. If all readings are slow for baselineDelay, at most
+// maxReadingGap apart, their minimum becomes the baseline.
+func recordReading(gt *carobgate.Gate, now carobinstant.Instant, slowness float64) {
+	previous := gt.Told
 	gt.Slowness, gt.Told = slowness, now
 	switch {
-	case !slower(gt):
+	case !isSlow(gt):
 		gt.Usual, gt.SlowSince = max(1, slowness), carobinstant.Never
-	case gt.SlowSince == carobinstant.Never || now.Sub(before) > gap:
+	case gt.SlowSince == carobinstant.Never || now.Sub(previous) > maxReadingGap:
 		gt.SlowSince, gt.SlowLeast = now, slowness
 	default:
 		gt.SlowLeast = min(gt.SlowLeast, slowness)
-		if gt.SlowSince.Add(lasting).Reached(now) {
+		if gt.SlowSince.Add(baselineDelay).Reached(now) {
 			gt.Usual, gt.SlowSince = gt.SlowLeast, carobinstant.Never
 		}
 	}
 }
 
-// slower reports whether the VM was slower than usual by the newest reading.
-func slower(gt *carobgate.Gate) bool {
-	return gt.Slowness > slow*max(1, gt.Usual)
+// isSlow reports whether the newest reading is above slownessThreshold times the
+// baseline.
+func isSlow(gt *carobgate.Gate) bool {
+	return gt.Slowness > slownessThreshold*max(1, gt.Usual)
 }
 
-// mayStart reports whether a target may start a job by how slow its VM is, and has
-// it asked if that is not known. What cannot be known holds nothing up.
+// mayStart reports whether the VM of a target is fast enough to start a job now. It
+// orders a health check if there is no recent reading. A job also starts if no reading
+// can be obtained: if checks are disabled or backing off, if a check takes longer than
+// checkTimeout, or if the check budget is spent and there is no slow reading younger
+// than maxReadingGap.
 func mayStart(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target, gt *carobgate.Gate) bool {
 	rate := float64(w.Measure.Checks)
 	if rate == 0 || gt.QuietUntil != carobinstant.Never && !gt.QuietUntil.Reached(now) {
 		return true
 	}
-	if gt.Told != carobinstant.Never && !slower(gt) && now.Sub(gt.Told) < readingAge {
+	if gt.Told != carobinstant.Never && !isSlow(gt) && now.Sub(gt.Told) < maxReadingAge {
 		return true
 	}
-	if until := gt.Told.Add(slowReadingAge); slower(gt) && !until.Reached(now) {
+	if until := gt.Told.Add(maxSlowReadingAge); isSlow(gt) && !until.Reached(now) {
 		w.WakeAt(until)
 		return false
 	}
 	if gt.Asked != carobinstant.Never {
-		due := gt.Asked.Add(checkPatience)
+		due := gt.Asked.Add(checkTimeout)
 		w.WakeAt(due)
 		return due.Reached(now)
 	}
-	gt.Checks.Fill(now, rate, burst*rate)
+	gt.Checks.Fill(now, rate, checkBurst*rate)
 	if !gt.Checks.Spend(1) {
-		w.WakeAt(now.Add(slowReadingAge))
-		return !slower(gt) || now.Sub(gt.Told) >= gap
+		w.WakeAt(now.Add(maxSlowReadingAge))
+		return !isSlow(gt) || now.Sub(gt.Told) >= maxReadingGap
 	}
 	gt.Asked = now
 	w.Outbox.Checks = append(w.Outbox.Checks, carobcheck.Check{Target: tg.ID, Address: tg.Address})
-	w.WakeAt(now.Add(checkPatience))
+	w.WakeAt(now.Add(checkTimeout))
 	return false
 }
 
-// moveOn refuses the queued jobs that another target may run sooner than one whose VM
-// is slow now.
-func moveOn(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobgate.Gate) {
-	if w.Measure.Checks == 0 || !slower(gt) || now.Sub(gt.Told) > slowReadingAge {
+// refuseMovable refuses the queued jobs that can move to another target while this
+// target's VM is slow, because another target may run them sooner.
+func refuseMovable(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobgate.Gate) {
+	if w.Measure.Checks == 0 || !isSlow(gt) || now.Sub(gt.Told) > maxSlowReadingAge {
 		return
 	}
 	for _, jb := range w.Jobs.All() {
 		if jb.Offer.Target == id && jb.Started == carobinstant.Never && jb.Offer.Wish.Movable {
-			giveWay(w, now, jb, gt, "VM is slow")
+			shed(w, now, jb, gt, "VM is slow")
 		}
 	}
 }
--- a/pkg/carobadmission/slowness_test.go
+++ b/pkg/carobadmission/slowness_test.go
@@ -14,76 +14,83 @@
 
 const usualSlo = 500 * time.Millisecond
 
-// newCheckedRig is a rig whose target has said once that its VM is as usual, a while
-// ago.
+// newCheckedRig returns a rig whose target reported the usual speed of its VM one
+// second ago.
 func newCheckedRig(slots, queue int) *rig {
 	r := newRig(slots, queue)
 	r.world.Measure.Checks = 40
-	r.health(1)
+	r.completeCheck(1)
 	r.step(time.Second, carobinbox.Inbox{})
 	return r
 }
 
-// health has a health check answered, and returns how many jobs were started for it.
-func (r *rig) health(slowness float64) int {
+// completeCheck steps with a health check result of the given slowness and returns how
+// many jobs the step started.
+func (r *rig) completeCheck(slowness float64) int {
 	r.step(time.Millisecond, carobinbox.Inbox{Healths: []carobhealth.Health{
 		{Target: target, Pressure: &carobpressure.Pressure{Slots: 12, Slowness: slowness}},
 	}})
 	return len(r.world.Outbox.Starts)
 }
 
-// wake steps at the instant that the world asked for.
-func (r *rig) wake(t *testing.T) {
+// stepToWake steps at the instant for which the world scheduled its next tick.
+func (r *rig) stepToWake(t *testing.T) {
 	t.Helper()
-	require.Positive(t, r.world.Wake(), "the world is to wake")
+	require.Positive(t, r.world.Wake(), "a wake-up is scheduled")
 	r.step(r.world.Wake().Sub(r.now), carobinbox.Inbox{})
 }
 
-func TestJobStartsOnceTheVMIsKnownToBeAsUsual(t *testing.T) {
+// Guards against jobs that start on an outdated reading, and against one health check
+// for each queued job.
+func TestJobStartsAfterReadingOfUsualSpeed(t *testing.T) {
 	r := newCheckedRig(4, 4)
 	r.offer(wish(1, usualSlo))
 	require.Empty(t, r.world.Outbox.Starts, "the last reading is a second old")
 	require.Len(t, r.world.Outbox.Checks, 1)
 	r.offer(wish(1, usualSlo))
-	require.Empty(t, r.world.Outbox.Checks, "one check answers for all")
-	require.Equal(t, 2, r.health(1))
+	require.Empty(t, r.world.Outbox.Checks, "one check serves all queued jobs")
+	require.Equal(t, 2, r.completeCheck(1))
 	r.offer(wish(1, usualSlo))
-	require.Len(t, r.world.Outbox.Starts, 1, "the reading is new")
+	require.Len(t, r.world.Outbox.Starts, 1, "the reading is recent")
 	require.Empty(t, r.world.Outbox.Checks)
 }
 
+// Guards against a job that starts while the VM is slow and stays slow to its end.
 func TestJobWaitsWhileTheVMIsSlow(t *testing.T) {
 	r := newCheckedRig(4, 4)
 	r.offer(wish(1, usualSlo))
 	for range 3 {
-		require.Zero(t, r.health(5))
-		r.wake(t)
-		require.Len(t, r.world.Outbox.Checks, 1, "asked anew once the reading is old")
+		require.Zero(t, r.completeCheck(5))
+		r.stepToWake(t)
+		require.Len(t, r.world.Outbox.Checks, 1, "a new check follows once the reading is outdated")
 	}
-	require.Equal(t, 1, r.health(1))
+	require.Equal(t, 1, r.completeCheck(1))
 }
 
+// Guards against jobs that wait past their SLO for a VM that stays slow. Persistent
+// slowness has to become the baseline, and a fast reading has to reset the baseline.
 func TestSlownessThatLastsHoldsNothingUp(t *testing.T) {
 	r := newCheckedRig(12, 4)
 	r.offer(wish(1, usualSlo))
-	came := r.now
-	for r.health(5) == 0 {
-		require.Less(t, r.now.Sub(came), usualSlo, "a VM that stays slow gets work all the same")
-		r.wake(t)
+	offered := r.now
+	for r.completeCheck(5) == 0 {
+		require.Less(t, r.now.Sub(offered), usualSlo, "a job starts on a VM that stays slow")
+		r.stepToWake(t)
 	}
 	r.offer(wish(1, usualSlo))
-	require.Len(t, r.world.Outbox.Starts, 1, "five times slower is usual there")
+	require.Len(t, r.world.Outbox.Starts, 1, "a slowness of 5 is the baseline")
 	r.step(time.Second, carobinbox.Inbox{})
 	r.offer(wish(1, usualSlo))
-	require.Zero(t, r.health(25), "and five times slower than that is not")
-	r.wake(t)
-	require.Equal(t, 1, r.health(1))
+	require.Zero(t, r.completeCheck(25), "a slowness of 25 is above the baseline")
+	r.stepToWake(t)
+	require.Equal(t, 1, r.completeCheck(1))
 	r.step(time.Second, carobinbox.Inbox{})
 	r.offer(wish(1, usualSlo))
-	require.Zero(t, r.health(5), "once it was fast, slow is slow again")
+	require.Zero(t, r.completeCheck(5), "a fast reading has reset the baseline")
 }
 
-func TestWhatIsNotKnownHoldsNothingUp(t *testing.T) {
+// Guards against jobs that wait for a slowness reading that cannot be obtained.
+func TestJobStartsWithoutReading(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		play func(t *testing.T, r *rig)
@@ -92,12 +99,12 @@
 			r.world.Measure.Checks = 0
 			r.offer(wish(1, usualSlo))
 		}},
-		{"the target does not tell", func(_ *testing.T, r *rig) {
+		{"the target reports no slowness", func(_ *testing.T, r *rig) {
 			r.offer(wish(1, usualSlo))
-			require.Equal(t, 1, r.health(0))
+			require.Equal(t, 1, r.completeCheck(0))
 			r.step(time.Second, carobinbox.Inbox{})
 			r.offer(wish(1, usualSlo))
-			require.Empty(t, r.world.Outbox.Checks, "and is not asked again so soon")
+			require.Empty(t, r.world.Outbox.Checks, "no further check during the backoff")
 		}},
 		{"the check fails", func(_ *testing.T, r *rig) {
 			r.offer(wish(1, usualSlo))
@@ -106,7 +113,7 @@
 		{"the check takes long", func(t *testing.T, r *rig) {
 			t.Helper()
 			r.offer(wish(1, usualSlo))
-			r.wake(t)
+			r.stepToWake(t)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -117,31 +124,34 @@
 	}
 }
 
-func TestTargetIsAskedBeforeItsFirstJob(t *testing.T) {
+// Guards against a first job that starts before any slowness reading exists.
+func TestTargetIsCheckedBeforeFirstJob(t *testing.T) {
 	r := newRig(4, 4)
 	r.world.Measure.Checks = 40
 	r.offer(wish(1, usualSlo))
 	require.Empty(t, r.world.Outbox.Starts)
-	require.Equal(t, 1, r.health(1))
+	require.Equal(t, 1, r.completeCheck(1))
 }
 
-// All targets are cold after a data centre came back, when most calls wait.
+// Guards against a job limit that counts a cold target as slow. After a data centre
+// returns from an outage all its targets are cold while most calls are queued.
 func TestColdTargetKeepsItsSlots(t *testing.T) {
 	r := newCheckedRig(10, 20)
 	for range 10 {
 		r.offer(wish(1, usualSlo))
 	}
-	require.Equal(t, 10, r.health(2))
+	require.Equal(t, 10, r.completeCheck(2))
 }
 
-func TestChecksKeepToTheirRate(t *testing.T) {
+// Guards against more health checks than the configured rate allows.
+func TestChecksStayWithinRate(t *testing.T) {
 	r := newCheckedRig(1000, 4)
 	checks, start := 0, r.now
 	for r.now.Sub(start) < 10*time.Second {
 		r.offer(wish(1, usualSlo))
 		checks += len(r.world.Outbox.Checks)
 		if len(r.world.Outbox.Checks) > 0 {
-			r.health(1)
+			r.completeCheck(1)
 		}
 		r.step(11*time.Millisecond, carobinbox.Inbox{})
 	}
@@ -149,19 +159,21 @@
 	require.Greater(t, checks, 40*9)
 }
 
-func TestMovableJobLeavesATargetWhoseVMIsSlow(t *testing.T) {
+// Guards against a movable job that waits for a slow VM while another target could run
+// it.
+func TestMovableJobIsRefusedWhileVMIsSlow(t *testing.T) {
 	r := newCheckedRig(4, 4)
-	movable, other := wish(1, usualSlo), wish(1, usualSlo)
+	movable, fixed := wish(1, usualSlo), wish(1, usualSlo)
 	movable.Movable = true
-	gone := r.offer(movable)
-	r.offer(other)
-	require.Empty(t, r.world.Outbox.Refusals, "nothing is known yet")
-	require.Zero(t, r.health(5))
+	movableJob := r.offer(movable)
+	r.offer(fixed)
+	require.Empty(t, r.world.Outbox.Refusals, "there is no recent reading yet")
+	require.Zero(t, r.completeCheck(5))
 	require.Len(t, r.world.Outbox.Refusals, 1)
-	require.Equal(t, gone, r.world.Outbox.Refusals[0].Job)
+	require.Equal(t, movableJob, r.world.Outbox.Refusals[0].Job)
 	require.Equal(t, carobkind.Busy, r.world.Outbox.Refusals[0].Kind)
 	r.offer(movable)
-	require.Len(t, r.world.Outbox.Refusals, 1, "refused at once while the reading is new")
-	r.wake(t)
-	require.Equal(t, 1, r.health(1), "the one that stayed")
+	require.Len(t, r.world.Outbox.Refusals, 1, "refused at once while the slow reading is recent")
+	r.stepToWake(t)
+	require.Equal(t, 1, r.completeCheck(1), "the job that is not movable starts")
 }
--- a/pkg/carobadmission/system.go
+++ b/pkg/carobadmission/system.go
@@ -1,5 +1,5 @@
-// Package carobadmission stands before the node's own targets: it starts jobs
-// while slots are free, queues a few, and refuses the rest.
+// Package carobadmission controls admission to the node's own targets: it starts jobs
+// while slots are free, queues jobs up to the queue limit, and refuses the rest.
 package carobadmission
 
 import (
@@ -35,33 +35,35 @@
 	return &System{}
 }
 
-// Run takes in offers and finishes, and starts what fits.
+// Run handles the tick's health check results, offers and finished jobs, refuses
+// expired jobs, starts queued jobs while slots are free, and publishes load reports.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	if w.Paused {
-		withdrawAll(w)
+		withdrawQueued(w)
 	}
 	for _, hl := range w.Inbox.Healths {
-		takeHealth(w, now, hl)
+		handleHealth(w, now, hl)
 	}
 	for _, of := range w.Inbox.Offers {
-		offer(w, now, of)
+		handleOffer(w, now, of)
 	}
 	for _, fn := range w.Inbox.Finishes {
-		finish(w, now, fn)
+		handleFinish(w, now, fn)
 	}
-	expire(w, now)
+	expireQueued(w, now)
 	for id, gt := range w.Gates.All() {
 		if gt.Queued > 0 {
-			moveOn(w, now, id, gt)
-			drain(w, now, id, gt)
+			refuseMovable(w, now, id, gt)
+			startQueued(w, now, id, gt)
 		}
 	}
-	report(w)
+	publishReports(w)
 }
 
-// withdrawAll refuses the jobs that were queued before a pause. Their callers
-// may be gone since; those that are not place their calls again.
-func withdrawAll(w *carobworld.World) {
+// withdrawQueued refuses the jobs that were queued before the node was paused. Their
+// callers may have disconnected in the meantime; callers that still wait send their
+// calls again.
+func withdrawQueued(w *carobworld.World) {
 	for _, jb := range w.Jobs.All() {
 		if jb.Started == carobinstant.Never {
 			carobfencing.Withdraw(w, jb, carobkind.Withdrawn)
@@ -69,12 +71,14 @@
 	}
 }
 
-func offer(w *carobworld.World, now carobinstant.Instant, of caroboffer.Offer) {
-	if known(w, of.Job) {
+// handleOffer refuses an offer, starts its job, or enqueues it. If the queue is then
+// too long, its least urgent job is shed. Offers of a known job are ignored.
+func handleOffer(w *carobworld.World, now carobinstant.Instant, of caroboffer.Offer) {
+	if isDuplicate(w, of.Job) {
 		return
 	}
 	tg := w.Targets.Get(of.Target)
-	if kind := refusalOf(w, now, tg, of); kind != carobkind.None {
+	if kind := refusalKind(w, now, tg, of); kind != carobkind.None {
 		refuse(w, of, kind)
 		return
 	}
@@ -85,33 +89,33 @@
 	}
 	jb := w.Jobs.Put(of.Job, carobjob.Job{Offer: of, Came: now, Deadline: now.Add(of.Patience)})
 	gt.Changed = true
-	gt.Limit = limit(gt, now)
-	if short(jb) {
+	gt.Limit = jobLimit(gt, now)
+	if isNested(jb) {
 		gt.Awaited = now
 	}
-	if gt.Running < room(gt, now, jb) && gt.Queued == 0 && mayStart(w, now, tg, gt) {
-		start(w, now, jb, tg, gt)
+	if gt.Running < jobLimitFor(gt, now, jb) && gt.Queued == 0 && mayStart(w, now, tg, gt) {
+		startJob(w, now, jb, tg, gt)
 		return
 	}
 	gt.Queued++
 	if gt.Queued > queueLimit(w, tg)+max(0, gt.Limit-gt.Running) {
 		jb := leastUrgent(w, now, of.Target)
-		giveWay(w, now, jb, gt, "queue full")
+		shed(w, now, jb, gt, "queue full")
 	}
 }
 
-// giveWay refuses a queued job that there is no room for.
-func giveWay(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, gt *carobgate.Gate, why string) {
+// shed refuses a queued job with kind Busy and records the reason as a decision.
+func shed(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, gt *carobgate.Gate, reason string) {
 	w.Decide(carobdecision.Decision{
-		Part: "admit", Text: why, Request: jb.Offer.Wish.Request, Call: jb.Offer.Job.Call,
-		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Kind: carobkind.Busy, Inputs: inputs(gt, now, jb.Came),
+		Part: "admit", Text: reason, Request: jb.Offer.Wish.Request, Call: jb.Offer.Job.Call,
+		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Kind: carobkind.Busy, Inputs: decisionInputs(gt, now, jb.Came),
 	})
 	carobfencing.Withdraw(w, jb, carobkind.Busy)
 }
 
-// known reports whether the offer of a job came before, so that this one is a
-// copy. A copy gets no refusal, which would say that the job did not run.
-func known(w *carobworld.World, job carobjobid.ID) bool {
+// isDuplicate reports whether an offer of the job was accepted before. A duplicate
+// offer is not refused, because a refusal states that the job did not run.
+func isDuplicate(w *carobworld.World, job carobjobid.ID) bool {
 	if w.Jobs.Get(job) != nil {
 		return true
 	}
@@ -119,8 +123,9 @@
 	return ok
 }
 
-// refusalOf returns why an offer cannot be taken at all, or None.
-func refusalOf(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target, of caroboffer.Offer) carobkind.Kind {
+// refusalKind returns the kind with which an offer is refused regardless of load, or
+// None.
+func refusalKind(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target, of caroboffer.Offer) carobkind.Kind {
 	switch {
 	case of.Incarnation != w.Self.Incarnation, tg == nil, !w.Owns(tg):
 		return carobkind.Stale
@@ -131,13 +136,16 @@
 	case of.Patience <= 0:
 		return carobkind.Late
 	case of.Wish.Once != carobonce.No && w.Ending.Before(now.Add(of.Patience)):
-		// If the node ends before its answer, nobody can tell whether it ran.
+		// If the node ended before the response, the entry node could not find out
+		// whether the job ran.
 		return carobkind.Leaving
 	default:
 		return carobkind.None
 	}
 }
 
+// queueLimit returns the queue length that the target's profile allows; 0 if the
+// profile is unknown.
 func queueLimit(w *carobworld.World, tg *carobtarget.Target) int {
 	rv := w.Profiles.Get(tg.Profile)
 	if rv == nil {
@@ -146,12 +154,13 @@
 	return rv.Change.Profile.Queue
 }
 
-func start(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, tg *carobtarget.Target, gt *carobgate.Gate) {
+// startJob marks the job as started and adds the start to the outbox.
+func startJob(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, tg *carobtarget.Target, gt *carobgate.Gate) {
 	jb.Started = now
 	gt.Running++
 	w.Decide(carobdecision.Decision{
 		Part: "admit", Text: "job started", Request: jb.Offer.Wish.Request, Call: jb.Offer.Job.Call,
-		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Inputs: inputs(gt, now, jb.Came),
+		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Inputs: decisionInputs(gt, now, jb.Came),
 	})
 	w.Outbox.Starts = append(w.Outbox.Starts, carobstart.Start{
 		Job: jb.Offer.Job, Address: tg.Address, Patience: jb.Deadline.Sub(now),
@@ -159,7 +168,9 @@
 	})
 }
 
-func finish(w *carobworld.World, now carobinstant.Instant, fn carobfinish.Finish) {
+// handleFinish removes a finished job, and records its latency and the slowness reading
+// of the response. A job that is still queued is withdrawn.
+func handleFinish(w *carobworld.World, now carobinstant.Instant, fn carobfinish.Finish) {
 	jb := w.Jobs.Get(fn.Job)
 	if jb == nil {
 		return
@@ -172,47 +183,50 @@
 	gt.Running--
 	gt.Changed = true
 	if ps := fn.Pressure; ps != nil {
-		takeReading(gt, now, ps.Slowness)
+		recordReading(gt, now, ps.Slowness)
 	}
-	gt.Limit = limit(gt, now)
-	learn(gt, jb.Started, now)
+	gt.Limit = jobLimit(gt, now)
+	updateLatency(gt, jb.Started, now)
 	carobfencing.Remember(w, fn)
 	w.Jobs.Delete(fn.Job)
 }
 
 const (
-	// latencyMemory is the time after which an old latency counts for less by a
-	// factor of e, however few calls came since.
-	latencyMemory = 500 * time.Millisecond
-	// latencyNews is how much longer ago than the newest one a call may have
-	// started to count, again by a factor of e.
-	latencyNews = 50 * time.Millisecond
+	// latencyTimeConstant is the interval between starts over which the weight of the
+	// previous estimate falls by at least a factor of e, independent of the number of
+	// calls.
+	latencyTimeConstant = 500 * time.Millisecond
+	// earlierStartTimeConstant is the time before the newest start over which the
+	// weight of a call that started earlier falls by a factor of e.
+	earlierStartTimeConstant = 50 * time.Millisecond
 )
 
-// learn moves the estimated latency towards that of a call. What a call tells is
-// how fast the target was when it started: the slow calls of a short jump of
-// load end long after it, and must not outweigh those that started later and
-// were fast. After a time without calls one counts for nearly all.
-func learn(gt *carobgate.Gate, started, now carobinstant.Instant) {
+// updateLatency adds the latency of a finished call to the target's moving average.
+// Calls are weighted by their start, because a latency shows how fast the target was
+// when the call started: slow calls of a short load spike end long after the spike and
+// must not outweigh fast calls that started later. After an interval without calls the
+// next call replaces nearly the whole estimate.
+func updateLatency(gt *carobgate.Gate, started, now carobinstant.Instant) {
 	const weight = 1.0 / 8
-	took, later := float64(now.Sub(started)), started.Sub(gt.Learned)
+	duration, sinceNewest := float64(now.Sub(started)), started.Sub(gt.Learned)
 	var share float64
 	switch {
 	case gt.Learned == carobinstant.Never:
 		share = 1
-	case later < 0:
-		share = weight * math.Exp(float64(later)/float64(latencyNews))
+	case sinceNewest < 0:
+		share = weight * math.Exp(float64(sinceNewest)/float64(earlierStartTimeConstant))
 	default:
-		share = max(weight, 1-math.Exp(-float64(later)/float64(latencyMemory)))
+		share = max(weight, 1-math.Exp(-float64(sinceNewest)/float64(latencyTimeConstant)))
 	}
-	gt.Latency += time.Duration(share * (took - float64(gt.Latency)))
-	if later > 0 {
+	gt.Latency += time.Duration(share * (duration - float64(gt.Latency)))
+	if sinceNewest > 0 {
 		gt.Learned = started
 	}
 }
 
-// expire refuses queued jobs whose deadline has come, or whose target leaves.
-func expire(w *carobworld.World, now carobinstant.Instant) {
+// expireQueued refuses queued jobs whose deadline has passed, and those whose target is
+// unknown or leaving.
+func expireQueued(w *carobworld.World, now carobinstant.Instant) {
 	for _, jb := range w.Jobs.All() {
 		if jb.Started != carobinstant.Never {
 			continue
@@ -229,20 +243,22 @@
 	}
 }
 
-// drain starts queued jobs, the most urgent first, while slots are free.
-func drain(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobgate.Gate) {
+// startQueued starts the target's queued jobs, the most urgent first, while slots are
+// free and the VM is not slow.
+func startQueued(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobgate.Gate) {
 	tg := w.Targets.Get(id)
 	for tg != nil && gt.Queued > 0 && gt.Running < gt.Limit && mayStart(w, now, tg, gt) {
 		jb := mostUrgent(w, now, id)
-		if jb == nil || gt.Running >= room(gt, now, jb) {
+		if jb == nil || gt.Running >= jobLimitFor(gt, now, jb) {
 			return
 		}
 		gt.Queued--
 		gt.Changed = true
-		start(w, now, jb, tg, gt)
+		startJob(w, now, jb, tg, gt)
 	}
 }
 
+// refuse refuses an offer that was not enqueued.
 func refuse(w *carobworld.World, of caroboffer.Offer, kind carobkind.Kind) {
 	w.Outbox.Refusals = append(w.Outbox.Refusals, carobrefusal.Refusal{Job: of.Job, Kind: kind})
 	w.Decide(carobdecision.Decision{
@@ -251,19 +267,19 @@
 	})
 }
 
-// inputs are the figures that admission goes by.
-func inputs(gt *carobgate.Gate, now, came carobinstant.Instant) []carobinput.Input {
+// decisionInputs returns the values that admission decisions are based on.
+func decisionInputs(gt *carobgate.Gate, now, arrived carobinstant.Instant) []carobinput.Input {
 	return []carobinput.Input{
 		{Name: "running", Value: float64(gt.Running)},
 		{Name: "queued", Value: float64(gt.Queued)},
 		{Name: "limit", Value: float64(gt.Limit)},
 		{Name: "slowness", Value: gt.Slowness},
-		carobinput.Age("toldms", now, gt.Told), carobinput.Age("waitedms", now, came),
+		carobinput.Age("toldms", now, gt.Told), carobinput.Age("waitedms", now, arrived),
 	}
 }
 
-// report publishes the load of the targets whose load changed.
-func report(w *carobworld.World) {
+// publishReports adds a report to the outbox for each target whose load changed.
+func publishReports(w *carobworld.World) {
 	for id, gt := range w.Gates.All() {
 		if !gt.Changed {
 			continue
--- a/pkg/carobadmission/urgency.go
+++ b/pkg/carobadmission/urgency.go
@@ -10,69 +10,76 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// shortSlo is the longest SLO of calls which other calls wait for.
-const shortSlo = 200 * time.Millisecond
+// maxNestedSlo is the longest SLO with which a call counts as nested, that is, made by
+// a job that holds a slot until the call is answered.
+const maxNestedSlo = 200 * time.Millisecond
 
-// mostUrgent returns the queued job of a target that is started next, or nil.
+// mostUrgent returns the queued job that the target starts next; nil if none is queued.
 func mostUrgent(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID) *carobjob.Job {
-	return extreme(w, id, func(a, b *carobjob.Job) bool { return compare(now, a, b) < 0 })
+	return selectQueued(w, id, func(a, b *carobjob.Job) bool { return compareUrgency(now, a, b) < 0 })
 }
 
-// leastUrgent returns the queued job of a target that has to give way, or nil.
+// leastUrgent returns the queued job that the target sheds next; nil if none is queued.
 func leastUrgent(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID) *carobjob.Job {
-	return extreme(w, id, func(a, b *carobjob.Job) bool { return compare(now, a, b) > 0 })
+	return selectQueued(w, id, func(a, b *carobjob.Job) bool { return compareUrgency(now, a, b) > 0 })
 }
 
-func extreme(w *carobworld.World, id carobtargetid.ID, before func(a, b *carobjob.Job) bool) *carobjob.Job {
+// selectQueued returns the target's queued job that precedes all others; nil if none is
+// queued.
+func selectQueued(w *carobworld.World, id carobtargetid.ID, precedes func(a, b *carobjob.Job) bool) *carobjob.Job {
 	var best *carobjob.Job
 	for _, jb := range w.Jobs.All() {
 		if jb.Offer.Target != id || jb.Started != carobinstant.Never {
 			continue
 		}
-		if best == nil || before(jb, best) {
+		if best == nil || precedes(jb, best) {
 			best = jb
 		}
 	}
 	return best
 }
 
-// compare puts queued jobs into an order, the more urgent first. It answers load
-// above what the target can do, when somebody has to wait:
+// compareUrgency orders queued jobs by urgency, the more urgent first. The order
+// matters when the load exceeds the target's capacity:
 //
-//   - calls that can still be in time go before those that cannot;
-//   - calls that are wanted soon were made by another call, which holds a slot until
-//     they are answered, and go before those that begin something new. They are never
-//     late: to lose one loses the other call too, which may still be in time;
-//   - then rank decides, and then who is wanted first.
-func compare(now carobinstant.Instant, a, b *carobjob.Job) int {
+//   - calls that can still meet their SLO precede those that cannot;
+//   - nested calls precede others, because the job that made the call holds a slot
+//     until the call is answered. A nested call is never late: without its response
+//     the outer call fails too, which may still be in time;
+//   - then the lower rank precedes, then the earlier due time, then the earlier
+//     arrival.
+func compareUrgency(now carobinstant.Instant, a, b *carobjob.Job) int {
 	return cmp.Or(
-		cmp.Compare(truth(late(now, a)), truth(late(now, b))),
-		cmp.Compare(truth(!short(a)), truth(!short(b))),
+		cmp.Compare(boolToInt(isLate(now, a)), boolToInt(isLate(now, b))),
+		cmp.Compare(boolToInt(!isNested(a)), boolToInt(!isNested(b))),
 		cmp.Compare(a.Offer.Wish.Rank, b.Offer.Wish.Rank),
-		cmp.Compare(wanted(a), wanted(b)),
+		cmp.Compare(dueAt(a), dueAt(b)),
 		cmp.Compare(a.Came, b.Came),
 	)
 }
 
-func late(now carobinstant.Instant, jb *carobjob.Job) bool {
-	return jb.Offer.Wish.Whole > 0 && !short(jb) && wanted(jb).Reached(now)
+// isLate reports whether the job has missed its SLO. Nested calls and calls without an
+// SLO are never late.
+func isLate(now carobinstant.Instant, jb *carobjob.Job) bool {
+	return jb.Offer.Wish.Whole > 0 && !isNested(jb) && dueAt(jb).Reached(now)
 }
 
-// wanted returns when the answer is wanted: at the deadline if nobody said.
-func wanted(jb *carobjob.Job) carobinstant.Instant {
+// dueAt returns when the response is due by the caller's SLO, or the deadline if the
+// call has no SLO.
+func dueAt(jb *carobjob.Job) carobinstant.Instant {
 	if jb.Offer.Wish.Whole == 0 {
 		return jb.Deadline
 	}
 	return jb.Came.Add(jb.Offer.Wish.Slo)
 }
 
-// short reports whether another call waits for this one, which is wanted sooner than
-// callers outside want any.
-func short(jb *carobjob.Job) bool {
-	return jb.Offer.Wish.Whole > 0 && jb.Offer.Wish.Whole <= shortSlo
+// isNested reports whether another job waits for this call. Nested calls are identified
+// by their SLO, which is shorter than that of any external caller.
+func isNested(jb *carobjob.Job) bool {
+	return jb.Offer.Wish.Whole > 0 && jb.Offer.Wish.Whole <= maxNestedSlo
 }
 
-func truth(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/pkg/carobadmission/urgency_test.go
+++ b/pkg/carobadmission/urgency_test.go
@@ -31,7 +31,7 @@
 
 var target = carobtargetid.ID{Service: "lookups", Name: "a"}
 
-// rig is a target's node.
+// rig runs the admission system of a node with one target.
 type rig struct {
 	world  *carobworld.World
 	system *carobadmission.System
@@ -55,7 +55,7 @@
 	r.system.Run(r.world, r.now)
 }
 
-// offer offers a job and returns its id.
+// offer steps with the offer of a new job and returns the job's ID.
 func (r *rig) offer(ws carobwish.Wish) carobjobid.ID {
 	r.next++
 	job := carobjobid.ID{Call: carobcallid.ID{Node: "there", Incarnation: 1, Sequence: r.next}, Attempt: 1}
@@ -65,7 +65,7 @@
 	return job
 }
 
-// finish ends a job and returns the jobs that were started for it.
+// finish steps with the end of a job and returns the jobs that the step started.
 func (r *rig) finish(job carobjobid.ID, slowness float64) []carobjobid.ID {
 	r.step(time.Millisecond, carobinbox.Inbox{Finishes: []carobfinish.Finish{
 		{Job: job, Status: 200, Pressure: &carobpressure.Pressure{Slots: 12, Slowness: slowness}},
@@ -77,23 +77,25 @@
 	return started
 }
 
+// wish returns a wish of the given rank whose SLO has just begun.
 func wish(rank int, slo time.Duration) carobwish.Wish {
 	return carobwish.Wish{Rank: rank, Slo: slo, Whole: slo}
 }
 
+// Guards against a queue that starts jobs in another order than by urgency.
 func TestMostUrgentJobStartsFirst(t *testing.T) {
 	const usual = 500 * time.Millisecond
 	for _, c := range []struct {
 		name          string
 		first, second carobwish.Wish
-		secondGoes    bool
+		secondFirst   bool
 	}{
 		{"rank", wish(2, usual), wish(1, usual), true},
-		{"rank, in the order of coming", wish(1, usual), wish(2, usual), false},
-		{"call that another call waits for", wish(1, usual), wish(2, 120*time.Millisecond), true},
-		{"wanted sooner", wish(1, time.Second), wish(1, usual), true},
-		{"call that another call waits for, late", wish(1, usual), carobwish.Wish{Rank: 2, Slo: -1, Whole: 120 * time.Millisecond}, true},
-		{"late already", carobwish.Wish{Rank: 1, Slo: -1, Whole: usual}, wish(2, usual), true},
+		{"rank, in order of arrival", wish(1, usual), wish(2, usual), false},
+		{"nested call", wish(1, usual), wish(2, 120*time.Millisecond), true},
+		{"due sooner", wish(1, time.Second), wish(1, usual), true},
+		{"nested call past its SLO", wish(1, usual), carobwish.Wish{Rank: 2, Slo: -1, Whole: 120 * time.Millisecond}, true},
+		{"call past its SLO", carobwish.Wish{Rank: 1, Slo: -1, Whole: usual}, wish(2, usual), true},
 		{"equal", wish(1, usual), wish(1, usual), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -101,7 +103,7 @@
 			running := r.offer(wish(1, usual))
 			first, second := r.offer(c.first), r.offer(c.second)
 			want := first
-			if c.secondGoes {
+			if c.secondFirst {
 				want = second
 			}
 			require.Equal(t, []carobjobid.ID{want}, r.finish(running, 1))
@@ -109,48 +111,52 @@
 	}
 }
 
-func TestLeastUrgentJobGivesWay(t *testing.T) {
+// Guards against a full queue that refuses the newest job instead of the least urgent.
+func TestFullQueueShedsLeastUrgentJob(t *testing.T) {
 	r := newRig(1, 1)
 	r.offer(wish(1, time.Second))
-	lookup := r.offer(wish(2, time.Second))
+	lowRank := r.offer(wish(2, time.Second))
 	require.Empty(t, r.world.Outbox.Refusals)
 	r.offer(wish(1, time.Second))
 	require.Len(t, r.world.Outbox.Refusals, 1)
-	require.Equal(t, lookup, r.world.Outbox.Refusals[0].Job)
+	require.Equal(t, lowRank, r.world.Outbox.Refusals[0].Job)
 	require.Equal(t, carobkind.Busy, r.world.Outbox.Refusals[0].Kind)
 	last := r.offer(wish(2, time.Second))
-	require.Equal(t, last, r.world.Outbox.Refusals[0].Job, "who is least urgent is refused at once")
+	require.Equal(t, last, r.world.Outbox.Refusals[0].Job, "the offered job is refused at once if it is the least urgent")
 }
 
-func TestSlowVMIsGivenLess(t *testing.T) {
+// Guards against jobs that start on a slow VM and delay the jobs that already run.
+func TestSlowVMGetsFewerSlots(t *testing.T) {
 	r := newRig(10, 20)
 	var jobs []carobjobid.ID
 	for range 14 {
 		jobs = append(jobs, r.offer(wish(1, time.Second)))
 	}
-	require.Len(t, r.finish(jobs[0], 1), 1, "as usual, a slot is filled again")
-	require.Empty(t, r.finish(jobs[1], 5), "on a slow VM it is not")
+	require.Len(t, r.finish(jobs[0], 1), 1, "at the usual speed a free slot is filled")
+	require.Empty(t, r.finish(jobs[1], 5), "on a slow VM a free slot stays empty")
 	require.Less(t, r.world.Gates.Get(target).Limit, 10)
 	r.step(time.Second, carobinbox.Inbox{})
-	require.Len(t, r.finish(jobs[2], 1), 2, "as fast as usual again")
+	require.Len(t, r.finish(jobs[2], 1), 2, "at the usual speed both free slots are filled")
 }
 
-func TestEndingNodeStartsNothingThatItWouldCut(t *testing.T) {
+// Guards against starting a call that may run only once on a node that may end before
+// the call's deadline: the outcome of the call would then be unknown.
+func TestEndingNodeRefusesOnceCallsPastItsEnd(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		once  carobonce.Once
-		left  time.Duration
-		taken bool
+		name     string
+		once     carobonce.Once
+		untilEnd time.Duration
+		accepted bool
 	}{
-		{"ends behind the deadline", carobonce.Call, 11 * time.Second, true},
-		{"ends before it", carobonce.Call, 9 * time.Second, false},
-		{"ends before it, but may run again elsewhere", carobonce.No, 9 * time.Second, true},
+		{"ends after the deadline", carobonce.Call, 11 * time.Second, true},
+		{"ends before the deadline", carobonce.Call, 9 * time.Second, false},
+		{"ends before the deadline, call may run again elsewhere", carobonce.No, 9 * time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(1, 4)
-			r.step(0, carobinbox.Inbox{Ending: r.now.Add(c.left)})
+			r.step(0, carobinbox.Inbox{Ending: r.now.Add(c.untilEnd)})
 			r.offer(carobwish.Wish{Once: c.once})
-			if c.taken {
+			if c.accepted {
 				require.Len(t, r.world.Outbox.Starts, 1)
 				return
 			}
@@ -160,23 +166,24 @@
 	}
 }
 
-// Jobs that make calls hold their slots until the calls are answered. If they held all
-// of them on all targets, no call would be.
-func TestRoomIsKeptForCallsThatOthersWaitFor(t *testing.T) {
-	const usual, soon = 500 * time.Millisecond, 120 * time.Millisecond
+// Guards against a deadlock: jobs that make nested calls hold their slots until those
+// calls are answered. If such jobs held all slots of all targets, no nested call could
+// start.
+func TestSlotsAreReservedForNestedCalls(t *testing.T) {
+	const outer, nested = 500 * time.Millisecond, 120 * time.Millisecond
 	r := newRig(12, 4)
-	r.offer(wish(1, soon))
+	r.offer(wish(1, nested))
 	require.Len(t, r.world.Outbox.Starts, 1)
 	for range 9 {
-		r.offer(wish(1, usual))
+		r.offer(wish(1, outer))
 		require.Len(t, r.world.Outbox.Starts, 1)
 	}
-	r.offer(wish(1, usual))
-	require.Empty(t, r.world.Outbox.Starts, "two slots are kept")
+	r.offer(wish(1, outer))
+	require.Empty(t, r.world.Outbox.Starts, "two slots are reserved")
 	for range 2 {
-		r.offer(wish(1, soon))
+		r.offer(wish(1, nested))
 		require.Len(t, r.world.Outbox.Starts, 1)
 	}
-	r.offer(wish(1, soon))
-	require.Empty(t, r.world.Outbox.Starts, "and are taken now")
+	r.offer(wish(1, nested))
+	require.Empty(t, r.world.Outbox.Starts, "the reserved slots are in use")
 }
