--- a/pkg/carobfencing/system.go
+++ b/pkg/carobfencing/system.go
@@ -1,11 +1,12 @@
-// Package carobfencing answers fences: it tells what became of a job, and makes
-// sure that a job of which it says so never runs.
+// Package carobfencing answers fences: it returns the state of a job and guarantees
+// that a job whose state it returns as Never does not run later.
 //
-// The node must remember which jobs it fenced (tombstones) and which ended, or a
-// late arrival would start, and a job that ran would be said never to have run.
-// Both memories are bounded. What they forget is replaced by a watermark for
-// each entry node: up to it, arrivals are refused and fences get Unknown. Both
-// answers are safe, and no clock decides when something may be forgotten.
+// The node records which jobs it fenced (tombstones) and which jobs have ended.
+// Without the tombstones an offer that arrives late would start a fenced job; without
+// the ended jobs a job that ran would be reported as Never. Both records are bounded.
+// Evicted entries are replaced by a watermark for each entry node: offers up to the
+// watermark are refused, and fences up to it get Unknown. Both answers are safe, and no
+// eviction depends on a clock.
 package carobfencing
 
 import (
@@ -32,7 +33,7 @@
 	return &System{}
 }
 
-// Run answers the fences that have come.
+// Run sends a reply to each fence received in this tick.
 func (s *System) Run(w *carobworld.World, _ carobinstant.Instant) {
 	for _, ms := range w.Inbox.Messages {
 		if fc := ms.Fence; fc != nil {
@@ -41,8 +42,8 @@
 	}
 }
 
-// Judge returns what became of a job. A job that has not started is refused,
-// now or when it arrives.
+// Judge returns the state of a job. A job that has not started is fenced: it is refused
+// now if it is queued, or else when its offer arrives.
 func Judge(w *carobworld.World, fc carobfence.Fence) carobjobstate.JobState {
 	if fc.Incarnation != w.Self.Incarnation {
 		return carobjobstate.Unknown
@@ -60,24 +61,26 @@
 	if Fenced(w, fc.Job) {
 		return carobjobstate.Never
 	}
-	if forgot(w, fc.Job.Call) {
+	if mayHaveRun(w, fc.Job.Call) {
 		return carobjobstate.Unknown
 	}
-	bury(w, fc.Job)
+	addTombstone(w, fc.Job)
 	return carobjobstate.Never
 }
 
-// Withdraw takes a queued job out of its queue for good, and refuses it.
+// Withdraw removes a job that has not started from its queue, refuses it with the given
+// kind, and prevents later offers of it from starting.
 func Withdraw(w *carobworld.World, jb *carobjob.Job, kind carobkind.Kind) {
 	gt := w.Gates.Get(jb.Offer.Target)
 	gt.Queued--
 	gt.Changed = true
 	w.Outbox.Refusals = append(w.Outbox.Refusals, carobrefusal.Refusal{Job: jb.Offer.Job, Kind: kind})
-	bury(w, jb.Offer.Job)
+	addTombstone(w, jb.Offer.Job)
 	w.Jobs.Delete(jb.Offer.Job)
 }
 
-// Fenced reports whether a job was promised never to run.
+// Fenced reports whether a job must not run: it has a tombstone, or its tombstone may
+// have been evicted.
 func Fenced(w *carobworld.World, job carobjobid.ID) bool {
 	if _, ok := w.Tombstones.Get(job); ok {
 		return true
@@ -89,27 +92,29 @@
 	return covers(wm, job.Call, wm.Fenced)
 }
 
-// Remember notes that a started job has ended.
+// Remember records that a started job has ended. An evicted older entry raises the
+// Ended watermark of its entry node.
 func Remember(w *carobworld.World, fn carobfinish.Finish) {
 	if old, _, full := w.Ended.Put(fn.Job, fn); full {
-		wm := raise(w, old.Call)
+		wm := watermarkFor(w, old.Call)
 		wm.Ended = max(wm.Ended, old.Call.Sequence)
-		lower(w, old.Call, wm)
+		putWatermark(w, old.Call, wm)
 	}
 }
 
-// bury makes sure that a job which has not started never will.
-func bury(w *carobworld.World, job carobjobid.ID) {
+// addTombstone prevents a job that has not started from starting later. An evicted
+// older tombstone raises the Fenced watermark of its entry node.
+func addTombstone(w *carobworld.World, job carobjobid.ID) {
 	if old, _, full := w.Tombstones.Put(job, struct{}{}); full {
-		wm := raise(w, old.Call)
+		wm := watermarkFor(w, old.Call)
 		wm.Fenced = max(wm.Fenced, old.Call.Sequence)
-		lower(w, old.Call, wm)
+		putWatermark(w, old.Call, wm)
 	}
 }
 
-// forgot reports whether a job of the call may have run though nothing is known
-// of it any more.
-func forgot(w *carobworld.World, call carobcallid.ID) bool {
+// mayHaveRun reports whether a job of the call may have run and ended although it has
+// no entry in Ended, because entries of its entry node were evicted.
+func mayHaveRun(w *carobworld.World, call carobcallid.ID) bool {
 	wm, ok := w.Watermarks.Get(call.Node)
 	if !ok {
 		return w.Forgotten > 0 && call.Incarnation <= w.Forgotten
@@ -117,8 +122,8 @@
 	return covers(wm, call, wm.Ended)
 }
 
-// covers reports whether a call is of an older incarnation than the watermark,
-// or of the same one and not above a bound.
+// covers reports whether a call's incarnation is older than the watermark's, or is the
+// same and the call's sequence is not above the bound.
 func covers(wm carobwatermark.Watermark, call carobcallid.ID, bound uint64) bool {
 	if call.Incarnation != wm.Incarnation {
 		return call.Incarnation < wm.Incarnation
@@ -126,8 +131,9 @@
 	return call.Sequence <= bound
 }
 
-// raise returns the watermark of a call's entry node, to be raised.
-func raise(w *carobworld.World, call carobcallid.ID) carobwatermark.Watermark {
+// watermarkFor returns a copy of the watermark of a call's entry node; a new one if
+// there is none, or if the call is of a newer incarnation.
+func watermarkFor(w *carobworld.World, call carobcallid.ID) carobwatermark.Watermark {
 	wm, ok := w.Watermarks.Get(call.Node)
 	if !ok || wm.Incarnation < call.Incarnation {
 		return carobwatermark.Watermark{Incarnation: call.Incarnation}
@@ -135,9 +141,10 @@
 	return wm
 }
 
-// lower puts a raised watermark back. One that belongs to a newer incarnation
-// covers the older ones already.
-func lower(w *carobworld.World, call carobcallid.ID, wm carobwatermark.Watermark) {
+// putWatermark stores the watermark of a call's entry node. It does nothing if the
+// watermark is of a newer incarnation than the call, since it then covers the call
+// already. An evicted watermark raises the world's Forgotten and Barred.
+func putWatermark(w *carobworld.World, call carobcallid.ID, wm carobwatermark.Watermark) {
 	if wm.Incarnation != call.Incarnation {
 		return
 	}
--- a/pkg/carobfencing/system_test.go
+++ b/pkg/carobfencing/system_test.go
@@ -32,13 +32,13 @@
 )
 
 const (
-	life     = carobincarnation.Incarnation(7)
-	patience = 10 * time.Second
+	nodeIncarnation = carobincarnation.Incarnation(7)
+	timeout         = 10 * time.Second
 )
 
 var target = carobtargetid.ID{Service: "payouts", Name: "a"}
 
-// rig is a target's node with one slot, and its clock.
+// rig runs the fencing and admission systems of a node whose target has one slot.
 type rig struct {
 	world *carobworld.World
 	now   carobinstant.Instant
@@ -47,7 +47,7 @@
 func newRig(jobs int) *rig {
 	limits := caroblimits.NewLimits()
 	limits.Jobs, limits.Peers = jobs, 1
-	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "here", Incarnation: life}, Limits: limits})
+	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "here", Incarnation: nodeIncarnation}, Limits: limits})
 	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, State: carobreadiness.Ready})
 	w.Gates.Put(target, carobgate.Gate{Limit: 1})
 	rv := carobrevision.Revision{}
@@ -63,13 +63,13 @@
 	carobadmission.NewSystem().Run(r.world, r.now)
 }
 
-// job names the first attempt of a call of another node.
+// job returns the ID of the first attempt of a call of another node.
 func job(sequence uint64) carobjobid.ID {
 	return carobjobid.ID{Call: carobcallid.ID{Node: "entry", Incarnation: 1, Sequence: sequence}, Attempt: 1}
 }
 
 func offer(id carobjobid.ID) caroboffer.Offer {
-	return caroboffer.Offer{Job: id, Target: target, Incarnation: life, Patience: patience}
+	return caroboffer.Offer{Job: id, Target: target, Incarnation: nodeIncarnation, Patience: timeout}
 }
 
 func (r *rig) offer(id carobjobid.ID) {
@@ -80,28 +80,30 @@
 	r.step(carobinbox.Inbox{Finishes: []carobfinish.Finish{{Job: id}}})
 }
 
-func (r *rig) run(id carobjobid.ID) {
+// complete starts and ends a job.
+func (r *rig) complete(id carobjobid.ID) {
 	r.offer(id)
 	r.finish(id)
 }
 
-// fence asks over a message, as another node does.
+// fence steps with a fence message from another node and returns the replied state.
 func (r *rig) fence(id carobjobid.ID) carobjobstate.JobState {
-	fc := &carobfence.Fence{Job: id, Incarnation: life}
+	fc := &carobfence.Fence{Job: id, Incarnation: nodeIncarnation}
 	r.step(carobinbox.Inbox{Messages: []carobmessage.Message{{Back: "entry", Fence: fc}}})
 	return r.world.Outbox.Messages[0].FenceReply.State
 }
 
 func (r *rig) started() int { return len(r.world.Outbox.Starts) }
 
-func TestFate(t *testing.T) {
+// Guards against a fence reply that does not match the state of the job.
+func TestFenceReturnsJobState(t *testing.T) {
 	cases := map[string]struct {
 		before func(r *rig)
 		want   carobjobstate.JobState
 	}{
-		"never came": {func(*rig) {}, carobjobstate.Never},
-		"running":    {func(r *rig) { r.offer(job(2)) }, carobjobstate.Running},
-		"ended":      {func(r *rig) { r.run(job(2)) }, carobjobstate.Done},
+		"not offered": {func(*rig) {}, carobjobstate.Never},
+		"running":     {func(r *rig) { r.offer(job(2)) }, carobjobstate.Running},
+		"ended":       {func(r *rig) { r.complete(job(2)) }, carobjobstate.Done},
 		"queued": {func(r *rig) {
 			r.offer(job(1))
 			r.offer(job(2))
@@ -110,10 +112,10 @@
 		"expired in the queue": {func(r *rig) {
 			r.offer(job(1))
 			r.offer(job(2))
-			r.now = r.now.Add(patience)
+			r.now = r.now.Add(timeout)
 			r.step(carobinbox.Inbox{})
 		}, carobjobstate.Never},
-		"gave up in the queue": {func(r *rig) {
+		"cancelled in the queue": {func(r *rig) {
 			r.offer(job(1))
 			r.offer(job(2))
 			r.finish(job(2))
@@ -128,9 +130,9 @@
 	}
 }
 
-// A job that was promised never to run does not run, however late it comes and
-// however often.
-func TestFenceOvertakesItsJob(t *testing.T) {
+// Guards against a fenced job that starts because its offer arrives after the fence,
+// possibly more than once.
+func TestFencedJobNeverStarts(t *testing.T) {
 	r := newRig(10)
 	require.Equal(t, carobjobstate.Never, r.fence(job(1)))
 	for range 2 {
@@ -140,18 +142,21 @@
 	}
 }
 
-// Fence and offer come in one tick.
-func TestFenceBesideItsJob(t *testing.T) {
+// Guards against a fenced job that starts because its offer arrives in the same tick as
+// the fence.
+func TestFenceAndOfferInOneTick(t *testing.T) {
 	r := newRig(10)
 	r.step(carobinbox.Inbox{
-		Messages: []carobmessage.Message{{Fence: &carobfence.Fence{Job: job(1), Incarnation: life}}},
+		Messages: []carobmessage.Message{{Fence: &carobfence.Fence{Job: job(1), Incarnation: nodeIncarnation}}},
 		Offers:   []caroboffer.Offer{offer(job(1))},
 	})
 	require.Equal(t, carobjobstate.Never, r.world.Outbox.Messages[0].FenceReply.State)
 	require.Zero(t, r.started())
 }
 
-func TestWithdrawFreesTheQueue(t *testing.T) {
+// Guards against a withdrawn job that still counts as queued, in the gate or in the
+// published report.
+func TestFenceOfQueuedJobFreesItsPlace(t *testing.T) {
 	r := newRig(10)
 	r.offer(job(1))
 	r.offer(job(2))
@@ -159,11 +164,12 @@
 	r.fence(job(2))
 	require.Zero(t, r.world.Gates.Get(target).Queued)
 	require.Equal(t, 1, r.world.Jobs.Len())
-	require.Zero(t, r.world.Outbox.Reports[0].Queued, "others hear of the free place")
+	require.Zero(t, r.world.Outbox.Reports[0].Queued, "the report counts no queued job")
 }
 
-// A copy of an offer gets neither a second start nor a refusal.
-func TestOfferTwice(t *testing.T) {
+// Guards against a duplicate offer that starts its job again, or that is refused and so
+// reports a job that ran as not run.
+func TestDuplicateOfferIsIgnored(t *testing.T) {
 	r := newRig(10)
 	r.offer(job(1))
 	require.Equal(t, 1, r.started())
@@ -176,26 +182,29 @@
 	require.Empty(t, r.world.Outbox.Refusals)
 }
 
-func TestOtherIncarnation(t *testing.T) {
+// Guards against a definite reply about jobs of an earlier incarnation of the node,
+// whose records are lost.
+func TestFenceForOtherIncarnationIsUnknown(t *testing.T) {
 	r := newRig(10)
-	fc := carobfence.Fence{Job: job(1), Incarnation: life - 1}
+	fc := carobfence.Fence{Job: job(1), Incarnation: nodeIncarnation - 1}
 	require.Equal(t, carobjobstate.Unknown, carobfencing.Judge(r.world, fc))
 }
 
-// What the bounded memories forget is never answered wrongly.
-func TestBounds(t *testing.T) {
+// Guards against wrong replies about jobs whose entries were evicted from the bounded
+// records.
+func TestForgottenJobsAreNeverMisreported(t *testing.T) {
 	const limit = 3
 	t.Run("ended jobs", func(t *testing.T) {
 		r := newRig(limit)
 		for sequence := range uint64(limit + 2) {
-			r.run(job(sequence + 10))
+			r.complete(job(sequence + 10))
 		}
-		require.Equal(t, carobjobstate.Unknown, r.fence(job(10)), "it ran and was forgotten")
-		require.Equal(t, carobjobstate.Unknown, r.fence(job(9)), "it could have run and been forgotten")
+		require.Equal(t, carobjobstate.Unknown, r.fence(job(10)), "it ran and its entry was evicted")
+		require.Equal(t, carobjobstate.Unknown, r.fence(job(9)), "it may have run and its entry may have been evicted")
 		require.Equal(t, carobjobstate.Done, r.fence(job(12)))
 		require.Equal(t, carobjobstate.Never, r.fence(job(99)))
 		r.offer(job(8))
-		require.Equal(t, 1, r.started(), "a late first offer is no copy")
+		require.Equal(t, 1, r.started(), "a first offer below the Ended watermark is no duplicate")
 	})
 	t.Run("tombstones", func(t *testing.T) {
 		r := newRig(limit)
@@ -229,9 +238,9 @@
 		id := job(0)
 		id.Call.Node = "entry-a"
 		r.offer(id)
-		require.Zero(t, r.started(), "its tombstone and its node's watermark are forgotten")
+		require.Zero(t, r.started(), "its tombstone and the watermark of its entry node were evicted")
 	})
-	t.Run("older incarnation of the entry", func(t *testing.T) {
+	t.Run("older incarnation of the entry node", func(t *testing.T) {
 		r := newRig(limit)
 		old := job(1)
 		r.fence(old)
--- a/pkg/carobregistry/system.go
+++ b/pkg/carobregistry/system.go
@@ -1,4 +1,5 @@
-// Package carobregistry keeps the node's own targets from their announcements.
+// Package carobregistry maintains the table of the node's own targets from their
+// announcements.
 package carobregistry
 
 import (
@@ -14,71 +15,74 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// Config is how the system is made.
+// Config holds the settings of the system.
 type Config struct {
-	// Silence is how long a target may go without an announcement before it is
-	// taken to be leaving.
+	// Silence is the time without announcements after which a target is marked as
+	// leaving.
 	Silence time.Duration
 }
 
-// forget is how long a silent target is kept.
-const forget = 5 * time.Minute
+// removalDelay is the time without announcements after which a target is removed.
+const removalDelay = 5 * time.Minute
 
-// System takes in the announcements of the targets on this node's VM.
+// System handles the announcements of the targets on this node's VM.
 type System struct {
-	silence time.Duration
+	announcementTimeout time.Duration
 }
 
 // NewSystem returns the system.
 func NewSystem(c Config) *System {
-	return &System{silence: c.Silence}
+	return &System{announcementTimeout: c.Silence}
 }
 
-// Run takes in announcements and marks silent targets as leaving.
+// Run handles the tick's announcements, marks targets without recent announcements as
+// leaving, and removes the gates of removed targets once they have no jobs.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	for _, an := range w.Inbox.Announcements {
 		switch {
-		case late(w, an):
-			note(w, an.Target, "late announcement", string(an.State))
+		case isOutdated(w, an):
+			auditChange(w, an.Target, "late announcement", string(an.State))
 		case an.Withdrawn:
-			leave(w, an)
+			handleLeave(w, an)
 		default:
-			announce(w, now, an)
+			handleAnnouncement(w, now, an)
 		}
 	}
 	for id, gt := range w.Gates.All() {
 		tg := w.Targets.Get(id)
 		switch {
 		case tg != nil && w.Owns(tg):
-			s.listen(w, now, tg)
+			s.checkTimeout(w, now, tg)
 		case gt.Running == 0 && gt.Queued == 0:
 			w.Gates.Delete(id)
 		}
 	}
 }
 
-// late reports whether a word of a target was overtaken: by a later one, or by
-// a later life at its address.
-func late(w *carobworld.World, an carobannouncement.Announcement) bool {
+// isOutdated reports whether an announcement must be ignored. A withdrawal is outdated
+// if a later incarnation of the target is known; any other announcement if it is not
+// newer than the last one from its address, or if its incarnation has left.
+func isOutdated(w *carobworld.World, an carobannouncement.Announcement) bool {
 	if an.Withdrawn {
-		lf := lifeOf(w, an.Target)
+		lf := newestLife(w, an.Target)
 		return lf != nil && an.Incarnation > 0 && an.Incarnation < lf.Incarnation
 	}
 	lf := w.Lives.Get(an.Address)
 	return lf != nil && lf.Older(an.Incarnation, an.Sequence)
 }
 
-// leave notes that a target took its leave, and forgets it.
-func leave(w *carobworld.World, an carobannouncement.Announcement) {
-	if lf := lifeOf(w, an.Target); lf != nil {
+// handleLeave removes a target that has withdrawn itself, and records that later
+// announcements of the same incarnation are to be ignored.
+func handleLeave(w *carobworld.World, an carobannouncement.Announcement) {
+	if lf := newestLife(w, an.Target); lf != nil {
 		lf.Left, an.Target = true, lf.Target
 	}
-	withdraw(w, an)
+	removeTarget(w, an)
 }
 
-// lifeOf returns the newest life of a target, or nil. A target that takes its
-// leave need not say of which service it was.
-func lifeOf(w *carobworld.World, id carobtargetid.ID) *caroblife.Life {
+// newestLife returns the record of a target's newest incarnation, or nil. The service
+// of id may be empty, because a target may withdraw without naming its service.
+func newestLife(w *carobworld.World, id carobtargetid.ID) *caroblife.Life {
 	for _, lf := range w.Lives.All() {
 		if lf.Target.Name == id.Name && (id.Service == "" || lf.Target.Service == id.Service) {
 			return lf
@@ -87,15 +91,16 @@
 	return nil
 }
 
-// live notes the life that a word is of. A target that had the address before is
-// gone, and so are the connections and the memory of an earlier life.
-func live(w *carobworld.World, now carobinstant.Instant, an carobannouncement.Announcement) {
+// recordLife records the target, incarnation and sequence of an announcement for its
+// address. It removes another target that had the address before. A target that has
+// restarted has lost its connections and its memory, so its gate counts as new.
+func recordLife(w *carobworld.World, now carobinstant.Instant, an carobannouncement.Announcement) {
 	lf := w.Lives.Get(an.Address)
 	if lf != nil && lf.Target != an.Target && an.Incarnation > 0 {
-		withdraw(w, carobannouncement.Announcement{Target: lf.Target})
+		removeTarget(w, carobannouncement.Announcement{Target: lf.Target})
 	}
 	if lf != nil && lf.Target == an.Target && lf.Incarnation != an.Incarnation {
-		note(w, an.Target, "earlier life", "new life")
+		auditChange(w, an.Target, "earlier life", "new life")
 		if gt := w.Gates.Get(an.Target); gt != nil {
 			gt.Since = now
 		}
@@ -103,8 +108,9 @@
 	w.Lives.Put(an.Address, caroblife.Life{Target: an.Target, Incarnation: an.Incarnation, Sequence: an.Sequence})
 }
 
-func announce(w *carobworld.World, now carobinstant.Instant, an carobannouncement.Announcement) {
-	live(w, now, an)
+// handleAnnouncement adds or updates the target of an announcement and its gate.
+func handleAnnouncement(w *carobworld.World, now carobinstant.Instant, an carobannouncement.Announcement) {
+	recordLife(w, now, an)
 	next := carobtarget.Target{
 		ID: an.Target, Node: w.Self.Node, Address: an.Address, Profile: an.Profile,
 		Slots: an.Slots, Conns: an.Conns, State: an.State, Heard: now,
@@ -126,44 +132,48 @@
 	if !changed {
 		return
 	}
-	note(w, an.Target, before, string(an.State))
-	tell(w)
+	auditChange(w, an.Target, before, string(an.State))
+	markTargetsChanged(w)
 }
 
-// withdraw forgets a target. Its gate stays while jobs run behind it.
-func withdraw(w *carobworld.World, an carobannouncement.Announcement) {
+// removeTarget removes the target of an announcement if it is this node's own. Its gate
+// stays until its jobs have ended.
+func removeTarget(w *carobworld.World, an carobannouncement.Announcement) {
 	tg := w.Targets.Get(an.Target)
 	if tg == nil || !w.Owns(tg) {
 		return
 	}
-	note(w, an.Target, string(tg.State), "withdrawn")
+	auditChange(w, an.Target, string(tg.State), "withdrawn")
 	w.Targets.Delete(an.Target)
-	tell(w)
+	markTargetsChanged(w)
 }
 
-func (s *System) listen(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target) {
-	due := tg.Heard.Add(s.silence)
+// checkTimeout marks a target without recent announcements as leaving, and removes it
+// after removalDelay.
+func (s *System) checkTimeout(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target) {
+	due := tg.Heard.Add(s.announcementTimeout)
 	if !due.Reached(now) {
 		w.WakeAt(due)
 		return
 	}
 	if tg.State != carobreadiness.Leaving {
-		note(w, tg.ID, string(tg.State), "silent")
+		auditChange(w, tg.ID, string(tg.State), "silent")
 		tg.State = carobreadiness.Leaving
-		tell(w)
+		markTargetsChanged(w)
 	}
-	if tg.Heard.Add(forget).Reached(now) {
-		withdraw(w, carobannouncement.Announcement{Target: tg.ID})
+	if tg.Heard.Add(removalDelay).Reached(now) {
+		removeTarget(w, carobannouncement.Announcement{Target: tg.ID})
 	}
 }
 
-// note adds a change of an own target to the audit trail.
-func note(w *carobworld.World, target carobtargetid.ID, from, to string) {
+// auditChange adds a change of one of the node's own targets to the audit stream.
+func auditChange(w *carobworld.World, target carobtargetid.ID, from, to string) {
 	w.Note("target", string(w.Self.Node), target.String(), from, to)
 }
 
-// tell makes the change part of what others hear of this node.
-func tell(w *carobworld.World) {
+// markTargetsChanged schedules the regrouping of targets and increments the version of
+// the node's own member, so that the change is gossiped to other nodes.
+func markTargetsChanged(w *carobworld.World) {
 	w.TargetsChanged = true
 	w.Self.Beat++
 }
--- a/pkg/carobregistry/system_test.go
+++ b/pkg/carobregistry/system_test.go
@@ -19,6 +19,7 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
+// rig runs the registry system of a node with an announcement timeout of 4 s.
 type rig struct {
 	world  *carobworld.World
 	system *carobregistry.System
@@ -38,7 +39,7 @@
 	r.system.Run(r.world, r.now)
 }
 
-// state returns what is known of a target; empty if it is not known.
+// state returns the readiness of a target; empty if the target is unknown.
 func (r *rig) state(name carobword.Word) carobreadiness.Readiness {
 	if tg := r.world.Targets.Get(carobtargetid.ID{Service: "lookups", Name: name}); tg != nil {
 		return tg.State
@@ -46,73 +47,75 @@
 	return ""
 }
 
-func word(name carobword.Word, life carobincarnation.Incarnation, sequence uint64, state carobreadiness.Readiness) carobannouncement.Announcement {
+func announcement(name carobword.Word, incarnation carobincarnation.Incarnation, sequence uint64, state carobreadiness.Readiness) carobannouncement.Announcement {
 	return carobannouncement.Announcement{
 		Target: carobtargetid.ID{Service: "lookups", Name: name}, Address: "127.0.0.1:1", Profile: "p",
-		Slots: 12, Conns: 1, State: state, Incarnation: life, Sequence: sequence,
+		Slots: 12, Conns: 1, State: state, Incarnation: incarnation, Sequence: sequence,
 	}
 }
 
-func leave(name carobword.Word, life carobincarnation.Incarnation) carobannouncement.Announcement {
-	return carobannouncement.Announcement{Target: carobtargetid.ID{Name: name}, Withdrawn: true, Incarnation: life}
+func leave(name carobword.Word, incarnation carobincarnation.Incarnation) carobannouncement.Announcement {
+	return carobannouncement.Announcement{Target: carobtargetid.ID{Name: name}, Withdrawn: true, Incarnation: incarnation}
 }
 
-func TestOvertakenWordsDoNotCount(t *testing.T) {
+// Guards against announcements that arrive out of order and overwrite a newer state, or
+// that restore a target which has left or whose address another target has now.
+func TestOutdatedAnnouncementsAreIgnored(t *testing.T) {
 	const ready, leaving = carobreadiness.Ready, carobreadiness.Leaving
 	for _, c := range []struct {
-		name  string
-		words []carobannouncement.Announcement
-		want  map[carobword.Word]carobreadiness.Readiness
+		name          string
+		announcements []carobannouncement.Announcement
+		want          map[carobword.Word]carobreadiness.Readiness
 	}{
 		{
 			"older sequence",
-			[]carobannouncement.Announcement{word("a", 5, 4, leaving), word("a", 5, 3, ready)},
+			[]carobannouncement.Announcement{announcement("a", 5, 4, leaving), announcement("a", 5, 3, ready)},
 			map[carobword.Word]carobreadiness.Readiness{"a": leaving},
 		},
 		{
 			"newer sequence",
-			[]carobannouncement.Announcement{word("a", 5, 4, leaving), word("a", 5, 5, ready)},
+			[]carobannouncement.Announcement{announcement("a", 5, 4, leaving), announcement("a", 5, 5, ready)},
 			map[carobword.Word]carobreadiness.Readiness{"a": ready},
 		},
 		{
-			"earlier life of another target at the address",
-			[]carobannouncement.Announcement{word("b", 7, 1, ready), word("a", 5, 9, ready)},
+			"earlier incarnation, of another target at the address",
+			[]carobannouncement.Announcement{announcement("b", 7, 1, ready), announcement("a", 5, 9, ready)},
 			map[carobword.Word]carobreadiness.Readiness{"a": "", "b": ready},
 		},
 		{
-			"later life of another target at the address",
-			[]carobannouncement.Announcement{word("a", 5, 9, ready), word("b", 7, 1, ready)},
+			"later incarnation, of another target at the address",
+			[]carobannouncement.Announcement{announcement("a", 5, 9, ready), announcement("b", 7, 1, ready)},
 			map[carobword.Word]carobreadiness.Readiness{"a": "", "b": ready},
 		},
 		{
-			"same name, later life, counts anew",
-			[]carobannouncement.Announcement{word("a", 5, 9, leaving), word("a", 7, 1, ready)},
+			"later incarnation of the same target restarts the sequence",
+			[]carobannouncement.Announcement{announcement("a", 5, 9, leaving), announcement("a", 7, 1, ready)},
 			map[carobword.Word]carobreadiness.Readiness{"a": ready},
 		},
 		{
-			"word after its leave",
-			[]carobannouncement.Announcement{word("a", 5, 1, ready), leave("a", 0), word("a", 5, 2, ready)},
+			"announcement after the target left",
+			[]carobannouncement.Announcement{announcement("a", 5, 1, ready), leave("a", 0), announcement("a", 5, 2, ready)},
 			map[carobword.Word]carobreadiness.Readiness{"a": ""},
 		},
 		{
-			"leave of an earlier life",
-			[]carobannouncement.Announcement{word("a", 7, 1, ready), leave("a", 5)},
+			"withdrawal of an earlier incarnation",
+			[]carobannouncement.Announcement{announcement("a", 7, 1, ready), leave("a", 5)},
 			map[carobword.Word]carobreadiness.Readiness{"a": ready},
 		},
 		{
-			"target that tells no life",
-			[]carobannouncement.Announcement{word("a", 0, 0, leaving), word("a", 0, 0, ready)},
+			"target without incarnation",
+			[]carobannouncement.Announcement{announcement("a", 0, 0, leaving), announcement("a", 0, 0, ready)},
 			map[carobword.Word]carobreadiness.Readiness{"a": ready},
 		},
 		{
-			"what a health path said goes behind a heartbeat",
-			[]carobannouncement.Announcement{word("a", 5, 1, leaving), word("a", 0, 0, ready)},
+			"health check result after a heartbeat",
+			[]carobannouncement.Announcement{announcement("a", 5, 1, leaving), announcement("a", 0, 0, ready)},
 			map[carobword.Word]carobreadiness.Readiness{"a": leaving},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig()
-			for _, an := range c.words {
+			for _, an := range c.announcements {
 				r.step(an)
 			}
 			for name, state := range c.want {
@@ -122,23 +125,27 @@
 	}
 }
 
+// Guards against calls to a target that has stopped without withdrawing, and against a
+// target that stays leaving after its announcements resume.
 func TestSilentTargetIsLeaving(t *testing.T) {
 	r := newRig()
-	r.step(word("a", 5, 1, carobreadiness.Ready))
+	r.step(announcement("a", 5, 1, carobreadiness.Ready))
 	r.now = r.now.Add(4 * time.Second)
 	r.step()
 	require.Equal(t, carobreadiness.Leaving, r.state("a"))
-	r.step(word("a", 5, 2, carobreadiness.Ready))
+	r.step(announcement("a", 5, 2, carobreadiness.Ready))
 	require.Equal(t, carobreadiness.Ready, r.state("a"))
 }
 
-func TestGateGoesWithItsTarget(t *testing.T) {
+// Guards against a gate that is removed while jobs still refer to it, and against one
+// that is never removed.
+func TestGateIsRemovedAfterItsLastJob(t *testing.T) {
 	r := newRig()
-	r.step(word("a", 5, 1, carobreadiness.Ready))
+	r.step(announcement("a", 5, 1, carobreadiness.Ready))
 	id := carobtargetid.ID{Service: "lookups", Name: "a"}
 	r.world.Gates.Get(id).Running = 1
 	r.step(leave("a", 5))
-	require.NotNil(t, r.world.Gates.Get(id), "a job still runs")
+	require.NotNil(t, r.world.Gates.Get(id), "a job is still running")
 	r.world.Gates.Get(id).Running = 0
 	r.step()
 	require.Nil(t, r.world.Gates.Get(id))
--- a/pkg/carobshutdown/system.go
+++ b/pkg/carobshutdown/system.go
@@ -1,4 +1,4 @@
-// Package carobshutdown brings a node to a graceful end.
+// Package carobshutdown stops a node gracefully.
 package carobshutdown
 
 import (
@@ -8,22 +8,24 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// Config is how the system is made.
+// Config holds the settings of the system.
 type Config struct {
-	// Patience is how long a node that has nothing in flight any more waits until
-	// the new homes of its calls' keys have the ends of the calls.
+	// Patience is how long a node with nothing in flight waits for the new homes of its
+	// calls' idempotency keys to receive the outcomes of those calls.
 	Patience time.Duration
-	// Linger is how long no attempt must have come, so that none is on its way
-	// to a node that has ended.
+	// Linger is the time without offers after which a node with nothing in flight stops.
+	// It prevents that attempts are still on their way to a node that has stopped.
 	Linger time.Duration
 }
 
-// System stops the node once it is asked to and nothing is in flight. That it is
-// asked to is known from the start of the tick, so that no system starts more.
+// System stops the node once a stop was requested and nothing is in flight. The request
+// is in the world from the start of its tick, so that no system starts new work in that
+// tick.
 type System struct {
 	config Config
-	// idle is since when nothing is in flight; Never while something is.
-	idle carobinstant.Instant
+	// idleSince is the time since which nothing has been in flight; Never while
+	// something is or no stop was requested.
+	idleSince carobinstant.Instant
 }
 
 // NewSystem returns the system.
@@ -31,18 +33,19 @@
 	return &System{config: c}
 }
 
-// Run ends a shutdown when the tables are empty.
+// Run orders the node to stop once there have been no calls, jobs and offers for Linger,
+// or for Patience if there are unsettled calls.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	if !w.Stopping || w.Calls.Len() > 0 || w.Jobs.Len() > 0 || len(w.Inbox.Offers) > 0 {
-		s.idle = carobinstant.Never
+		s.idleSince = carobinstant.Never
 		return
 	}
-	if s.idle == carobinstant.Never {
-		s.idle = now
+	if s.idleSince == carobinstant.Never {
+		s.idleSince = now
 	}
-	due := s.idle.Add(s.config.Linger)
+	due := s.idleSince.Add(s.config.Linger)
 	if w.Unsettled.Len() > 0 {
-		due = s.idle.Add(s.config.Patience)
+		due = s.idleSince.Add(s.config.Patience)
 	}
 	if w.Outbox.Stopped = due.Reached(now); !w.Outbox.Stopped {
 		w.WakeAt(due)
--- a/pkg/carobshutdown/system_test.go
+++ b/pkg/carobshutdown/system_test.go
@@ -25,14 +25,14 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-const patience = time.Second
+const settleTimeout = time.Second
 
-// A node ends when its calls, its jobs and the ends of keyed calls are through,
-// and waits for the last of these only so long.
-func TestEnd(t *testing.T) {
+// Guards against a node that stops while calls or jobs are in flight or calls are
+// unsettled, and against one that waits for unsettled calls longer than its limit.
+func TestNodeStopsWhenNothingIsInFlight(t *testing.T) {
 	call := carobcallid.ID{Node: "here", Sequence: 1}
 	cases := map[string]struct {
-		put, end func(w *carobworld.World)
+		add, remove func(w *carobworld.World)
 	}{
 		"call": {
 			func(w *carobworld.World) { w.Calls.Put(call, carobcall.Call{}) },
@@ -42,7 +42,7 @@
 			func(w *carobworld.World) { w.Jobs.Put(carobjobid.ID{Call: call}, carobjob.Job{}) },
 			func(w *carobworld.World) { w.Jobs.Delete(carobjobid.ID{Call: call}) },
 		},
-		"end of a keyed call": {
+		"unsettled call": {
 			func(w *carobworld.World) { w.Unsettled.Put(call, carobunsettled.Unsettled{}) },
 			func(w *carobworld.World) { w.Unsettled.Delete(call) },
 		},
@@ -50,7 +50,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()})
-			s := carobshutdown.NewSystem(carobshutdown.Config{Patience: patience})
+			s := carobshutdown.NewSystem(carobshutdown.Config{Patience: settleTimeout})
 			now := carobinstant.Instant(1)
 			step := func(in carobinbox.Inbox) bool {
 				now++
@@ -59,22 +59,22 @@
 				return w.Outbox.Stopped
 			}
 			require.False(t, step(carobinbox.Inbox{}))
-			c.put(w)
+			c.add(w)
 			require.False(t, step(carobinbox.Inbox{Stop: true}))
 			require.False(t, step(carobinbox.Inbox{}))
 			if w.Unsettled.Len() > 0 {
 				now = w.Wake()
-				require.True(t, step(carobinbox.Inbox{}), "the home may be out of reach")
+				require.True(t, step(carobinbox.Inbox{}), "the home may be unreachable")
 				return
 			}
-			c.end(w)
+			c.remove(w)
 			require.True(t, step(carobinbox.Inbox{}))
 		})
 	}
 }
 
-// The tick that brings the order to stop starts nothing more.
-func TestNoStartInTheSameTick(t *testing.T) {
+// Guards against a job that starts in the tick in which the stop is requested.
+func TestStopPreventsStartsInSameTick(t *testing.T) {
 	target := carobtargetid.ID{Service: "payouts", Name: "a"}
 	core := carobcore.NewCore(carobcore.Config{World: carobworld.Config{
 		Self: carobmember.Member{Node: "here", Incarnation: 7}, Limits: caroblimits.NewLimits(),
