--- a/pkg/carobannouncement/announcement.go
+++ b/pkg/carobannouncement/announcement.go
@@ -1,4 +1,5 @@
-// Package carobannouncement holds what a target tells the node on its VM.
+// Package carobannouncement holds the message by which a target announces itself to the
+// node on its VM.
 package carobannouncement
 
 import (
@@ -13,33 +14,35 @@
 	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
-// Announcement is a target's word about itself, repeated as a heartbeat.
+// Announcement is a target's description of itself, repeated as a heartbeat.
 type Announcement struct {
-	// Target comes from the path of the request.
+	// Target is the announced target, from the path of the request.
 	Target carobtargetid.ID `json:"-"`
-	// Withdrawn says that the target is gone; the other fields then mean nothing.
+	// Withdrawn states that the target has left. Of the other fields only Target and
+	// Incarnation are then used.
 	Withdrawn bool `json:"-"`
-	// Address is where the target answers calls, as its node reaches it.
+	// Address is the address at which the node reaches the target.
 	Address carobaddress.Address `json:"address"`
-	// Profile is the routing profile that the service picked.
+	// Profile is the routing profile that the service selected.
 	Profile carobword.Word `json:"profile"`
-	// Slots is how many calls the target runs at once, at least 1.
+	// Slots is the number of calls that the target runs at once, at least 1.
 	Slots int `json:"slots"`
-	// Conns is how many connections the target accepts, at least 1.
+	// Conns is the number of connections that the target accepts, at least 1.
 	Conns int `json:"conns"`
-	// Incarnation tells the lives of a target apart; the higher one is later. 0 is
-	// a target that does not tell.
+	// Incarnation identifies a start of the target; higher values are later starts. 0 if
+	// the target does not report it.
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
-	// Sequence grows with each announcement of a life; 0 is a target that does not
-	// count.
+	// Sequence grows with each announcement of an incarnation; 0 if the target does not
+	// number its announcements.
 	Sequence uint64 `json:"sequence"`
-	// Cold is how much longer the target is slow after its start.
+	// Cold is the remaining warm-up time, during which the target is slower than usual.
 	Cold carobspan.Span `json:"cold"`
-	// State says whether the target takes new work.
+	// State states whether the target accepts new work.
 	State carobreadiness.Readiness `json:"state"`
 }
 
-// UnmarshalJSON decodes an announcement and checks it.
+// UnmarshalJSON decodes and validates an announcement. Slots and Conns default to 1,
+// State to Ready. It returns an Invalid error for malformed fields.
 func (a *Announcement) UnmarshalJSON(text []byte) error {
 	type plain Announcement
 	an := plain{Slots: 1, Conns: 1, State: carobreadiness.Ready}
--- a/pkg/carobcheck/check.go
+++ b/pkg/carobcheck/check.go
@@ -1,4 +1,5 @@
-// Package carobcheck holds the order to ask an own target how its VM is.
+// Package carobcheck holds the effect that runs a health check of one of the node's own
+// targets.
 package carobcheck
 
 import (
@@ -6,7 +7,8 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Check orders a health check.
+// Check orders the traffic side to run a health check, which returns the target's load
+// and the slowness of its VM.
 type Check struct {
 	Target  carobtargetid.ID
 	Address carobaddress.Address
--- a/pkg/carobdecision/decision.go
+++ b/pkg/carobdecision/decision.go
@@ -1,4 +1,4 @@
-// Package carobdecision holds the decisions that on call can look up afterwards.
+// Package carobdecision holds the decisions that are logged for on-call engineers.
 package carobdecision
 
 import (
@@ -9,18 +9,21 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Decision is one decision on a request, with what it went by.
+// Decision is one decision about a request and the values that it was based on.
 type Decision struct {
-	// Part is the part of the system that decided, and Text what, in a short
-	// sentence.
+	// Part is the part of the system that made the decision, and Text states the
+	// decision in a short sentence.
 	Part, Text string
-	// Request is the caller's name for the call, and Call the system's.
+	// Request is the caller's ID of the call.
 	Request carobrequestid.ID
-	Call    carobcallid.ID
+	// Call is the system's ID of the call.
+	Call carobcallid.ID
+	// Attempt is the number of the attempt, from 1; 0 if the decision concerns none.
 	Attempt int
-	// Target is empty if the decision is not about one.
+	// Target is the target of the attempt; empty if the decision does not concern one.
 	Target carobtargetid.ID
-	// Kind is the outcome; None if all went well.
-	Kind   carobkind.Kind
+	// Kind is the error kind; None if there was no error.
+	Kind carobkind.Kind
+	// Inputs are the values that the decision was based on; nil if there are none.
 	Inputs []carobinput.Input
 }
--- a/pkg/carobfence/fence.go
+++ b/pkg/carobfence/fence.go
@@ -6,10 +6,12 @@
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 )
 
-// Fence asks a target's node what became of a job. A job that has not started
-// by then is never started. Fencing twice has the same answer or a later one.
+// Fence requests the state of a job from its target's node. A job that has not started
+// when the fence arrives is never started. A repeated fence gets the same state or a
+// later one.
 type Fence struct {
+	// Job is the job to fence.
 	Job carobjobid.ID `json:"job"`
-	// Incarnation is the life of the target's node that the job was sent to.
+	// Incarnation is the incarnation of the target's node that the job was sent to.
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
 }
--- a/pkg/carobfencereply/reply.go
+++ b/pkg/carobfencereply/reply.go
@@ -6,7 +6,7 @@
 	"github.com/carobknot/carobknot/pkg/carobjobstate"
 )
 
-// FenceReply tells a job's entry node what became of the job.
+// FenceReply reports the state of a job to its entry node.
 type FenceReply struct {
 	Job   carobjobid.ID          `json:"job"`
 	State carobjobstate.JobState `json:"state"`
--- a/pkg/carobfinish/finish.go
+++ b/pkg/carobfinish/finish.go
@@ -7,14 +7,13 @@
 	"github.com/carobknot/carobknot/pkg/carobpressure"
 )
 
-// Finish tells a target's node how a job that it started, or still had in its
-// queue, ended.
+// Finish reports to a target's node how a started or queued job has ended.
 type Finish struct {
 	Job carobjobid.ID
-	// Kind is None if the target's whole answer was passed on.
+	// Kind is the error kind; None if the target's response was forwarded completely.
 	Kind carobkind.Kind
-	// Status is the target's HTTP status; 0 if there was none.
+	// Status is the HTTP status of the target's response; 0 if there was none.
 	Status int
-	// Pressure is the target's word of its load; nil if the answer brought none.
+	// Pressure is the load that the target reported; nil if the response had none.
 	Pressure *carobpressure.Pressure
 }
--- a/pkg/carobgate/gate.go
+++ b/pkg/carobgate/gate.go
@@ -1,4 +1,4 @@
-// Package carobgate holds the rows of the gates that a node keeps before its
+// Package carobgate holds the rows of the table with the admission state of a node's
 // own targets.
 package carobgate
 
@@ -9,43 +9,49 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
-// Gate is the admission side's state of one of the node's own targets.
+// Gate is the admission state of one of the node's own targets.
 type Gate struct {
-	// Limit is the number of jobs that may run now: the announced slots, or
-	// fewer while the target is cold or slow. It is at least 1.
+	// Limit is the number of jobs that may run now: the announced slots, or fewer while
+	// the VM is slow. It is at least 1.
 	Limit int
-	// Slots is the number of jobs that the target says it runs at once.
+	// Slots is the announced number of jobs that the target runs at once.
 	Slots int
-	// Running is the number of started jobs that have not ended.
+	// Running is the number of jobs that have started and not ended.
 	Running int
 	// Queued is the number of jobs that wait for a slot.
 	Queued int
-	// Latency is the estimated time that the target takes over a call.
+	// Latency is the estimated time in which the target answers a call; 0 before the
+	// first call.
 	Latency time.Duration
-	// Slowness is how much longer than usual work takes on the VM, by the target's
-	// newest reading, which is of Told; 1 is as usual.
+	// Slowness is the factor by which work on the VM takes longer than usual, by the
+	// newest reading; 1 is the usual speed, 0 means that there is no reading.
 	Slowness float64
-	Told     carobinstant.Instant
-	// Usual is the Slowness that lasts; 0 is that of a VM as usual.
+	// Told is when the newest reading arrived; Never before the first.
+	Told carobinstant.Instant
+	// Usual is the baseline of Slowness: the newest reading that was not slow, or the
+	// level of persistent slowness; 0 before the first reading.
 	Usual float64
-	// SlowSince is since when all readings were above that, and SlowLeast the
-	// least of them; Never if the newest was not.
+	// SlowSince is the start of the current uninterrupted series of readings that are
+	// slow in relation to the baseline; Never if there is none.
 	SlowSince carobinstant.Instant
+	// SlowLeast is the lowest reading since SlowSince.
 	SlowLeast float64
-	// Asked is when the health check was ordered that is under way; Never if none is.
+	// Asked is when the outstanding health check was ordered; Never if there is none.
 	Asked carobinstant.Instant
-	// QuietUntil is until when the target is not asked, since it did not answer.
+	// QuietUntil is the end of the backoff of health checks, which begins after a check
+	// without an answer or without a reading; Never before the first.
 	QuietUntil carobinstant.Instant
-	// Checks is the budget of health checks.
+	// Checks is the token bucket that limits the rate of health checks.
 	Checks carobbucket.Bucket
-	// Awaited is when the newest job came that another call waits for; Never before the
-	// first.
+	// Awaited is when the newest nested call arrived, that is, a call for which another
+	// job waits; Never before the first.
 	Awaited carobinstant.Instant
-	// Changed says that the newest report of the target's load is out of date.
+	// Changed reports whether the load has changed since the last published report.
 	Changed bool
-	// Learned is when the newest call that Latency is made of started; Never before
+	// Learned is when the newest call that contributed to Latency started; Never before
 	// the first call.
 	Learned carobinstant.Instant
-	// Since is when the target came, for the ramp of a cold start.
+	// Since is when the target was added or last restarted. It is intended for ramping up
+	// cold targets; no system reads it yet.
 	Since carobinstant.Instant
 }
--- a/pkg/carobhealth/health.go
+++ b/pkg/carobhealth/health.go
@@ -6,9 +6,9 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Health is what came of a health check.
+// Health is the result of a health check.
 type Health struct {
 	Target carobtargetid.ID
-	// Pressure is what the target tells of its load; nil if it did not answer.
+	// Pressure is the load that the target reported; nil if it did not answer.
 	Pressure *carobpressure.Pressure
 }
--- a/pkg/carobhop/hop.go
+++ b/pkg/carobhop/hop.go
@@ -11,22 +11,28 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Hop is what one node saw of one call. The entry and the target's node each
-// keep theirs, so that a node that is killed loses no call's trace.
+// Hop is the record of one call on one node. The entry node and the target's node each
+// record their own hop, so that the trace of a call is not lost if one of them is killed.
 type Hop struct {
+	// Node is the node that recorded the hop.
 	Node carobnodeid.ID `json:"node"`
 	// Role is "entry" or "target".
-	Role    string           `json:"role"`
-	Call    carobcallid.ID   `json:"call"`
-	Attempt int              `json:"attempt"`
-	Target  carobtargetid.ID `json:"target,omitzero"`
-	// Trace is the trace context, as W3C writes it.
+	Role string `json:"role"`
+	// Call is the recorded call.
+	Call carobcallid.ID `json:"call"`
+	// Attempt is the number of the attempt, from 1; 0 if none was sent.
+	Attempt int `json:"attempt"`
+	// Target is the target of the attempt; zero if none was sent.
+	Target carobtargetid.ID `json:"target,omitzero"`
+	// Trace is the trace context in W3C format.
 	Trace string `json:"trace,omitempty"`
-	// Parent is the span that the hop came from; empty if the trace began here.
+	// Parent is the span of the previous hop in hexadecimal; empty if the trace began
+	// here.
 	Parent string `json:"parent,omitempty"`
-	// Start is when the node took the call or job in, on its own clock.
+	// Start is when the call or job arrived, by the node's own clock.
 	Start time.Time `json:"start"`
-	// Took is the time until it was over.
+	// Took is the time from Start to the end of the call or job.
 	Took carobspan.Span `json:"took"`
+	// Kind is the error kind; None if there was no error.
 	Kind carobkind.Kind `json:"kind,omitempty"`
 }
--- a/pkg/carobinput/age.go
+++ b/pkg/carobinput/age.go
@@ -6,18 +6,19 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
-// unknown stands for the age of what was never heard.
-const unknown = -1
+// unknownAge is the age of a value that was never received.
+const unknownAge = -1
 
-// Age returns how old something is in milliseconds, or -1 if it never came.
+// Age returns an input with the time from at to now in milliseconds, or -1 if at is
+// Never.
 func Age(name string, now, at carobinstant.Instant) Input {
 	if at == carobinstant.Never {
-		return Input{Name: name, Value: unknown}
+		return Input{Name: name, Value: unknownAge}
 	}
 	return Input{Name: name, Value: Ms(now.Sub(at))}
 }
 
-// Ms returns a length of time in milliseconds, to the hundredth.
+// Ms returns a duration in milliseconds, rounded to hundredths.
 func Ms(d time.Duration) float64 {
 	return float64(d.Round(10*time.Microsecond)) / float64(time.Millisecond)
 }
--- a/pkg/carobinput/input.go
+++ b/pkg/carobinput/input.go
@@ -1,9 +1,9 @@
-// Package carobinput holds what a decision went by.
+// Package carobinput holds the values that decisions are based on.
 package carobinput
 
-// Input is one figure that a decision went by.
+// Input is one value that a decision was based on.
 type Input struct {
-	// Name is a short word; lengths of time end in "ms".
+	// Name is a short word; names of durations end in "ms".
 	Name  string
 	Value float64
 }
--- a/pkg/carobjob/job.go
+++ b/pkg/carobjob/job.go
@@ -1,4 +1,4 @@
-// Package carobjob holds the rows of the jobs at a target's node.
+// Package carobjob holds the rows of the table of jobs at a target's node.
 package carobjob
 
 import (
@@ -6,13 +6,14 @@
 	"github.com/carobknot/carobknot/pkg/caroboffer"
 )
 
-// Job is an attempt of some entry node at one of this node's targets.
+// Job is an attempt that an entry node has sent to one of this node's targets.
 type Job struct {
+	// Offer is the accepted offer.
 	Offer caroboffer.Offer
-	// Came is when the offer came.
+	// Came is when the offer arrived.
 	Came carobinstant.Instant
-	// Deadline is when the caller's patience ends.
+	// Deadline is when the call times out.
 	Deadline carobinstant.Instant
-	// Started is when the job was started; Never while it waits.
+	// Started is when the job was started; Never while it is queued.
 	Started carobinstant.Instant
 }
--- a/pkg/carobjobid/id.go
+++ b/pkg/carobjobid/id.go
@@ -1,5 +1,5 @@
-// Package carobjobid names the attempts at a call, which the admission side
-// knows as jobs.
+// Package carobjobid holds the IDs of the attempts of calls, which the target's node
+// treats as jobs.
 package carobjobid
 
 import (
@@ -8,15 +8,15 @@
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 )
 
-// ID names one attempt at a call.
+// ID identifies one attempt of a call.
 type ID struct {
-	// Call is the call that is tried.
+	// Call is the call that the attempt belongs to.
 	Call carobcallid.ID `json:"call"`
-	// Attempt counts the attempts at the call from 1.
+	// Attempt is the number of the attempt, from 1.
 	Attempt int `json:"attempt"`
 }
 
-// String writes the ID as "call#attempt".
+// String returns the ID as "call#attempt".
 func (i ID) String() string {
 	return i.Call.String() + "#" + strconv.Itoa(i.Attempt)
 }
--- a/pkg/carobjobstate/state.go
+++ b/pkg/carobjobstate/state.go
@@ -1,14 +1,14 @@
-// Package carobjobstate says what became of a job, as its target's node knows it.
+// Package carobjobstate holds the states of a job that a fence reply can report.
 package carobjobstate
 
 import "github.com/carobknot/carobknot/pkg/carobkind"
 
-// JobState is the answer to a fence.
+// JobState is the state of a job as recorded at its target's node.
 type JobState string
 
 // The states.
 const (
-	// Unasked: there is no answer yet.
+	// Unasked: there is no fence reply yet.
 	Unasked JobState = ""
 	// Never: the job has not run and never will.
 	Never JobState = "never"
@@ -16,11 +16,12 @@
 	Running JobState = "running"
 	// Done: the job was started and has ended.
 	Done JobState = "done"
-	// Unknown: the node cannot tell. The job may have run.
+	// Unknown: the node has no record of the job. The job may have run.
 	Unknown JobState = "unknown"
 )
 
-// UnmarshalText decodes a state and checks it.
+// UnmarshalText decodes a state. It returns an Invalid error for any other text; the
+// empty Unasked is not accepted.
 func (s *JobState) UnmarshalText(text []byte) error {
 	switch st := JobState(text); st {
 	case Never, Running, Done, Unknown:
--- a/pkg/caroboffer/offer.go
+++ b/pkg/caroboffer/offer.go
@@ -1,4 +1,4 @@
-// Package caroboffer holds the message that a job has come to a target's node.
+// Package caroboffer holds the message that an attempt has arrived at a target's node.
 package caroboffer
 
 import (
@@ -10,18 +10,18 @@
 	"github.com/carobknot/carobknot/pkg/carobwish"
 )
 
-// Offer asks a target's node to run a job.
+// Offer is the request to a target's node to run a job.
 type Offer struct {
 	Job    carobjobid.ID
 	Target carobtargetid.ID
-	// Incarnation is the one that the entry meant.
+	// Incarnation is the incarnation of the target's node that the entry node addressed.
 	Incarnation carobincarnation.Incarnation
-	// Patience is the time left to the call.
+	// Patience is the time left until the call's deadline.
 	Patience time.Duration
-	// Wish is what the caller wants of the call.
+	// Wish holds the caller's requirements for the call.
 	Wish carobwish.Wish
 	// Key is the idempotency key; empty if there is none.
 	Key string
-	// Trace is the trace context, as W3C writes it.
+	// Trace is the trace context in W3C format; empty if there is none.
 	Trace string
 }
--- a/pkg/carobpause/system.go
+++ b/pkg/carobpause/system.go
@@ -1,5 +1,5 @@
-// Package carobpause finds out when the node was paused: the process stopped, or
-// its VM frozen. What was decided before may no longer be wanted then.
+// Package carobpause detects that the node was paused, because its process was stopped
+// or its VM was frozen. Decisions from before a pause may be out of date.
 package carobpause
 
 import (
@@ -9,20 +9,20 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// Config is how the system is made.
+// Config holds the settings of the system.
 type Config struct {
 	// Period is the longest time between two ticks.
 	Period time.Duration
-	// Allowance is the time between two ticks from which on the node counts as
-	// paused. It is longer than Period.
+	// Allowance is the time between two ticks above which the node counts as paused. It
+	// is longer than Period.
 	Allowance time.Duration
 }
 
-// System marks the ticks that come after a pause.
+// System marks the ticks that follow a pause.
 type System struct {
 	config Config
-	// last is the instant of the last tick; Never before the first.
-	last carobinstant.Instant
+	// lastTick is the instant of the previous tick; Never before the first.
+	lastTick carobinstant.Instant
 }
 
 // NewSystem returns the system.
@@ -30,9 +30,10 @@
 	return &System{config: c}
 }
 
-// Run compares the instant of this tick with that of the last.
+// Run sets Paused if more than Allowance has passed since the previous tick, and
+// schedules the next tick.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	w.Paused = s.last != carobinstant.Never && now.Sub(s.last) > s.config.Allowance
-	s.last = now
+	w.Paused = s.lastTick != carobinstant.Never && now.Sub(s.lastTick) > s.config.Allowance
+	s.lastTick = now
 	w.WakeAt(now.Add(s.config.Period))
 }
--- a/pkg/carobpause/system_test.go
+++ b/pkg/carobpause/system_test.go
@@ -32,9 +32,9 @@
 	allowance = time.Second
 )
 
-// A node that was paused starts nothing that it took in before, nor what came
-// while it was paused.
-func TestPausedNodeStartsNothingOld(t *testing.T) {
+// Guards against a node that, after a pause, starts jobs which were queued before the
+// pause or arrived during it, although their callers may have given up.
+func TestPausedNodeRefusesOldJobs(t *testing.T) {
 	for name, c := range map[string]struct {
 		gap    time.Duration
 		paused bool
@@ -50,7 +50,7 @@
 			now := carobinstant.Instant(1)
 			step(now, carobinbox.Inbox{Offers: []caroboffer.Offer{offer(1), offer(2)}})
 			require.Len(t, w.Outbox.Starts, 1)
-			require.True(t, w.Wake().Reached(now.Add(period)), "an idle node ticks too")
+			require.True(t, w.Wake().Reached(now.Add(period)), "an idle node schedules its next tick")
 
 			now = now.Add(c.gap)
 			step(now, carobinbox.Inbox{
@@ -66,7 +66,7 @@
 			}, w.Outbox.Refusals)
 
 			step(now+1, carobinbox.Inbox{Offers: []caroboffer.Offer{offer(4)}})
-			require.Len(t, w.Outbox.Starts, 1, "what comes after is served")
+			require.Len(t, w.Outbox.Starts, 1, "a job that is offered after the pause starts")
 		})
 	}
 }
@@ -78,7 +78,7 @@
 	return caroboffer.Offer{Job: id, Target: target, Incarnation: 7, Patience: time.Minute}
 }
 
-// world returns the world of a node whose target has one slot.
+// world returns the tables of a node whose target has one slot.
 func world() *carobworld.World {
 	w := carobworld.NewWorld(carobworld.Config{
 		Self: carobmember.Member{Node: "here", Incarnation: 7}, Limits: caroblimits.NewLimits(),
--- a/pkg/carobpoll/poll.go
+++ b/pkg/carobpoll/poll.go
@@ -1,10 +1,10 @@
-// Package carobpoll holds the question for the load of a target.
+// Package carobpoll holds the message that requests the load of a target.
 package carobpoll
 
 import "github.com/carobknot/carobknot/pkg/carobtargetid"
 
-// Poll asks a target's node for a report.
+// Poll requests a report from a target's node.
 type Poll struct {
-	// Target is checked when it is decoded.
+	// Target is the target whose load is requested. It is validated when it is decoded.
 	Target carobtargetid.ID `json:"target"`
 }
--- a/pkg/carobrefusal/refusal.go
+++ b/pkg/carobrefusal/refusal.go
@@ -1,4 +1,4 @@
-// Package carobrefusal holds the order to refuse a job.
+// Package carobrefusal holds the effect that refuses a job.
 package carobrefusal
 
 import (
@@ -6,9 +6,10 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Refusal orders that a job is refused. The job did not start and never will.
+// Refusal orders the traffic side to refuse a job. The job has not started and never
+// will.
 type Refusal struct {
 	Job carobjobid.ID
-	// Kind says why. Its outcome is NotRun.
+	// Kind is the reason of the refusal. Its outcome is NotRun.
 	Kind carobkind.Kind
 }
--- a/pkg/carobshutdown/system.go
+++ b/pkg/carobshutdown/system.go
@@ -14,7 +14,7 @@
 	// calls' idempotency keys to receive the outcomes of those calls.
 	Patience time.Duration
 	// Linger is the time without offers after which a node with nothing in flight stops.
-	// It prevents that attempts are still on their way to a node that has stopped.
+	// It ensures that no attempt is still on its way to the node when it stops.
 	Linger time.Duration
 }
 
--- a/pkg/carobstart/start.go
+++ b/pkg/carobstart/start.go
@@ -1,4 +1,4 @@
-// Package carobstart holds the order to start a job on its target.
+// Package carobstart holds the effect that starts a job on its target.
 package carobstart
 
 import (
@@ -9,15 +9,16 @@
 	"github.com/carobknot/carobknot/pkg/carobonce"
 )
 
-// Start orders that a job is sent to its target.
+// Start orders the traffic side to send a job to its target.
 type Start struct {
 	Job carobjobid.ID
-	// Address is the target's.
+	// Address is the target's address.
 	Address carobaddress.Address
-	// Patience is the time left to the call.
+	// Patience is the time left until the call's deadline.
 	Patience time.Duration
-	// Once says how often the call may run.
+	// Once states how often the call may run.
 	Once carobonce.Once
-	// Trace is the trace context for the target, as W3C writes it.
+	// Trace is the trace context for the target in W3C format; empty if it is not
+	// propagated.
 	Trace string
 }
--- a/pkg/carobstream/stream.go
+++ b/pkg/carobstream/stream.go
@@ -1,4 +1,4 @@
-// Package carobstream names the streams that the system keeps in the log.
+// Package carobstream holds the names of the log streams that the system uses.
 package carobstream
 
 // Stream is the name of a stream in the platform's log.
@@ -6,14 +6,14 @@
 
 // The streams.
 const (
-	// Profiles has the changes of profiles.
+	// Profiles holds the changes of profiles.
 	Profiles Stream = "profiles"
-	// Nodes has a record for each start of a node.
+	// Nodes holds a record for each start of a node.
 	Nodes Stream = "nodes"
-	// Claims has the claims of idempotency keys.
+	// Claims holds the claims of idempotency keys.
 	Claims Stream = "claims"
-	// Traces has the hops of calls.
+	// Traces holds the hops of calls.
 	Traces Stream = "traces"
-	// Audit has who changed what.
+	// Audit holds the audit records of changes.
 	Audit Stream = "audit"
 )
--- a/pkg/carobtrace/trace.go
+++ b/pkg/carobtrace/trace.go
@@ -1,5 +1,5 @@
-// Package carobtrace holds the rows of the hops that are under way, which become
-// trace records when they are over.
+// Package carobtrace holds the rows of the tables of hops in progress, which become trace
+// records when they end.
 package carobtrace
 
 import (
@@ -8,13 +8,16 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Trace is the hop of one call at its entry, or of one job at its target's node.
+// Trace is the hop in progress of one call at its entry node, or of one job at its
+// target's node.
 type Trace struct {
-	// Own is the hop's span, which the next hop has as its parent.
+	// Own is the hop's own span, which is the parent of the next hop's span.
 	Own carobparent.Parent
-	// Parent is the span that the hop came from; zero if the trace began here.
+	// Parent is the span of the previous hop; zero if the trace began here.
 	Parent carobparent.Parent
-	Start  carobinstant.Instant
-	// Targets has the target of attempt n at index n-1.
+	// Start is when the hop started.
+	Start carobinstant.Instant
+	// Targets holds the target of attempt n of a call at index n-1. For a job it holds
+	// the job's target.
 	Targets []carobtargetid.ID
 }
--- a/pkg/carobtracing/system.go
+++ b/pkg/carobtracing/system.go
@@ -1,5 +1,5 @@
-// Package carobtracing follows each call through its node: it hands the trace
-// context on from hop to hop and records every hop that is over.
+// Package carobtracing traces each call on its node: it propagates the trace context from
+// hop to hop and records every hop that has ended.
 package carobtracing
 
 import (
@@ -19,21 +19,22 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// Config is how the system is made.
+// Config holds the settings of the system.
 type Config struct {
-	// Seed is what all span ids follow from.
+	// Seed is the seed of the random span IDs.
 	Seed uint64
-	// Alone says that hops are recorded without being handed on: nobody reads them
-	// together, and a trace context costs bytes on each hop.
+	// Alone disables the propagation of trace contexts; hops are still recorded. It is
+	// for deployments that do not join the hops of a call, because a trace context costs
+	// bytes on each hop.
 	Alone bool
 }
 
-// System reads what the other systems of the tick took in and ordered, so that
-// it runs after them and they need not know of it.
+// System reads the inbox and the outbox of the tick. It runs after the systems that it
+// traces, so that they do not depend on it.
 type System struct {
-	// random is apart from the world's, so that tracing changes no decision.
-	random *rand.Rand
-	alone  bool
+	// random is separate from the world's source, so that tracing changes no decision.
+	random        *rand.Rand
+	noPropagation bool
 }
 
 // Roles of hops.
@@ -45,31 +46,35 @@
 // NewSystem returns the system.
 func NewSystem(c Config) *System {
 	const stream = 2
-	return &System{alone: c.Alone, random: rand.New(rand.NewPCG(c.Seed, stream))} //nolint:gosec // span ids are no secret
+	return &System{noPropagation: c.Alone, random: rand.New(rand.NewPCG(c.Seed, stream))} //nolint:gosec // span IDs are not secret
 }
 
-// Run opens, hands on and closes the hops of the tick.
+// Run opens the hops of calls and offers that arrived in the tick, propagates trace
+// contexts to outgoing attempts and starts, and records the hops that ended.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	s.open(w, now)
-	handOn(w, s.alone)
+	s.openHops(w, now)
+	propagate(w, s.noPropagation)
 	closeCalls(w, now)
 	closeJobs(w, now)
 }
 
-func (s *System) open(w *carobworld.World, now carobinstant.Instant) {
+// openHops adds a row for each call and each offer that arrived.
+func (s *System) openHops(w *carobworld.World, now carobinstant.Instant) {
 	for i := range w.Inbox.Arrivals {
 		ar := &w.Inbox.Arrivals[i]
-		w.CallTraces.Put(ar.Call, s.begin(ar.Trace, now))
+		w.CallTraces.Put(ar.Call, s.newTrace(ar.Trace, now))
 	}
 	for i := range w.Inbox.Offers {
 		of := &w.Inbox.Offers[i]
-		tr := s.begin(of.Trace, now)
+		tr := s.newTrace(of.Trace, now)
 		tr.Targets = []carobtargetid.ID{of.Target}
 		w.JobTraces.Put(of.Job, tr)
 	}
 }
 
-func (s *System) begin(header string, now carobinstant.Instant) carobtrace.Trace {
+// newTrace returns a hop whose parent is the span in the header, or the first hop of a
+// new trace if the header is not a valid trace context.
+func (s *System) newTrace(header string, now carobinstant.Instant) carobtrace.Trace {
 	parent, ok := carobparent.Parse(header)
 	if !ok {
 		return carobtrace.Trace{Own: carobparent.NewParent(s.random), Start: now}
@@ -77,25 +82,27 @@
 	return carobtrace.Trace{Own: parent.Child(s.random), Parent: parent, Start: now}
 }
 
-// handOn gives the context to the attempts and jobs that go out.
-func handOn(w *carobworld.World, alone bool) {
+// propagate records the targets of the attempts that are sent and, unless propagation is
+// disabled, adds the trace context to outgoing attempts and starts.
+func propagate(w *carobworld.World, noPropagation bool) {
 	for i := range w.Outbox.Sends {
 		sd := &w.Outbox.Sends[i]
 		if tr := w.CallTraces.Get(sd.Job.Call); tr != nil {
 			tr.Targets = append(tr.Targets, sd.Target)
-			if !alone {
+			if !noPropagation {
 				sd.Trace = tr.Own.String()
 			}
 		}
 	}
 	for i := range w.Outbox.Starts {
 		st := &w.Outbox.Starts[i]
-		if tr := w.JobTraces.Get(st.Job); tr != nil && !alone {
+		if tr := w.JobTraces.Get(st.Job); tr != nil && !noPropagation {
 			st.Trace = tr.Own.String()
 		}
 	}
 }
 
+// closeCalls records the calls that ended in this tick.
 func closeCalls(w *carobworld.World, now carobinstant.Instant) {
 	for _, cn := range w.Outbox.Conclusions {
 		if cn.Kind != carobkind.None {
@@ -107,7 +114,8 @@
 	}
 }
 
-// closeCall records the end of a call. An attempt of 0 is the last one.
+// closeCall records the hop of a call that has ended. An attempt of 0 means the last one
+// sent. It does nothing if the call's hop has been recorded already.
 func closeCall(w *carobworld.World, now carobinstant.Instant, call carobcallid.ID, attempt int, kind carobkind.Kind) {
 	tr := w.CallTraces.Get(call)
 	if tr == nil {
@@ -116,7 +124,7 @@
 	if attempt == 0 {
 		attempt = len(tr.Targets)
 	}
-	hp := hop(w, now, tr)
+	hp := newHop(w, now, tr)
 	hp.Role, hp.Call, hp.Attempt, hp.Kind = entry, call, attempt, kind
 	if 0 < attempt && attempt <= len(tr.Targets) {
 		hp.Target = tr.Targets[attempt-1]
@@ -125,6 +133,7 @@
 	w.CallTraces.Delete(call)
 }
 
+// closeJobs records the jobs that were refused or finished in this tick.
 func closeJobs(w *carobworld.World, now carobinstant.Instant) {
 	for _, rf := range w.Outbox.Refusals {
 		closeJob(w, now, rf.Job, rf.Kind)
@@ -134,18 +143,22 @@
 	}
 }
 
+// closeJob records the hop of a job that has ended. It does nothing if the job's hop has
+// been recorded already.
 func closeJob(w *carobworld.World, now carobinstant.Instant, job carobjobid.ID, kind carobkind.Kind) {
 	tr := w.JobTraces.Get(job)
 	if tr == nil {
 		return
 	}
-	hp := hop(w, now, tr)
+	hp := newHop(w, now, tr)
 	hp.Role, hp.Call, hp.Attempt, hp.Target, hp.Kind = target, job.Call, job.Attempt, tr.Targets[0], kind
 	w.Outbox.Hops = append(w.Outbox.Hops, hp)
 	w.JobTraces.Delete(job)
 }
 
-func hop(w *carobworld.World, now carobinstant.Instant, tr *carobtrace.Trace) carobhop.Hop {
+// newHop returns the record of a hop that ends now, without its role, call, attempt,
+// target and kind.
+func newHop(w *carobworld.World, now carobinstant.Instant, tr *carobtrace.Trace) carobhop.Hop {
 	hp := carobhop.Hop{
 		Node: w.Self.Node, Trace: tr.Own.String(),
 		Start: time.Unix(0, int64(tr.Start)).UTC(), Took: carobspan.Span(now.Sub(tr.Start)),
--- a/pkg/carobtracing/system_test.go
+++ b/pkg/carobtracing/system_test.go
@@ -36,7 +36,7 @@
 
 func job(attempt int) carobjobid.ID { return carobjobid.ID{Call: call, Attempt: attempt} }
 
-// node runs the system over ticks whose messages and effects are given.
+// node runs the tracing system on ticks with a given inbox and outbox.
 type node struct {
 	world  *carobworld.World
 	system *System
@@ -50,7 +50,7 @@
 	}
 }
 
-// tick runs one tick, a millisecond after the last, and returns its hops.
+// tick runs one tick, a millisecond after the previous one, and returns its hops.
 func (n *node) tick(in carobinbox.Inbox, out caroboutbox.Outbox) []carobhop.Hop {
 	n.now = n.now.Add(time.Millisecond)
 	n.world.Begin(in)
@@ -59,7 +59,7 @@
 	return n.world.Outbox.Hops
 }
 
-// parse checks that a header is a trace context.
+// parse requires a header to be a valid trace context and returns the context.
 func parse(t *testing.T, header string) carobparent.Parent {
 	t.Helper()
 	p, ok := carobparent.Parse(header)
@@ -67,7 +67,9 @@
 	return p
 }
 
-func TestAnsweredCall(t *testing.T) {
+// Guards against hops that cannot be joined to one trace, and against a hop with the
+// target of another attempt than the answered one.
+func TestAnsweredCallHasHopOnEachNode(t *testing.T) {
 	near, far := newNode(), newNode()
 	arrival := carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{Call: call}}}
 	require.Empty(t, near.tick(arrival, caroboutbox.Outbox{Sends: []carobsend.Send{{Job: job(1), Target: first}}}))
@@ -91,13 +93,14 @@
 	hops = near.tick(carobinbox.Inbox{Deliveries: []carobdelivery.Delivery{{Job: job(1)}}}, caroboutbox.Outbox{})
 	require.Len(t, hops, 1)
 	require.Equal(t, entry, hops[0].Role)
-	require.Equal(t, first, hops[0].Target, "of the attempt that was delivered, not of the last one")
+	require.Equal(t, first, hops[0].Target, "the target is that of the delivered attempt, not of the last one")
 	require.Equal(t, carobspan.Span(2*time.Millisecond), hops[0].Took)
 	require.Equal(t, sent, hops[0].Trace)
 	require.Empty(t, hops[0].Parent)
 }
 
-func TestRefusedCall(t *testing.T) {
+// Guards against refused calls and jobs that have no record or leave rows in the tables.
+func TestRefusedCallHasHops(t *testing.T) {
 	near, far := newNode(), newNode()
 	hops := far.tick(carobinbox.Inbox{Offers: []caroboffer.Offer{{Job: job(1), Target: first}}},
 		caroboutbox.Outbox{Refusals: []carobrefusal.Refusal{{Job: job(1), Kind: carobkind.Busy}}})
@@ -109,11 +112,12 @@
 	require.Len(t, hops, 1)
 	require.Equal(t, carobkind.NoTarget, hops[0].Kind)
 	require.Zero(t, hops[0].Attempt)
-	require.Zero(t, near.world.CallTraces.Len()+far.world.JobTraces.Len(), "no row stays behind")
+	require.Zero(t, near.world.CallTraces.Len()+far.world.JobTraces.Len(), "no row is left")
 }
 
-// A call that ends twice in the eyes of the traffic has one record.
-func TestOneRecord(t *testing.T) {
+// Guards against two records of one call. The traffic side may report the end of a call
+// more than once: by a conclusion, and by deliveries in the same or a later tick.
+func TestCallIsRecordedOnce(t *testing.T) {
 	near := newNode()
 	near.tick(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{Call: call}}}, caroboutbox.Outbox{})
 	hops := near.tick(carobinbox.Inbox{Deliveries: []carobdelivery.Delivery{{Job: job(1), Kind: carobkind.Cut}}},
--- a/pkg/carobwatermark/watermark.go
+++ b/pkg/carobwatermark/watermark.go
@@ -1,19 +1,20 @@
-// Package carobwatermark holds the rows that stand in for what a target's node
-// has forgotten about the jobs of an entry node.
+// Package carobwatermark holds the bounds that replace evicted records of jobs, one row
+// for each entry node.
 package carobwatermark
 
 import "github.com/carobknot/carobknot/pkg/carobincarnation"
 
-// Watermark bounds the call sequences of one incarnation of an entry node whose
-// jobs were forgotten. Calls above the bounds were not.
+// Watermark bounds the call sequences of an entry node's incarnation whose job records
+// were evicted from Ended or Tombstones. No record of a call above the bounds was
+// evicted.
 type Watermark struct {
-	// Incarnation is the newest one of the entry node that jobs were forgotten
-	// of. Nothing is known of jobs of older ones.
+	// Incarnation is the newest incarnation of the entry node with evicted records. Jobs
+	// of older incarnations count as below the bounds.
 	Incarnation carobincarnation.Incarnation
-	// Ended is the highest sequence of a call with a forgotten ended job; a
-	// fence of a job up to it may find nothing though the job has run.
+	// Ended is the highest sequence of a call with an evicted record of an ended job. A
+	// job up to it may have run although there is no record of it.
 	Ended uint64
-	// Fenced is the highest sequence of a call with a forgotten tombstone; jobs
-	// up to it are refused, since one of them was promised never to run.
+	// Fenced is the highest sequence of a call with an evicted tombstone. Jobs up to it
+	// are refused, because any of them may have been fenced.
 	Fenced uint64
 }
