--- a/pkg/carobcore/core.go
+++ b/pkg/carobcore/core.go
@@ -1,8 +1,7 @@
 // Package carobcore runs the systems of a node over its tables.
 //
-// The core does no I/O and reads no clock: the same world, messages and instants
-// lead to the same effects every time. Whoever embeds it carries messages in
-// and effects out.
+// The core does no I/O and reads no clock: the same world, input and instants always
+// produce the same effects. The caller delivers the input and carries out the effects.
 package carobcore
 
 import (
@@ -43,27 +42,27 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// system is one rule that runs over the tables each tick.
+// system runs over the tables once each tick.
 type system interface {
 	Run(w *carobworld.World, now carobinstant.Instant)
 }
 
-// Config is how a core is made.
+// Config holds the settings that a Core is created with.
 type Config struct {
 	World carobworld.Config
-	// Seeds are addresses of other nodes to begin with.
+	// Seeds are addresses of other nodes to contact at the start.
 	Seeds []carobaddress.Address
-	// Profiles are in force from the start, without having been published. May be
-	// empty.
+	// Profiles are in force from the start without having been published in the log. May
+	// be empty.
 	Profiles []carobprofile.Profile
-	// Silence is how long a target may go without an announcement; 0 is the
-	// default.
+	// Silence is how long a target may go without an announcement before it expires; 0
+	// selects the default of 3 s.
 	Silence time.Duration
-	// Untraced says that no trace context is handed on.
+	// Untraced disables the propagation of trace context.
 	Untraced bool
 }
 
-// Core is the decisions of one node.
+// Core makes all decisions of one node.
 type Core struct {
 	world *carobworld.World
 	// systems run in this order each tick.
@@ -71,22 +70,34 @@
 }
 
 const (
-	tickPeriod    = 200 * time.Millisecond
-	tickAllowance = time.Second
-	// claimPatience is longer than an append to the log may take.
-	claimPatience = 2500 * time.Millisecond
-	claimGap      = 25 * time.Millisecond
-	claimLull     = 200 * time.Millisecond
-	claimPause    = 200 * time.Millisecond
-	lastLinger    = 500 * time.Millisecond
-	lastPatience  = 3 * time.Second
-	claimKeys     = 50_000
-	claimKept     = 4 << 20
-	// targetSilence is how long a target may go without an announcement.
-	targetSilence = 3 * time.Second
+	// maxTickInterval is the longest time between two ticks.
+	maxTickInterval = 200 * time.Millisecond
+	// pauseThreshold is the time between two ticks from which on the node counts as paused.
+	pauseThreshold = time.Second
+	// claimReadBackTimeout is how long a batch of claims may take to be read back
+	// before it is appended again. It is longer than an append to the log may take.
+	claimReadBackTimeout = 2500 * time.Millisecond
+	// claimAppendInterval is the shortest time between two appends to one stream,
+	// and settlementAppendInterval the same for appends of settlements only.
+	claimAppendInterval      = 25 * time.Millisecond
+	settlementAppendInterval = 200 * time.Millisecond
+	// claimRetryDelay is the time before an append that the log refused is retried.
+	claimRetryDelay = 200 * time.Millisecond
+	// shutdownLinger is how long no attempt must have arrived before a node that shuts down
+	// may exit, so that none is still on its way to it.
+	shutdownLinger = 500 * time.Millisecond
+	// shutdownHandoverTimeout is how long an idle node that shuts down waits
+	// for the new homes of its calls' keys to receive the outcomes of the calls.
+	shutdownHandoverTimeout = 3 * time.Second
+	// maxClaimKeys and maxClaimBytes limit the claims of each shard: the number of keys,
+	// and the bytes of the answers kept with them.
+	maxClaimKeys  = 50_000
+	maxClaimBytes = 4 << 20
+	// targetTimeout is how long a target may go without an announcement before it expires.
+	targetTimeout = 3 * time.Second
 )
 
-// NewCore returns a core with empty tables.
+// NewCore returns a Core with empty tables, apart from the configured profiles.
 func NewCore(c Config) *Core {
 	world := carobworld.NewWorld(c.World)
 	for _, pf := range c.Profiles {
@@ -95,8 +106,8 @@
 	return &Core{
 		world: world,
 		systems: []system{
-			carobpause.NewSystem(carobpause.Config{Period: tickPeriod, Allowance: tickAllowance}),
-			carobregistry.NewSystem(carobregistry.Config{Silence: cmp.Or(c.Silence, targetSilence)}),
+			carobpause.NewSystem(carobpause.Config{Period: maxTickInterval, Allowance: pauseThreshold}),
+			carobregistry.NewSystem(carobregistry.Config{Silence: cmp.Or(c.Silence, targetTimeout)}),
 			carobjoining.NewSystem(carobjoining.Config{Seeds: c.Seeds}),
 			carobmembership.NewSystem(),
 			carobdetection.NewSystem(),
@@ -110,7 +121,8 @@
 			carobfencing.NewSystem(),
 			carobadmission.NewSystem(),
 			carobclaiming.NewSystem(carobclaiming.Config{
-				Gap: claimGap, Lull: claimLull, Patience: claimPatience, Pause: claimPause, Keys: claimKeys, Kept: claimKept,
+				Gap: claimAppendInterval, Lull: settlementAppendInterval, Patience: claimReadBackTimeout,
+				Pause: claimRetryDelay, Keys: maxClaimKeys, Kept: maxClaimBytes,
 			}),
 			carobentry.NewSystem(),
 			carobprobing.NewSystem(),
@@ -118,27 +130,29 @@
 			carobejection.NewSystem(),
 			carobhedging.NewSystem(),
 			carobtracing.NewSystem(carobtracing.Config{Seed: c.World.Seed, Alone: c.Untraced}),
-			carobshutdown.NewSystem(carobshutdown.Config{Patience: lastPatience, Linger: lastLinger}),
+			carobshutdown.NewSystem(carobshutdown.Config{Patience: shutdownHandoverTimeout, Linger: shutdownLinger}),
 			carobdissemination.NewSystem(),
 		},
 	}
 }
 
-// Step runs one tick: the messages that came together, at one instant.
-func (c *Core) Step(now carobinstant.Instant, in carobinbox.Inbox) *caroboutbox.Outbox {
-	c.world.Begin(in)
+// Step runs one tick at the given instant over the input that came since the last one, and
+// returns the effects. The outbox is valid until the next call.
+func (c *Core) Step(now carobinstant.Instant, input carobinbox.Inbox) *caroboutbox.Outbox {
+	c.world.Begin(input)
 	for _, s := range c.systems {
 		s.Run(c.world, now)
 	}
 	return &c.world.Outbox
 }
 
-// Wake returns when the next tick is due though no message comes, or Never.
+// Wake returns when the next tick is due even if no input arrives; Never if no system
+// requested one.
 func (c *Core) Wake() carobinstant.Instant {
 	return c.world.Wake()
 }
 
-// World gives access to the tables, to look at between ticks.
+// World returns the tables, to be inspected between ticks.
 func (c *Core) World() *carobworld.World {
 	return c.world
 }
--- a/pkg/carobinbox/inbox.go
+++ b/pkg/carobinbox/inbox.go
@@ -1,4 +1,4 @@
-// Package carobinbox holds the messages that a tick starts with.
+// Package carobinbox holds the input of a tick.
 package carobinbox
 
 import (
@@ -18,37 +18,39 @@
 	"github.com/carobknot/carobknot/pkg/carobroutes"
 )
 
-// Inbox has one queue for each kind of message from the traffic goroutines.
-// Systems read the queues that concern them. A later system, or a later message
-// in its queue, sees what the earlier ones did.
+// Inbox has one queue for each kind of input from the traffic goroutines. Systems read the
+// queues that concern them. A later system, or a later entry of a queue, sees the table
+// changes made by the earlier ones.
 type Inbox struct {
-	// Messages are from other nodes.
+	// Messages are control messages from other nodes.
 	Messages []carobmessage.Message
 
 	// Membership, targets and the log.
 
 	Announcements []carobannouncement.Announcement
 	Records       []carobrecord.Record
-	// Marks say how far the streams reach that Records are from.
+	// Marks are the bounds of the log streams that Records were read from.
 	Marks []carobmark.Mark
-	// Routes are the route tables that the store gave.
+	// Routes are the route tables read from the store.
 	Routes []*carobroutes.Routes
-	// Blind says whether the store could be read, the newest last.
+	// Blind has a value for each change of whether the store can be read, true if it
+	// cannot, the newest last.
 	Blind []bool
-	// Stop asks the node to shut down gracefully.
+	// Stop requests a graceful shutdown of the node.
 	Stop bool
-	// Ending is when the node ends at the latest, if that is known since this tick.
+	// Ending is the deadline of the shutdown, in the tick in which it becomes known; Never
+	// otherwise.
 	Ending carobinstant.Instant
-	// End gives the calls under way their last answer: the node ends now.
+	// End requests a final response for all calls in flight, because the node exits now.
 	End bool
 
 	// Admission and claims.
 
 	Offers   []caroboffer.Offer
 	Finishes []carobfinish.Finish
-	// Healths are what came of health checks.
+	// Healths are the results of health checks.
 	Healths []carobhealth.Health
-	// Committed has how appends of claims went.
+	// Committed has the results of appending claims to the log.
 	Committed []carobcommitted.Committed
 
 	// Entry and routing.
@@ -56,6 +58,6 @@
 	Arrivals   []carobarrival.Arrival
 	Replies    []carobreply.Reply
 	Deliveries []carobdelivery.Delivery
-	// Hangups are the calls whose callers are gone.
+	// Hangups are the calls whose callers have disconnected.
 	Hangups []carobcallid.ID
 }
--- a/pkg/caroboutbox/outbox.go
+++ b/pkg/caroboutbox/outbox.go
@@ -1,4 +1,4 @@
-// Package caroboutbox holds the effects that a tick ends with.
+// Package caroboutbox holds the effects of a tick.
 package caroboutbox
 
 import (
@@ -21,45 +21,47 @@
 	"github.com/carobknot/carobknot/pkg/carobstart"
 )
 
-// Outbox has one queue for each kind of effect. Systems append; the traffic
-// goroutines carry out and decide nothing.
+// Outbox has one queue for each kind of effect. Systems append to the queues; the traffic
+// goroutines carry the effects out and make no decisions.
 type Outbox struct {
-	// Messages are to other nodes.
+	// Messages are control messages to other nodes.
 	Messages []carobmessage.Message
 
 	// Membership and the log.
 
 	Appends []carobappend.Append
-	// ChangeResults say what became of the changes of profiles that were folded in.
+	// ChangeResults are the results of the profile changes that were applied.
 	ChangeResults []carobchangeresult.ChangeResult
-	// Following says whether this node follows the operator's records from now on.
+	// Following says whether this node reads the operator's records from the store.
 	Following bool
-	// Hold is how long the store may hold a follower's read that finds nothing.
+	// Hold is how long the store may hold open a long-poll read that finds nothing new. It
+	// is set only if Following is true.
 	Hold time.Duration
-	// Stopped says that a graceful shutdown is complete.
+	// Stopped is true when a graceful shutdown is complete.
 	Stopped bool
 
 	// Admission and claims.
 
 	Starts   []carobstart.Start
 	Refusals []carobrefusal.Refusal
-	// Commits are appended to the log, and how that went is told.
+	// Commits are batches of claims to append to the log. The result of each comes back in
+	// the inbox.
 	Commits []carobcommit.Commit
-	// Follows are the streams to follow from now on, or not any more.
+	// Follows are the log streams to start or stop reading.
 	Follows []carobfollow.Follow
-	// Checks are health checks of own targets.
+	// Checks are health checks of the node's own targets.
 	Checks []carobcheck.Check
-	// Reports are what answers and refusals carry from now on.
+	// Reports are the target loads to attach to answers and refusals from now on.
 	Reports []carobreport.Report
 
 	// Entry and routing.
 
 	Sends []carobsend.Send
-	// Cancels are attempts whose reply is no longer wanted.
+	// Cancels are attempts whose reply is no longer needed.
 	Cancels     []carobjobid.ID
 	Conclusions []carobconclusion.Conclusion
 
-	// What on call and auditors see.
+	// Audit trail, decisions and traces.
 
 	Audits    []carobaudit.Audit
 	Decisions []carobdecision.Decision
--- a/pkg/carobworld/calls.go
+++ b/pkg/carobworld/calls.go
@@ -18,8 +18,8 @@
 	"github.com/carobknot/carobknot/pkg/carobwatermark"
 )
 
-// makeCalls makes the tables of calls, admission and claims.
-func (w *World) makeCalls(lm caroblimits.Limits) {
+// makeCallTables creates the tables of calls, admission and claims.
+func (w *World) makeCallTables(lm caroblimits.Limits) {
 	w.Calls = carobtable.NewTable[carobcallid.ID, carobcall.Call](carobtable.Config{Limit: lm.Calls})
 	w.Jobs = carobtable.NewTable[carobjobid.ID, carobjob.Job](carobtable.Config{Limit: lm.Jobs})
 	w.Budgets = carobtable.NewTable[carobservice.Service, carobbudget.Budget](carobtable.Config{Limit: lm.Targets})
--- a/pkg/carobworld/members.go
+++ b/pkg/carobworld/members.go
@@ -8,7 +8,8 @@
 	"github.com/carobknot/carobknot/pkg/carobversion"
 )
 
-// Describe returns this node as others hear of it.
+// Describe returns this node's description of itself as it is gossiped to other nodes:
+// with the targets that the node admits jobs to, up to the maximum for one VM.
 func (w *World) Describe() carobmember.Member {
 	mb := w.Self
 	mb.Leaving = w.Stopping
@@ -21,13 +22,15 @@
 	return mb
 }
 
-// PartOf returns the part of the table of peers that a node belongs to.
+// PartOf returns the partition of the peer table that a node belongs to. It depends on the
+// node's id alone, so all nodes agree on it.
 func PartOf(node carobnodeid.ID) int {
 	return int(carobversion.Hash(node) % carobprobe.Parts)
 }
 
-// Sums returns a checksum of each part of the table of peers, this node's own word
-// included. Nodes that are lost do not count, since others may have dropped them.
+// Sums returns a checksum of each partition of the peer table, this node's own description
+// included. Nodes that are down don't count, because other nodes may already have dropped
+// their rows.
 func (w *World) Sums() []uint64 {
 	sums := make([]uint64, carobprobe.Parts)
 	sums[PartOf(w.Self.Node)] = w.Self.Version().Sum()
@@ -39,25 +42,25 @@
 	return sums
 }
 
-// SomePeers returns up to n peers that pass a test, each as likely as the others.
-func (w *World) SomePeers(n int, test func(pr *carobpeer.Peer) bool) []*carobpeer.Peer {
-	var some []*carobpeer.Peer
+// SomePeers returns up to n peers for which eligible returns true, sampled uniformly at random.
+func (w *World) SomePeers(n int, eligible func(pr *carobpeer.Peer) bool) []*carobpeer.Peer {
+	var sample []*carobpeer.Peer
 	seen := 0
 	for _, pr := range w.Peers.All() {
-		if !test(pr) {
+		if !eligible(pr) {
 			continue
 		}
 		seen++
-		if len(some) < n {
-			some = append(some, pr)
+		if len(sample) < n {
+			sample = append(sample, pr)
 		} else if i := w.Random.IntN(seen); i < n {
-			some[i] = pr
+			sample[i] = pr
 		}
 	}
-	return some
+	return sample
 }
 
-// DropTargets takes the targets of a node out of the table.
+// DropTargets removes all targets of a node from the target table.
 func (w *World) DropTargets(node carobnodeid.ID) {
 	w.TargetsChanged = true
 	for id, tg := range w.Targets.All() {
--- a/pkg/carobworld/world.go
+++ b/pkg/carobworld/world.go
@@ -52,111 +52,119 @@
 	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
-// Config is how a world is made.
+// Config holds the settings that a World is created with.
 type Config struct {
-	// Self describes this node as others will hear of it.
+	// Self is this node's description of itself.
 	Self    carobmember.Member
 	Limits  caroblimits.Limits
 	Measure carobmeasure.Measure
 	Retries carobretries.Retries
-	// Seed is what all random choices follow from.
+	// Seed is the seed of the random number generator.
 	Seed uint64
 }
 
-// World is the tables of a node, and the messages and effects of the tick at
-// hand. It belongs to the control goroutine.
+// World holds the tables of a node, and the input and effects of the current tick. Only
+// the control goroutine accesses it.
 type World struct {
-	// Self is this node; its Targets are filled in when it is gossiped.
+	// Self is this node's description of itself. Its targets are filled in only when it is
+	// gossiped.
 	Self    carobmember.Member
 	Limits  caroblimits.Limits
 	Measure carobmeasure.Measure
 	Retries carobretries.Retries
-	// Random is the only source of chance for systems.
+	// Random is the only random number generator that systems use, so that a run is
+	// reproducible from its seed.
 	Random *rand.Rand
-	// Stopping says that the node is shutting down.
+	// Stopping is true once a graceful shutdown has begun.
 	Stopping bool
-	// Ending is when the node ends at the latest; Never while it is to stay.
+	// Ending is the deadline of the shutdown; Never until a shutdown begins.
 	Ending carobinstant.Instant
 
 	// Membership and targets.
 
-	// Targets has all targets known, the node's own among them.
+	// Targets has all known targets, including the node's own.
 	Targets *carobtable.Table[carobtargetid.ID, carobtarget.Target]
-	// Lives has the newest life of a target at each address on the VM.
+	// Lives has the newest incarnation of a target at each address on the VM.
 	Lives *carobtable.Table[carobaddress.Address, caroblife.Life]
-	// TargetsChanged says that Groups does not match Targets yet.
+	// TargetsChanged is true while Groups is out of date with respect to Targets.
 	TargetsChanged bool
-	// Groups has the services of Targets.
+	// Groups has the targets by service, derived from Targets.
 	Groups *carobtable.Table[carobservice.Service, carobgroup.Group]
-	// Peers has all other nodes known.
+	// Peers has all other known nodes.
 	Peers *carobtable.Table[carobnodeid.ID, carobpeer.Peer]
-	// PeerChanges counts the changes of Peers.
+	// PeerChanges counts the changes of Peers, so that systems can tell when values
+	// derived from it are out of date.
 	PeerChanges uint64
-	// News has the peers whose newest word is still to be passed on.
+	// News has the peers whose newest description this node still has to gossip.
 	News *carobtable.Table[carobnodeid.ID, struct{}]
-	// Hints has where nodes were by the log, of nodes that are not known.
+	// Hints has the addresses that the log records for nodes that are not known as peers.
+	// A node may no longer be at its address.
 	Hints *carobtable.Table[carobnodeid.ID, carobaddress.Address]
-	// Inquiries has the probes that are not answered, by their numbers.
+	// Inquiries has the heartbeats that have not been answered, by their number.
 	Inquiries *carobtable.Table[uint64, carobinquiry.Inquiry]
-	// Farewell says that this node has said goodbye to the others.
+	// Farewell is true once this node has announced to other nodes that it leaves.
 	Farewell bool
 
 	// Routing and measuring.
 
-	// Loads has the entry side's view of targets.
+	// Loads has the load of targets as this node sees it as an entry.
 	Loads *carobtable.Table[carobtargetid.ID, carobload.Load]
-	// Buckets has the budget of measuring.
+	// Buckets has the token buckets that limit the cost of measuring.
 	Buckets *carobtable.Table[carobword.Word, carobbucket.Bucket]
-	// Paces has how fast services answer.
+	// Paces has the latency statistics of each service.
 	Paces *carobtable.Table[carobservice.Service, carobpace.Pace]
 
 	// Calls, admission and claims.
 
 	// Calls has the calls that this node is the entry of.
 	Calls *carobtable.Table[carobcallid.ID, carobcall.Call]
-	// Gates has the admission side's state of the node's own targets.
+	// Gates has the admission state of the node's own targets.
 	Gates *carobtable.Table[carobtargetid.ID, carobgate.Gate]
 	// Jobs has the jobs at the node's own targets.
 	Jobs *carobtable.Table[carobjobid.ID, carobjob.Job]
-	// Ended has the newest started jobs that have ended.
+	// Ended has the most recent jobs that were started and have ended.
 	Ended *carobring.Ring[carobjobid.ID, carobfinish.Finish]
-	// Tombstones has the newest jobs that were promised never to run.
+	// Tombstones has the most recent fenced jobs: those that must never run.
 	Tombstones *carobring.Ring[carobjobid.ID, struct{}]
-	// Watermarks stand in for the forgotten rows of Ended and Tombstones.
+	// Watermarks has, for each entry node, bounds that stand for the rows evicted from
+	// Ended and Tombstones.
 	Watermarks *carobring.Ring[carobnodeid.ID, carobwatermark.Watermark]
-	// Forgotten and Barred stand in for forgotten watermarks: the newest
-	// incarnation of those, and of those with tombstones. They never go down.
+	// Forgotten and Barred stand for evicted watermarks. Forgotten is the highest
+	// incarnation of an evicted watermark, and Barred the highest of one that covered
+	// tombstones. Neither ever decreases.
 	Forgotten, Barred carobincarnation.Incarnation
-	// Budgets has the budget of each service's resends and hedges.
+	// Budgets has each service's budget of retries and hedges.
 	Budgets *carobtable.Table[carobservice.Service, carobbudget.Budget]
 	// Homes has the shards of idempotency keys that this node is home of.
 	Homes *carobtable.Table[carobshard.Shard, carobhome.Home]
-	// Commits counts the batches of claims of this node.
+	// Commits counts the batches of claims that this node has appended.
 	Commits uint64
-	// Unsettled has the ended calls whose ends their homes do not have yet.
+	// Unsettled has the ended calls whose outcome their homes have not confirmed yet.
 	Unsettled *carobtable.Table[carobcallid.ID, carobunsettled.Unsettled]
-	// Paused says that more time passed before this tick than ticks allow.
+	// Paused is true if more time passed before this tick than is allowed between two
+	// ticks.
 	Paused bool
 
 	// Profiles and routes.
 
 	// Routes is the route table in force; nil if none is known. Its version never
-	// goes down.
+	// decreases.
 	Routes *carobroutes.Routes
-	// Behind says that the log may have newer profiles than this node, which has
-	// just started. None is in force until then.
+	// Behind is true after a start until the node has read the log, which may hold newer
+	// profiles. Until then no profile from the log is in force.
 	Behind bool
-	// ProfilesRead is the offset of the newest change that was folded in. It
-	// never goes down.
+	// ProfilesRead is the offset of the newest profile change that was applied; None if
+	// there is none. It never decreases.
 	ProfilesRead caroboffset.Offset
 	// Profiles has the profiles in force.
 	Profiles *carobtable.Table[carobword.Word, carobrevision.Revision]
-	// Changes has the newest records that were folded in, for nodes that miss them.
+	// Changes has the most recently applied records, to send to nodes that lack them.
 	Changes *carobtable.Table[caroboffset.Offset, carobrecord.Record]
-	// HeldChanges has the records behind a gap; all offsets are above ProfilesRead.
+	// HeldChanges has the records that follow a gap in the offsets. All their offsets are
+	// above ProfilesRead.
 	HeldChanges *carobtable.Table[caroboffset.Offset, carobrecord.Record]
-	// Snapshot is the offset of the newest snapshot in the log, and
-	// SnapshotThrough the last offset that one holds; None if none is known.
+	// Snapshot is the offset of the newest snapshot in the log, and SnapshotThrough the
+	// last offset that the snapshot covers. Both are None if no snapshot is known.
 	Snapshot        caroboffset.Offset
 	SnapshotThrough caroboffset.Offset
 
@@ -172,25 +180,25 @@
 	Inbox  carobinbox.Inbox
 	Outbox caroboutbox.Outbox
 
-	// wake is when the next tick is due though no message comes.
+	// wake is when the next tick is due even if no input arrives.
 	wake carobinstant.Instant
 }
 
-// Bounds of the tables of profile records.
+// Row limits of the tables of profile records.
 const (
-	keptChanges = 256
-	heldChanges = 1024
+	maxRecentChanges = 256
+	maxHeldChanges   = 1024
 )
 
-// inquiries is the most probes that wait for an answer.
-const inquiries = 64
+// maxUnansweredHeartbeats is the maximum number of unanswered heartbeats.
+const maxUnansweredHeartbeats = 64
 
-// NewWorld returns a world with empty tables.
+// NewWorld returns a World with empty tables. Zero Retries are replaced by the defaults.
 func NewWorld(c Config) *World {
 	const (
-		stream = 1
-		// measures is how many things the budget of measuring caps.
-		measures = 2
+		randomStream = 1
+		// measureBuckets is the number of things whose measuring cost is limited.
+		measureBuckets = 2
 	)
 	if c.Retries == (carobretries.Retries{}) {
 		c.Retries = carobretries.NewRetries()
@@ -199,58 +207,59 @@
 		Self:         c.Self,
 		ProfilesRead: caroboffset.None,
 		Snapshot:     caroboffset.None, SnapshotThrough: caroboffset.None,
-		Changes:     carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: keptChanges}),
-		HeldChanges: carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: heldChanges}),
+		Changes:     carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: maxRecentChanges}),
+		HeldChanges: carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: maxHeldChanges}),
 		Limits:      c.Limits,
 		Measure:     c.Measure,
-		Random:      rand.New(rand.NewPCG(c.Seed, stream)), //nolint:gosec // choices must repeat under a seed
+		Random:      rand.New(rand.NewPCG(c.Seed, randomStream)), //nolint:gosec // runs must be reproducible from a seed
 		Targets:     carobtable.NewTable[carobtargetid.ID, carobtarget.Target](carobtable.Config{Limit: c.Limits.Targets}),
 		Lives:       carobtable.NewTable[carobaddress.Address, caroblife.Life](carobtable.Config{Limit: carobmember.MostTargets}),
 		Retries:     c.Retries,
 		Groups:      carobtable.NewTable[carobservice.Service, carobgroup.Group](carobtable.Config{Limit: c.Limits.Targets}),
-		Buckets:     carobtable.NewTable[carobword.Word, carobbucket.Bucket](carobtable.Config{Limit: measures}),
+		Buckets:     carobtable.NewTable[carobword.Word, carobbucket.Bucket](carobtable.Config{Limit: measureBuckets}),
 		Paces:       carobtable.NewTable[carobservice.Service, carobpace.Pace](carobtable.Config{Limit: c.Limits.Targets}),
 		Loads:       carobtable.NewTable[carobtargetid.ID, carobload.Load](carobtable.Config{Limit: c.Limits.Targets}),
 		Gates:       carobtable.NewTable[carobtargetid.ID, carobgate.Gate](carobtable.Config{Limit: c.Limits.Targets}),
 		News:        carobtable.NewTable[carobnodeid.ID, struct{}](carobtable.Config{Limit: c.Limits.Peers}),
 		Hints:       carobtable.NewTable[carobnodeid.ID, carobaddress.Address](carobtable.Config{Limit: c.Limits.Peers}),
-		Inquiries:   carobtable.NewTable[uint64, carobinquiry.Inquiry](carobtable.Config{Limit: inquiries}),
+		Inquiries:   carobtable.NewTable[uint64, carobinquiry.Inquiry](carobtable.Config{Limit: maxUnansweredHeartbeats}),
 		Peers:       carobtable.NewTable[carobnodeid.ID, carobpeer.Peer](carobtable.Config{Limit: c.Limits.Peers}),
 		CallTraces:  carobtable.NewTable[carobcallid.ID, carobtrace.Trace](carobtable.Config{Limit: 2 * c.Limits.Calls}),
 		JobTraces:   carobtable.NewTable[carobjobid.ID, carobtrace.Trace](carobtable.Config{Limit: 2 * c.Limits.Jobs}),
 		Profiles:    carobtable.NewTable[carobword.Word, carobrevision.Revision](carobtable.Config{Limit: carobrevision.Most}),
 	}
-	w.makeCalls(c.Limits)
+	w.makeCallTables(c.Limits)
 	return w
 }
 
-// WakeAt asks for a tick at an instant at the latest.
+// WakeAt requests a tick no later than the given instant.
 func (w *World) WakeAt(at carobinstant.Instant) {
 	w.wake = carobinstant.Earlier(w.wake, at)
 }
 
-// Wake returns when the next tick is due, or Never.
+// Wake returns when the next tick is due even if no input arrives; Never if no system
+// requested one.
 func (w *World) Wake() carobinstant.Instant {
 	return w.wake
 }
 
-// Begin takes in the messages of a new tick.
-func (w *World) Begin(in carobinbox.Inbox) {
-	w.Inbox = in
+// Begin starts a tick: it sets the input, and clears the effects and the wake time.
+func (w *World) Begin(input carobinbox.Inbox) {
+	w.Inbox = input
 	w.Outbox = caroboutbox.Outbox{}
 	w.wake = carobinstant.Never
-	if in.Ending != carobinstant.Never {
-		w.Ending = in.Ending
+	if input.Ending != carobinstant.Never {
+		w.Ending = input.Ending
 	}
-	if in.Stop && !w.Stopping {
+	if input.Stop && !w.Stopping {
 		w.Stopping = true
 		w.Self.Beat++
 	}
 }
 
-// ProfileOf returns the profile in force for a service, or nil if its targets
-// or the profile that they picked are not known. Those that stand in the settings
-// do not wait for the log.
+// ProfileOf returns the profile in force for a service. It is nil if no target of the
+// service is known, or if the profile that its targets name is not known or comes from a
+// log that this node has yet to read. Profiles from the settings are in force at once.
 func (w *World) ProfileOf(service carobservice.Service) *carobprofile.Profile {
 	gp := w.Groups.Get(service)
 	if gp == nil {
@@ -263,29 +272,30 @@
 	return &rv.Change.Profile
 }
 
-// BudgetOf returns the budget of a service's resends and hedges. When the table
-// is full, a service without a row has none to spend.
+// BudgetOf returns a service's budget of retries and hedges. If the table is full, a
+// service without a row gets an empty budget, which allows none.
 func (w *World) BudgetOf(service carobservice.Service) *carobbudget.Budget {
 	if bg := w.Budgets.Get(service); bg != nil {
 		return bg
 	}
-	if bg := w.Budgets.Put(service, carobbudget.Budget{Tokens: w.savedRetries()}); bg != nil {
+	if bg := w.Budgets.Put(service, carobbudget.Budget{Tokens: w.maxRetryTokens()}); bg != nil {
 		return bg
 	}
 	return &carobbudget.Budget{}
 }
 
-// EarnRetry takes a call into the budget of its service.
+// EarnRetry credits the budget of a service for a call.
 func (w *World) EarnRetry(service carobservice.Service) {
-	w.BudgetOf(service).Earn(float64(w.Retries.Share), w.savedRetries())
+	w.BudgetOf(service).Earn(float64(w.Retries.Share), w.maxRetryTokens())
 }
 
-// savedRetries returns the most resends that this node saves up.
-func (w *World) savedRetries() float64 {
+// maxRetryTokens returns the maximum number of retries that this node's budget of a service
+// can accumulate. It depends on the number of nodes.
+func (w *World) maxRetryTokens() float64 {
 	return w.Retries.Most(w.Peers.Len() + 1)
 }
 
-// TakeSnapshot returns the profiles in force as they are now.
+// TakeSnapshot returns a snapshot of the profiles in force.
 func (w *World) TakeSnapshot() carobsnapshot.Snapshot {
 	sn := carobsnapshot.Snapshot{Through: w.ProfilesRead, Revisions: make([]carobrevision.Revision, 0, w.Profiles.Len())}
 	for _, rv := range w.Profiles.All() {
@@ -299,7 +309,8 @@
 	return tg.Node == w.Self.Node
 }
 
-// RoutesVersion returns the version of the route table in force, or None.
+// RoutesVersion returns the version of the route table in force; None if there is no
+// table.
 func (w *World) RoutesVersion() carobrouteversion.Version {
 	if w.Routes == nil {
 		return carobrouteversion.None
@@ -307,26 +318,26 @@
 	return w.Routes.Version
 }
 
-// NoteRoutes adds a newer route table to the audit trail.
+// NoteRoutes records in the audit trail that a newer route table came from a source.
 func (w *World) NoteRoutes(from string, rs *carobroutes.Routes) {
 	w.Note("routes", from, "route table",
 		strconv.FormatUint(uint64(w.RoutesVersion()), 10), strconv.FormatUint(uint64(rs.Version), 10))
 }
 
-// Tell sends a control message from this node.
+// Tell enqueues a control message and fills in this node as its sender.
 func (w *World) Tell(ms carobmessage.Message) {
 	ms.From, ms.Incarnation, ms.Back = w.Self.Node, w.Self.Incarnation, w.Self.Peer
 	ms.RoutesVersion = w.RoutesVersion()
 	w.Outbox.Messages = append(w.Outbox.Messages, ms)
 }
 
-// Decide adds a decision to what those on call can look up.
+// Decide records a decision for later lookup by operators.
 func (w *World) Decide(dc carobdecision.Decision) {
 	w.Outbox.Decisions = append(w.Outbox.Decisions, dc)
 }
 
-// Note adds an entry to the audit trail: a part of the system saw that something
-// changed, and by whom.
+// Note records a change in the audit trail: the part of the system that saw it, who made
+// it, what changed, and the old and new value.
 func (w *World) Note(part, who, what, from, to string) {
 	w.Outbox.Audits = append(w.Outbox.Audits, carobaudit.Audit{Part: part, Who: who, What: what, From: from, To: to})
 }
