--- /dev/null
+++ b/pkg/carobdetection/monitorset.go
@@ -0,0 +1,98 @@
+package carobdetection
+
+import (
+	"slices"
+	"time"
+
+	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobnodeid"
+	"github.com/carobknot/carobknot/pkg/carobpeer"
+	"github.com/carobknot/carobknot/pkg/carobversion"
+	"github.com/carobknot/carobknot/pkg/carobworld"
+)
+
+// The composition of the monitor set. It changes slowly so that connections can be reused: a
+// connection to each of 660 nodes would take more memory than a node has.
+const (
+	successors = 3
+	randomNear = 3
+	randomFar  = 2
+	// redrawInterval is the time between two draws of the random members.
+	redrawInterval = 10 * time.Second
+)
+
+// monitorSet is the set of nodes that this node sends heartbeats to, in turn.
+type monitorSet struct {
+	nodes []carobnodeid.ID
+	// current is the index of the node that was chosen last.
+	current int
+	// nextDraw is when the set is drawn again, and peerCount the number of peers at the last draw.
+	// A changed number of peers makes a new draw due at once.
+	nextDraw  carobinstant.Instant
+	peerCount int
+}
+
+// next returns the next peer that is not down; nil if there is none.
+func (m *monitorSet) next(w *carobworld.World, now carobinstant.Instant) *carobpeer.Peer {
+	if m.nextDraw == carobinstant.Never || m.nextDraw.Reached(now) || m.peerCount != w.Peers.Len() {
+		m.draw(w)
+		m.nextDraw, m.peerCount = now.Add(redrawInterval), w.Peers.Len()
+	}
+	for range m.nodes {
+		m.current = (m.current + 1) % len(m.nodes)
+		pr := w.Peers.Get(m.nodes[m.current])
+		if pr != nil && !pr.Member.Standing.Lost() {
+			return pr
+		}
+	}
+	return nil
+}
+
+// draw fills the set with the successors on the ring and random peers of this node's data
+// centre and of others.
+func (m *monitorSet) draw(w *carobworld.World) {
+	m.nodes = ringSuccessors(w)
+	add := func(sample []*carobpeer.Peer) {
+		for _, pr := range sample {
+			if !slices.Contains(m.nodes, pr.Member.Node) {
+				m.nodes = append(m.nodes, pr.Member.Node)
+			}
+		}
+	}
+	add(w.SomePeers(randomNear, func(pr *carobpeer.Peer) bool {
+		return !pr.Member.Standing.Lost() && pr.Member.Centre == w.Self.Centre
+	}))
+	add(w.SomePeers(randomFar, func(pr *carobpeer.Peer) bool {
+		return !pr.Member.Standing.Lost() && pr.Member.Centre != w.Self.Centre
+	}))
+}
+
+// ringSuccessors returns the nearest nodes that follow this one on the hash ring of node ids.
+func ringSuccessors(w *carobworld.World) []carobnodeid.ID {
+	type successor struct {
+		node     carobnodeid.ID
+		distance uint64
+	}
+	own := carobversion.Hash(w.Self.Node)
+	var next []successor
+	for id, pr := range w.Peers.All() {
+		if pr.Member.Standing.Lost() {
+			continue
+		}
+		next = append(next, successor{id, carobversion.Hash(id) - own})
+		if i := len(next) - 1; i >= successors {
+			slices.SortFunc(next, func(a, b successor) int {
+				if a.distance < b.distance {
+					return -1
+				}
+				return 1
+			})
+			next = next[:successors]
+		}
+	}
+	nodes := make([]carobnodeid.ID, 0, successors)
+	for _, p := range next {
+		nodes = append(nodes, p.node)
+	}
+	return nodes
+}
--- a/pkg/carobdetection/restart_test.go
+++ b/pkg/carobdetection/restart_test.go
@@ -16,23 +16,26 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-func TestNodeThatSaidGoodbyeIsLookedForWhileItMayComeBack(t *testing.T) {
+// A node that left may be restarting at its address, with no way to find its peers if it
+// cannot read the log. Its old peers must send it heartbeats for a limited time, with the
+// checksums that make both sides compare their peer tables.
+func TestNodeThatLeftGetsHeartbeatsWhileItMayRestart(t *testing.T) {
 	start := carobinstant.Instant(time.Hour)
 	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "self", Peer: "127.0.0.1:1"}, Limits: caroblimits.NewLimits()})
 	w.Peers.Put("gone", carobpeer.Peer{
 		Member: carobmember.Member{Node: "gone", Peer: "127.0.0.1:2", Standing: carobstanding.Gone}, Since: start,
 	})
 	system := carobdetection.NewSystem()
-	asked := map[bool]int{}
+	sent := map[bool]int{}
 	for now := start; now.Sub(start) < time.Minute; now = now.Add(100 * time.Millisecond) {
 		w.Begin(carobinbox.Inbox{})
 		system.Run(w, now)
 		for _, ms := range w.Outbox.Messages {
 			require.EqualValues(t, "127.0.0.1:2", ms.To)
-			require.NotEmpty(t, ms.Probe.Sums, "so that both compare what they know")
-			asked[now.Sub(start) < 25*time.Second]++
+			require.NotEmpty(t, ms.Probe.Sums, "checksums let both sides compare their peer tables")
+			sent[now.Sub(start) < 25*time.Second]++
 		}
 	}
-	require.GreaterOrEqual(t, asked[true], 5)
-	require.Zero(t, asked[false], "it is not expected back any more")
+	require.GreaterOrEqual(t, sent[true], 5)
+	require.Zero(t, sent[false], "the node is no longer expected to restart")
 }
--- a/pkg/carobdetection/system.go
+++ b/pkg/carobdetection/system.go
@@ -1,10 +1,11 @@
-// Package carobdetection finds out which nodes are there.
+// Package carobdetection detects which nodes are alive, in the manner of SWIM.
 //
-// Each node probes a few others in turn: those that follow it on a ring of all
-// nodes, so that every node has some that probe it, and some at random, more in
-// its own data centre than elsewhere. One that does not answer is probed through
-// others. Then it is suspected, and unless it refutes that, it is unreachable. It
-// is not forgotten: now and then an unreachable node is probed again.
+// Each node sends heartbeats to a few others in turn: to its successors on a ring of all
+// nodes, so that every node is monitored by some, and to random nodes, more of them in its
+// own data centre than elsewhere. If a node does not answer, others are asked to send it a
+// heartbeat too. If that fails, the node is suspected, and it becomes unreachable unless
+// it refutes the suspicion in time. Unreachable nodes are still sent a heartbeat
+// occasionally.
 package carobdetection
 
 import (
@@ -22,64 +23,67 @@
 )
 
 const (
-	// period is the time between two probes.
-	period = 500 * time.Millisecond
-	// patience is how long an answer may take; then others are asked to probe too,
-	// and get as long again.
-	patience = 500 * time.Millisecond
-	// suspicion is how long a node has to refute that it is unreachable.
-	suspicion = 3 * time.Second
-	// relays is how many others are asked to probe.
-	relays = 3
-	// revisit is the time between two probes of unreachable nodes.
-	revisit = 2 * time.Second
-	// revisits is how many of them are probed at once: in a rolling restart several
-	// are expected back.
-	revisits = 3
-	// restart is how long after its goodbye a node may be expected back.
-	restart = 20 * time.Second
-	// pause is the time without a tick after which this node was stopped for a
-	// while, so that others seem silent and are not.
-	pause = 2 * time.Second
+	// heartbeatInterval is the time between two heartbeats.
+	heartbeatInterval = 500 * time.Millisecond
+	// answerTimeout is how long to wait for an answer. After that other nodes are asked to
+	// relay the heartbeat, and the wait is as long again.
+	answerTimeout = 500 * time.Millisecond
+	// suspicionTimeout is how long a suspected node has to refute the suspicion.
+	suspicionTimeout = 3 * time.Second
+	// relayFanout is the number of nodes that are asked to relay a heartbeat.
+	relayFanout = 3
+	// downInterval is the time between two rounds of heartbeats to nodes that are down.
+	downInterval = 2 * time.Second
+	// downFanout is the number of such nodes per round. It is above 1 because several nodes
+	// may be restarting at once in a rolling restart.
+	downFanout = 3
+	// restartWindow is how long a node that left is expected to restart at its address.
+	restartWindow = 20 * time.Second
+	// pauseThreshold is the time between two ticks from which on this node counts as paused. The
+	// answers of others went unread meanwhile, so their silence proves nothing.
+	pauseThreshold = 2 * time.Second
 )
 
-// System probes other nodes and judges them.
+// System sends heartbeats to other nodes and sets their liveness state.
 type System struct {
-	circle circle
-	// number is that of the newest probe.
+	monitored monitorSet
+	// number is that of the last heartbeat sent.
 	number uint64
-	// due and again are when the next probe, and that of an unreachable node, is.
-	due, again carobinstant.Instant
-	// last is when the newest tick was.
-	last carobinstant.Instant
+	// nextHeartbeat is when the next heartbeat is sent, and nextDownRound when nodes that are down are next
+	// sent one. Both are Never before the first.
+	nextHeartbeat, nextDownRound carobinstant.Instant
+	// lastTick is the instant of the last tick; Never before the first.
+	lastTick carobinstant.Instant
 }
 
-// NewSystem returns the system.
+// NewSystem returns a System that draws its monitor set on the first tick.
 func NewSystem() *System {
 	return &System{}
 }
 
-// Run answers probes, sends some, and judges those that did not answer.
+// Run answers heartbeats, sends new ones, and updates the state of nodes that did not
+// answer.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	s.forgivePause(w, now)
+	s.resetAfterPause(w, now)
 	for i := range w.Inbox.Messages {
-		listen(w, now, &w.Inbox.Messages[i])
+		receive(w, now, &w.Inbox.Messages[i])
 	}
-	s.chase(w, now)
-	if s.due == carobinstant.Never || s.due.Reached(now) {
-		s.due = now.Add(period)
-		condemn(w, now)
-		s.probe(w, now)
-		s.revisit(w, now)
+	s.expireHeartbeats(w, now)
+	if s.nextHeartbeat == carobinstant.Never || s.nextHeartbeat.Reached(now) {
+		s.nextHeartbeat = now.Add(heartbeatInterval)
+		expireSuspicions(w, now)
+		s.monitorNext(w, now)
+		s.retryDown(w, now)
 	}
-	w.WakeAt(s.due)
+	w.WakeAt(s.nextHeartbeat)
 }
 
-// forgivePause gives everyone more time after this node was stopped.
-func (s *System) forgivePause(w *carobworld.World, now carobinstant.Instant) {
-	stopped := s.last != carobinstant.Never && now.Sub(s.last) > pause
-	s.last = now
-	if !stopped {
+// resetAfterPause discards pending heartbeats and restarts the suspicion time-outs after this
+// node was paused, so that a pause of this node does not make others unreachable.
+func (s *System) resetAfterPause(w *carobworld.World, now carobinstant.Instant) {
+	paused := s.lastTick != carobinstant.Never && now.Sub(s.lastTick) > pauseThreshold
+	s.lastTick = now
+	if !paused {
 		return
 	}
 	for number := range w.Inquiries.All() {
@@ -92,28 +96,32 @@
 	}
 }
 
-func listen(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message) {
+// receive handles one message from another node.
+func receive(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message) {
 	if pr := w.Peers.Get(ms.From); pr != nil {
-		hear(w, now, ms, pr)
+		markHeard(w, now, ms, pr)
 	}
 	if pb := ms.Probe; pb != nil {
 		answer(w, ms, pb)
 	}
 }
 
-// hear notes that a node is there. One that others take for lost, or for another
-// incarnation, is told so, that it may refute it.
-func hear(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message, pr *carobpeer.Peer) {
+// markHeard records that a peer is alive. If this node has the peer as suspect or down, or with
+// a newer incarnation, it sends the peer that description, so that the peer can refute it.
+func markHeard(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message, pr *carobpeer.Peer) {
 	if ms.Incarnation == pr.Member.Incarnation {
 		pr.Heard = now
 	}
-	wrong := ms.Incarnation < pr.Member.Incarnation ||
+	outdated := ms.Incarnation < pr.Member.Incarnation ||
 		ms.Incarnation == pr.Member.Incarnation && pr.Member.Standing != carobstanding.Alive
-	if wrong && ms.Probe != nil {
+	if outdated && ms.Probe != nil {
 		w.Tell(carobmessage.Message{To: ms.Back, Gossip: &carobgossip.Gossip{Members: []carobmember.Member{pr.Member}}})
 	}
 }
 
+// answer handles a heartbeat: it forwards a relayed answer to the node that requested the
+// relay, removes an answered heartbeat from the pending ones, relays a heartbeat for
+// another node, or answers a heartbeat to this node.
 func answer(w *carobworld.World, ms *carobmessage.Message, pb *carobprobe.Probe) {
 	switch {
 	case pb.Answer && pb.Origin != "" && pb.Origin != w.Self.Peer:
@@ -135,12 +143,13 @@
 	}
 }
 
-// chase asks others to probe nodes that do not answer, and then suspects them.
-func (s *System) chase(w *carobworld.World, now carobinstant.Instant) {
+// expireHeartbeats handles the heartbeats that timed out: it first asks other nodes to relay them,
+// and after a second time-out suspects the node.
+func (s *System) expireHeartbeats(w *carobworld.World, now carobinstant.Instant) {
 	for number, iq := range w.Inquiries.All() {
-		due := iq.Sent.Add(patience)
+		due := iq.Sent.Add(answerTimeout)
 		if iq.Relayed {
-			due = due.Add(patience)
+			due = due.Add(answerTimeout)
 		}
 		if !due.Reached(now) {
 			w.WakeAt(due)
@@ -156,13 +165,14 @@
 		default:
 			iq.Relayed = true
 			relay(w, number, pr)
-			w.WakeAt(due.Add(patience))
+			w.WakeAt(due.Add(answerTimeout))
 		}
 	}
 }
 
+// relay asks random live peers to send the heartbeat to a node in place of this one.
 func relay(w *carobworld.World, number uint64, pr *carobpeer.Peer) {
-	others := w.SomePeers(relays, func(o *carobpeer.Peer) bool {
+	others := w.SomePeers(relayFanout, func(o *carobpeer.Peer) bool {
 		return o.Member.Standing == carobstanding.Alive && o.Member.Node != pr.Member.Node
 	})
 	for _, o := range others {
@@ -176,65 +186,68 @@
 	if pr.Member.Standing != carobstanding.Alive {
 		return
 	}
-	judge(w, now, pr, carobstanding.Suspect)
+	setState(w, now, pr, carobstanding.Suspect)
 }
 
-// condemn gives up suspects that did not refute in time.
-func condemn(w *carobworld.World, now carobinstant.Instant) {
+// expireSuspicions marks suspects as unreachable that did not refute the suspicion in time, and
+// removes their targets from the target table.
+func expireSuspicions(w *carobworld.World, now carobinstant.Instant) {
 	for _, pr := range w.Peers.All() {
-		if pr.Member.Standing == carobstanding.Suspect && pr.Since.Add(suspicion).Reached(now) {
-			judge(w, now, pr, carobstanding.Unreachable)
+		if pr.Member.Standing == carobstanding.Suspect && pr.Since.Add(suspicionTimeout).Reached(now) {
+			setState(w, now, pr, carobstanding.Unreachable)
 			w.DropTargets(pr.Member.Node)
 		}
 	}
 }
 
-// judge gives a node a standing, which others will hear of.
-func judge(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer, sd carobstanding.Standing) {
+// setState sets the liveness state of a peer, records it in the audit trail, and schedules it
+// for gossip.
+func setState(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer, sd carobstanding.Standing) {
 	w.Note("member", string(w.Self.Node), "node "+string(pr.Member.Node), pr.Member.Standing.String(), sd.String())
 	pr.Member.Standing, pr.Since, pr.Told = sd, now, 0
 	w.PeerChanges++
 	w.News.Put(pr.Member.Node, struct{}{})
 }
 
-// probe asks the next node of the circle.
-func (s *System) probe(w *carobworld.World, now carobinstant.Instant) {
-	pr := s.circle.next(w, now)
+// monitorNext sends a heartbeat to the next node of the monitor set.
+func (s *System) monitorNext(w *carobworld.World, now carobinstant.Instant) {
+	pr := s.monitored.next(w, now)
 	if pr == nil {
 		return
 	}
 	s.number++
 	w.Inquiries.Put(s.number, carobinquiry.Inquiry{Node: pr.Member.Node, Sent: now})
-	s.ask(w, pr.Member)
+	s.sendHeartbeat(w, pr.Member)
 }
 
-// revisit asks some of the nodes that count as lost.
-func (s *System) revisit(w *carobworld.World, now carobinstant.Instant) {
-	if s.again != carobinstant.Never && !s.again.Reached(now) {
+// retryDown sends heartbeats to some of the nodes that are down.
+func (s *System) retryDown(w *carobworld.World, now carobinstant.Instant) {
+	if s.nextDownRound != carobinstant.Never && !s.nextDownRound.Reached(now) {
 		return
 	}
-	s.again = now.Add(revisit)
-	for _, pr := range w.SomePeers(revisits, func(pr *carobpeer.Peer) bool { return mayBeBack(now, pr) }) {
+	s.nextDownRound = now.Add(downInterval)
+	for _, pr := range w.SomePeers(downFanout, func(pr *carobpeer.Peer) bool { return shouldRetry(now, pr) }) {
 		s.number++
-		s.ask(w, pr.Member)
+		s.sendHeartbeat(w, pr.Member)
 	}
 }
 
-// mayBeBack reports whether a node is to be probed that counts as lost. One that
-// said goodbye may be starting again at its address, and know nobody if it cannot
-// read where the others are.
-func mayBeBack(now carobinstant.Instant, pr *carobpeer.Peer) bool {
+// shouldRetry reports whether a node that is down is to be sent a heartbeat. A node that
+// left may be starting again at its address, and cannot find its peers by itself if the
+// log cannot be read.
+func shouldRetry(now carobinstant.Instant, pr *carobpeer.Peer) bool {
 	switch pr.Member.Standing {
 	case carobstanding.Unreachable:
 		return true
 	case carobstanding.Gone:
-		return now.Sub(pr.Since) < restart
+		return now.Sub(pr.Since) < restartWindow
 	default:
 		return false
 	}
 }
 
-func (s *System) ask(w *carobworld.World, mb carobmember.Member) {
+// sendHeartbeat sends a direct heartbeat with the checksums of this node's peer table.
+func (s *System) sendHeartbeat(w *carobworld.World, mb carobmember.Member) {
 	w.Tell(carobmessage.Message{To: mb.Peer, Probe: &carobprobe.Probe{
 		Number: s.number, Node: mb.Node, Sums: w.Sums(), Read: w.ProfilesRead,
 	}})
--- a/pkg/carobjoining/system.go
+++ b/pkg/carobjoining/system.go
@@ -1,8 +1,9 @@
-// Package carobjoining brings nodes together that do not know each other yet.
+// Package carobjoining connects nodes that do not know each other yet.
 //
-// Each node appends its word to a stream of the log when it starts, and again
-// before the record expires. The records say where nodes were, not whether they
-// are there still; so they are only used to say hello. Who answers is there.
+// Each node appends its description to a stream of the log when it starts, and again
+// before the record expires. A record says where a node was, not whether it is still
+// there. So records only supply addresses to contact; an answer shows that the node is
+// alive.
 package carobjoining
 
 import (
@@ -23,69 +24,72 @@
 )
 
 const (
-	// renewal is the time after which the record is appended again, up to a
-	// quarter less. The log's retention has to be longer.
-	renewal = time.Hour
-	// alone is the time between two hellos while no other node is known, and
-	// greetings how many nodes they go to.
-	alone     = 500 * time.Millisecond
-	greetings = 3
-	// settled is the time between two hellos to nodes that are not known, though
-	// others are: they may have found together apart from this one.
-	settled = 10 * time.Second
-	// heard is the time, up to twice, after which a node that the log names gets
-	// a hello, if news of it has not come otherwise by then.
-	heard = time.Second
+	// renewInterval is the longest time after which the node's own record is appended again; a
+	// random jitter of up to a quarter shortens it. The log's retention has to be longer.
+	renewInterval = time.Hour
+	// isolatedInterval is the time between two contact rounds while no other node is known, and
+	// isolatedContacts the number of nodes contacted in each.
+	isolatedInterval = 500 * time.Millisecond
+	isolatedContacts = 3
+	// contactInterval is the time between two contact rounds while other nodes are known. Unknown
+	// nodes are contacted even then, because they may have formed a separate group.
+	contactInterval = 10 * time.Second
+	// contactDelay is the shortest delay before a node that the log names is contacted; a random
+	// jitter at most doubles it. Gossip about the node usually arrives within the delay.
+	contactDelay = time.Second
 )
 
-// Config is how the system is made.
+// Config holds the settings of the system.
 type Config struct {
-	// Seeds are addresses of nodes to begin with.
+	// Seeds are addresses of other nodes to contact at the start.
 	Seeds []carobaddress.Address
 }
 
-// System says hello to nodes that are not known.
+// System contacts nodes that are not known as peers.
 type System struct {
 	seeds []carobaddress.Address
-	// due is when the next hello is; renew, when the own record is appended.
-	due, renew carobinstant.Instant
+	// nextContact is when the next contact round is, and nextRenewal when the node's own record is
+	// appended again. Both are Never before the first tick.
+	nextContact, nextRenewal carobinstant.Instant
 }
 
-// NewSystem returns the system.
+// NewSystem returns a System that contacts nodes and appends its record on the first tick.
 func NewSystem(c Config) *System {
 	return &System{seeds: c.Seeds}
 }
 
-// Run notes the nodes that the log names, and says hello to some.
+// Run stores the addresses that the log names, appends the node's own record when it is
+// due, and contacts some unknown nodes.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	found := read(w)
-	if s.renew == carobinstant.Never {
+	found := storeAddresses(w)
+	if s.nextRenewal == carobinstant.Never {
 		w.Note("member", string(w.Self.Node), "node "+string(w.Self.Node), "none", carobstanding.Alive.String())
 	}
-	if s.renew == carobinstant.Never || s.renew.Reached(now) {
-		s.renew = now.Add(renewal - time.Duration(w.Random.Int64N(int64(renewal/4))))
-		register(w)
+	if s.nextRenewal == carobinstant.Never || s.nextRenewal.Reached(now) {
+		s.nextRenewal = now.Add(renewInterval - time.Duration(w.Random.Int64N(int64(renewInterval/4))))
+		appendOwnRecord(w)
 	}
-	if found && s.due != carobinstant.Never {
-		s.due = carobinstant.Earlier(s.due, now.Add(heard+time.Duration(w.Random.Int64N(int64(heard)))))
+	if found && s.nextContact != carobinstant.Never {
+		s.nextContact = carobinstant.Earlier(s.nextContact, now.Add(contactDelay+time.Duration(w.Random.Int64N(int64(contactDelay)))))
 	}
-	lonely := len(w.SomePeers(1, answers)) == 0
-	if s.due == carobinstant.Never || s.due.Reached(now) || found && lonely {
-		s.greet(w, lonely)
-		s.due = now.Add(settled)
-		if lonely {
-			s.due = now.Add(alone)
+	isolated := len(w.SomePeers(1, isReachable)) == 0
+	if s.nextContact == carobinstant.Never || s.nextContact.Reached(now) || found && isolated {
+		s.contactUnknown(w, isolated)
+		s.nextContact = now.Add(contactInterval)
+		if isolated {
+			s.nextContact = now.Add(isolatedInterval)
 		}
 	}
-	w.WakeAt(carobinstant.Earlier(s.due, s.renew))
+	w.WakeAt(carobinstant.Earlier(s.nextContact, s.nextRenewal))
 }
 
-func answers(pr *carobpeer.Peer) bool {
+func isReachable(pr *carobpeer.Peer) bool {
 	return !pr.Member.Standing.Lost()
 }
 
-// read notes where nodes were, and reports whether there were any.
-func read(w *carobworld.World) bool {
+// storeAddresses stores the addresses of other nodes from the log records of this tick, and reports
+// whether there were any. Invalid records are skipped.
+func storeAddresses(w *carobworld.World) bool {
 	found := false
 	for _, rc := range w.Inbox.Records {
 		if rc.Stream != carobstream.Nodes {
@@ -101,8 +105,8 @@
 	return found
 }
 
-// register appends the own word to the log.
-func register(w *carobworld.World) {
+// appendOwnRecord appends this node's description to the log.
+func appendOwnRecord(w *carobworld.World) {
 	mb := w.Self
 	data, err := json.Marshal(mb)
 	if err != nil {
@@ -111,17 +115,19 @@
 	w.Outbox.Appends = append(w.Outbox.Appends, carobappend.Append{Stream: carobstream.Nodes, Data: data})
 }
 
-func (s *System) greet(w *carobworld.World, lonely bool) {
+// contactUnknown contacts a random sample of the seeds and logged addresses that belong to no known
+// peer, and drops the logged addresses that do.
+func (s *System) contactUnknown(w *carobworld.World, isolated bool) {
 	known := map[carobaddress.Address]bool{w.Self.Peer: true}
 	for _, pr := range w.Peers.All() {
-		if answers(pr) {
+		if isReachable(pr) {
 			known[pr.Member.Peer] = true
 		}
 	}
-	var strangers []carobaddress.Address
+	var unknown []carobaddress.Address
 	for _, ad := range s.seeds {
 		if !known[ad] {
-			strangers = append(strangers, ad)
+			unknown = append(unknown, ad)
 		}
 	}
 	for id, ad := range w.Hints.All() {
@@ -129,19 +135,21 @@
 			w.Hints.Delete(id)
 			continue
 		}
-		strangers = append(strangers, *ad)
+		unknown = append(unknown, *ad)
 	}
-	w.Random.Shuffle(len(strangers), func(i, j int) { strangers[i], strangers[j] = strangers[j], strangers[i] })
-	most := 1
-	if lonely {
-		most = greetings
+	w.Random.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
+	limit := 1
+	if isolated {
+		limit = isolatedContacts
 	}
-	for _, ad := range strangers[:min(most, len(strangers))] {
-		hello(w, ad)
+	for _, ad := range unknown[:min(limit, len(unknown))] {
+		contact(w, ad)
 	}
 }
 
-func hello(w *carobworld.World, to carobaddress.Address) {
+// contact sends this node's description to an address, and a heartbeat with checksums that
+// makes the receiver compare its peer table with this node's.
+func contact(w *carobworld.World, to carobaddress.Address) {
 	w.Tell(carobmessage.Message{To: to, Gossip: &carobgossip.Gossip{Members: []carobmember.Member{w.Describe()}}})
 	w.Tell(carobmessage.Message{To: to, Probe: &carobprobe.Probe{Sums: w.Sums(), Read: w.ProfilesRead}})
 }
--- a/pkg/carobjoining/system_test.go
+++ b/pkg/carobjoining/system_test.go
@@ -26,9 +26,9 @@
 	return mb
 }
 
-// A node that knows others says hello within seconds to one that the log names:
-// two groups that forgot each other must not stay apart.
-func TestNamedNodeGetsHelloSoon(t *testing.T) {
+// A node that already has peers must still contact, within seconds, a node that the log
+// names. Otherwise two groups of nodes that have dropped each other stay separate.
+func TestNodeNamedInLogIsContactedWithinSeconds(t *testing.T) {
 	w := carobworld.NewWorld(carobworld.Config{Self: member("self", "127.0.0.1:1"), Limits: caroblimits.NewLimits()})
 	w.Peers.Put("friend", carobpeer.Peer{Member: member("friend", "127.0.0.1:2")})
 	s, now := NewSystem(Config{}), carobinstant.Instant(time.Hour)
--- a/pkg/carobmembership/system.go
+++ b/pkg/carobmembership/system.go
@@ -1,10 +1,11 @@
-// Package carobmembership keeps the tables of other nodes and of their targets
-// from the words about them.
+// Package carobmembership keeps the tables of other nodes and of their targets up to date
+// from gossip.
 //
-// Of two words about a node the newer one stands: the higher incarnation, then
-// the higher beat, which the node itself raises, then the worse standing, which
-// others give it. So a node that was replaced is taken over at once, and a node
-// that is wrongly suspected refutes that by a new beat.
+// Of two descriptions of a node the newer one wins: the one with the higher incarnation,
+// then with the higher update sequence, which only the node itself increases, then with
+// the worse liveness state, which other nodes assign. So a restarted node replaces its
+// predecessor at once, and a wrongly suspected node refutes the suspicion by increasing
+// its sequence.
 package carobmembership
 
 import (
@@ -22,30 +23,31 @@
 )
 
 const (
-	// keepUnreachable is how long a node that does not answer is kept, and tried
-	// again. Regions lose each other for an hour now and then.
-	keepUnreachable = 6 * time.Hour
-	// keepGone is how long a node that said goodbye is kept, so that an old word
-	// about it does not bring it back.
-	keepGone = 10 * time.Minute
-	// sweep is the time between two looks for rows to drop.
-	sweep = time.Minute
+	// unreachableRetention is how long an unreachable node is kept and retried. Regions
+	// occasionally lose contact with each other for an hour.
+	unreachableRetention = 6 * time.Hour
+	// leftRetention is how long a node that left is kept, so that a delayed older description
+	// does not add it again.
+	leftRetention = 10 * time.Minute
+	// sweepInterval is the time between two searches for expired rows.
+	sweepInterval = time.Minute
 )
 
-// System merges the words about other nodes.
+// System merges descriptions of nodes into the tables.
 type System struct {
-	// twin is the newest other incarnation of this node's name that was noted.
-	twin carobincarnation.Incarnation
-	// due is when rows are next dropped.
-	due carobinstant.Instant
+	// duplicate is the highest incarnation of a different node with this node's id that was
+	// recorded in the audit trail; 0 if there was none.
+	duplicate carobincarnation.Incarnation
+	// nextSweep is when expired rows are next dropped.
+	nextSweep carobinstant.Instant
 }
 
-// NewSystem returns the system.
+// NewSystem returns a System that sweeps for the first time on its first tick.
 func NewSystem() *System {
 	return &System{}
 }
 
-// Run merges what came and drops rows that are lost for long.
+// Run merges the gossip of this tick, and drops nodes that have been down for too long.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	for _, ms := range w.Inbox.Messages {
 		if ms.Gossip == nil {
@@ -55,37 +57,40 @@
 			s.merge(w, now, mb, ms.Gossip.Asked)
 		}
 	}
-	if s.due == carobinstant.Never || s.due.Reached(now) {
-		drop(w, now)
-		s.due = now.Add(sweep)
+	if s.nextSweep == carobinstant.Never || s.nextSweep.Reached(now) {
+		dropExpired(w, now)
+		s.nextSweep = now.Add(sweepInterval)
 	}
-	w.WakeAt(s.due)
+	w.WakeAt(s.nextSweep)
 }
 
-func (s *System) merge(w *carobworld.World, now carobinstant.Instant, mb carobmember.Member, asked bool) {
+// merge applies a description if it is newer than the one in the table. Descriptions that
+// this node requested are not gossiped further, because other nodes already have them.
+func (s *System) merge(w *carobworld.World, now carobinstant.Instant, mb carobmember.Member, requested bool) {
 	if mb.Node == w.Self.Node {
-		s.hearOfSelf(w, mb)
+		s.mergeSelf(w, mb)
 		return
 	}
 	old := w.Peers.Get(mb.Node)
 	if old == nil && mb.Standing.Lost() || old != nil && !mb.Newer(old.Member) {
 		return
 	}
-	same := old != nil && sameTargets(old.Member, mb)
-	if w.Peers.Put(mb.Node, follow(old, mb, now)) == nil {
+	unchanged := old != nil && sameTargets(old.Member, mb)
+	if w.Peers.Put(mb.Node, nextRow(old, mb, now)) == nil {
 		return
 	}
 	w.PeerChanges++
-	if !asked {
+	if !requested {
 		w.News.Put(mb.Node, struct{}{})
 	}
-	if !same {
+	if !unchanged {
 		replaceTargets(w, mb)
 	}
 }
 
-// follow returns the row that a newer word makes of an old row, or of none.
-func follow(old *carobpeer.Peer, mb carobmember.Member, now carobinstant.Instant) carobpeer.Peer {
+// nextRow returns the row for a newer description. It keeps the times and the route version
+// of the old row, which may be nil, if incarnation and liveness state are unchanged.
+func nextRow(old *carobpeer.Peer, mb carobmember.Member, now carobinstant.Instant) carobpeer.Peer {
 	next := carobpeer.Peer{Member: mb, Heard: now, Since: now}
 	if old != nil && old.Member.Standing == mb.Standing && old.Member.Incarnation == mb.Incarnation {
 		next.Heard, next.Since, next.Routes = old.Heard, old.Since, old.Routes
@@ -93,55 +98,57 @@
 	return next
 }
 
-// hearOfSelf refutes a bad standing, and notes a twin.
-func (s *System) hearOfSelf(w *carobworld.World, mb carobmember.Member) {
+// mergeSelf handles a description of this node that came from another one. It refutes a
+// suspicion, and records in the audit trail if another node uses the same id.
+func (s *System) mergeSelf(w *carobworld.World, mb carobmember.Member) {
 	if mb.Incarnation == w.Self.Incarnation {
 		if mb.Standing != carobstanding.Alive && mb.Beat >= w.Self.Beat && !w.Farewell {
 			w.Self.Beat = mb.Beat + 1
 		}
 		return
 	}
-	if mb.Incarnation > w.Self.Incarnation && mb.Incarnation > s.twin {
-		s.twin = mb.Incarnation
+	if mb.Incarnation > w.Self.Incarnation && mb.Incarnation > s.duplicate {
+		s.duplicate = mb.Incarnation
 		w.Note("member", string(mb.Node), "name is used twice", string(w.Self.Peer), string(mb.Peer))
 	}
 }
 
-// sameTargets reports whether two words of a node mean the same for calls.
+// sameTargets reports whether two descriptions of a node make no difference for routing.
 func sameTargets(a, b carobmember.Member) bool {
 	return a.Standing.Lost() == b.Standing.Lost() && a.Leaving == b.Leaving && slices.Equal(a.Targets, b.Targets)
 }
 
-// replaceTargets makes the table of targets match a node's word. Those of a lost
-// node are taken out, and stay in the node's row.
+// replaceTargets replaces a node's rows in the target table by those of its description.
+// The targets of a node that is down are removed there, but stay in the peer's row.
 func replaceTargets(w *carobworld.World, mb carobmember.Member) {
 	w.DropTargets(mb.Node)
 	if mb.Standing.Lost() {
 		return
 	}
 	for _, tg := range mb.Targets {
-		place(w, mb, tg)
+		addTarget(w, mb, tg)
 	}
 }
 
-// place puts a target in the table, unless it is this node's own or stands on a
-// node that was heard of later.
-func place(w *carobworld.World, mb carobmember.Member, tg carobtarget.Target) {
+// addTarget adds a target of another node to the target table, unless this node has a target
+// of the same id itself.
+func addTarget(w *carobworld.World, mb carobmember.Member, tg carobtarget.Target) {
 	tg.Node = mb.Node
 	if mb.Leaving {
 		tg.State = carobreadiness.Leaving
 	}
-	if there := w.Targets.Get(tg.ID); there != nil && w.Owns(there) {
+	if existing := w.Targets.Get(tg.ID); existing != nil && w.Owns(existing) {
 		return
 	}
 	w.Targets.Put(tg.ID, tg)
 }
 
-func drop(w *carobworld.World, now carobinstant.Instant) {
+// dropExpired removes the peers that have been down for longer than their retention time.
+func dropExpired(w *carobworld.World, now carobinstant.Instant) {
 	for id, pr := range w.Peers.All() {
 		age := now.Sub(pr.Since)
-		if pr.Member.Standing == carobstanding.Unreachable && age > keepUnreachable ||
-			pr.Member.Standing == carobstanding.Gone && age > keepGone {
+		if pr.Member.Standing == carobstanding.Unreachable && age > unreachableRetention ||
+			pr.Member.Standing == carobstanding.Gone && age > leftRetention {
 			w.Peers.Delete(id)
 			w.PeerChanges++
 		}
