--- a/pkg/carobdetection/monitorset.go
+++ b/pkg/carobdetection/monitorset.go
@@ -11,8 +11,8 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// The composition of the monitor set. It changes slowly so that connections can be reused: a
-// connection to each of 660 nodes would take more memory than a node has.
+// The composition of the monitor set. It changes slowly so that connections can be
+// reused: a connection to each of 660 nodes would take more memory than a node has.
 const (
 	successors = 3
 	randomNear = 3
@@ -26,8 +26,8 @@
 	nodes []carobnodeid.ID
 	// current is the index of the node that was chosen last.
 	current int
-	// nextDraw is when the set is drawn again, and peerCount the number of peers at the last draw.
-	// A changed number of peers makes a new draw due at once.
+	// nextDraw is when the set is drawn again, and peerCount the number of peers at the
+	// last draw. A changed number of peers makes a new draw due at once.
 	nextDraw  carobinstant.Instant
 	peerCount int
 }
@@ -67,7 +67,8 @@
 	}))
 }
 
-// ringSuccessors returns the nearest nodes that follow this one on the hash ring of node ids.
+// ringSuccessors returns the nearest nodes that follow this one on the hash ring of node
+// ids.
 func ringSuccessors(w *carobworld.World) []carobnodeid.ID {
 	type successor struct {
 		node     carobnodeid.ID
--- a/pkg/carobdetection/restart_test.go
+++ b/pkg/carobdetection/restart_test.go
@@ -17,8 +17,8 @@
 )
 
 // A node that left may be restarting at its address, with no way to find its peers if it
-// cannot read the log. Its old peers must send it heartbeats for a limited time, with the
-// checksums that make both sides compare their peer tables.
+// cannot read their addresses. Its old peers must send it heartbeats for a limited time,
+// with the checksums that make both sides compare their peer tables.
 func TestNodeThatLeftGetsHeartbeatsWhileItMayRestart(t *testing.T) {
 	start := carobinstant.Instant(time.Hour)
 	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "self", Peer: "127.0.0.1:1"}, Limits: caroblimits.NewLimits()})
--- a/pkg/carobdetection/system.go
+++ b/pkg/carobdetection/system.go
@@ -39,8 +39,9 @@
 	downFanout = 3
 	// restartWindow is how long a node that left is expected to restart at its address.
 	restartWindow = 20 * time.Second
-	// pauseThreshold is the time between two ticks from which on this node counts as paused. The
-	// answers of others went unread meanwhile, so their silence proves nothing.
+	// pauseThreshold is the time between two ticks from which on this node counts as
+	// paused. The answers of others went unread meanwhile, so a missing answer does not
+	// show that a node is down.
 	pauseThreshold = 2 * time.Second
 )
 
@@ -49,8 +50,8 @@
 	monitored monitorSet
 	// number is that of the last heartbeat sent.
 	number uint64
-	// nextHeartbeat is when the next heartbeat is sent, and nextDownRound when nodes that are down are next
-	// sent one. Both are Never before the first.
+	// nextHeartbeat is when the next heartbeat is sent, and nextDownRound when nodes
+	// that are down are next sent one. Both are Never before the first.
 	nextHeartbeat, nextDownRound carobinstant.Instant
 	// lastTick is the instant of the last tick; Never before the first.
 	lastTick carobinstant.Instant
@@ -78,8 +79,8 @@
 	w.WakeAt(s.nextHeartbeat)
 }
 
-// resetAfterPause discards pending heartbeats and restarts the suspicion time-outs after this
-// node was paused, so that a pause of this node does not make others unreachable.
+// resetAfterPause discards pending heartbeats and restarts the suspicion time-outs after
+// this node was paused, so that a pause of this node does not make others unreachable.
 func (s *System) resetAfterPause(w *carobworld.World, now carobinstant.Instant) {
 	paused := s.lastTick != carobinstant.Never && now.Sub(s.lastTick) > pauseThreshold
 	s.lastTick = now
@@ -106,8 +107,9 @@
 	}
 }
 
-// markHeard records that a peer is alive. If this node has the peer as suspect or down, or with
-// a newer incarnation, it sends the peer that description, so that the peer can refute it.
+// markHeard records that a peer is alive. If this node has the peer as suspect or down,
+// or with a newer incarnation, it sends the peer that description, so that the peer can
+// refute it.
 func markHeard(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message, pr *carobpeer.Peer) {
 	if ms.Incarnation == pr.Member.Incarnation {
 		pr.Heard = now
@@ -143,8 +145,8 @@
 	}
 }
 
-// expireHeartbeats handles the heartbeats that timed out: it first asks other nodes to relay them,
-// and after a second time-out suspects the node.
+// expireHeartbeats handles the heartbeats that timed out: it first asks other nodes to
+// relay them, and after a second time-out suspects the node.
 func (s *System) expireHeartbeats(w *carobworld.World, now carobinstant.Instant) {
 	for number, iq := range w.Inquiries.All() {
 		due := iq.Sent.Add(answerTimeout)
@@ -189,8 +191,8 @@
 	setState(w, now, pr, carobstanding.Suspect)
 }
 
-// expireSuspicions marks suspects as unreachable that did not refute the suspicion in time, and
-// removes their targets from the target table.
+// expireSuspicions marks suspects as unreachable that did not refute the suspicion in
+// time, and removes their targets from the target table.
 func expireSuspicions(w *carobworld.World, now carobinstant.Instant) {
 	for _, pr := range w.Peers.All() {
 		if pr.Member.Standing == carobstanding.Suspect && pr.Since.Add(suspicionTimeout).Reached(now) {
@@ -200,8 +202,8 @@
 	}
 }
 
-// setState sets the liveness state of a peer, records it in the audit trail, and schedules it
-// for gossip.
+// setState sets the liveness state of a peer, records it in the audit trail, and
+// schedules it for gossip.
 func setState(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer, sd carobstanding.Standing) {
 	w.Note("member", string(w.Self.Node), "node "+string(pr.Member.Node), pr.Member.Standing.String(), sd.String())
 	pr.Member.Standing, pr.Since, pr.Told = sd, now, 0
@@ -233,8 +235,8 @@
 }
 
 // shouldRetry reports whether a node that is down is to be sent a heartbeat. A node that
-// left may be starting again at its address, and cannot find its peers by itself if the
-// log cannot be read.
+// left may be starting again at its address, and cannot find its peers by itself if it
+// cannot read their addresses.
 func shouldRetry(now carobinstant.Instant, pr *carobpeer.Peer) bool {
 	switch pr.Member.Standing {
 	case carobstanding.Unreachable:
--- a/pkg/carobdissemination/system.go
+++ b/pkg/carobdissemination/system.go
@@ -1,10 +1,10 @@
-// Package carobdissemination passes news about nodes on.
+// Package carobdissemination gossips changes in the descriptions of nodes.
 //
-// Each word is passed on a few times by each node that learns it: at once to some
-// nodes at random, and then along with probes, which go anyway. The word reaches
-// nearly all nodes so, in a number of steps that grows with the logarithm of
-// their number; reconciliation makes up for the rest. Nothing is sent when there
-// is no news, and a throttle caps what much news costs.
+// Each node that learns a description forwards it a limited number of times: at once to a
+// few random nodes, and then along with heartbeats, which are sent anyway. A description
+// thus reaches nearly all nodes in a number of steps that grows with the logarithm of the
+// cluster size; reconciliation covers the rest. Nothing is sent while no change is
+// pending, and a throttle limits the bandwidth that many changes take.
 package carobdissemination
 
 import (
@@ -25,112 +25,118 @@
 )
 
 const (
-	// interval is the time between two floods of news.
-	interval = 50 * time.Millisecond
-	// fanout is how many nodes a flood goes to.
+	// roundInterval is the time between two rounds of gossip.
+	roundInterval = 50 * time.Millisecond
+	// fanout is the number of nodes that a round goes to.
 	fanout = 3
-	// floods is how often a word is flooded, and passes how often it is passed on
-	// in all.
-	floods = 2
-	passes = 6
-	// large and small are about how many bytes of words a flood and a probe take.
-	large = 4096
-	small = 1024
+	// maxRoundSends is the number of times a description is sent in rounds,
+	// and maxSends the number of times it is sent in total.
+	maxRoundSends = 2
+	maxSends      = 6
+	// roundSize and piggybackSize are the approximate maximum sizes of the descriptions
+	// sent in a round and along with a heartbeat, in bytes.
+	roundSize     = 4096
+	piggybackSize = 1024
 )
 
-// System passes news on.
+// System gossips pending changes.
 type System struct {
 	throttle *carobthrottle.Throttle
-	// beat is that of the newest own word, and passed how often it was passed on.
-	beat   uint64
-	passed int
-	// next is when the next flood may start.
-	next carobinstant.Instant
+	// sequence is the update sequence of this node's own description that was last seen,
+	// and sent the number of times that it was sent.
+	sequence uint64
+	sent     int
+	// nextRound is when the next round may start; Never before the first.
+	nextRound carobinstant.Instant
 }
 
-// NewSystem returns the system.
+// NewSystem returns a System that is throttled to 8 KiB a second, with bursts of 64 KiB.
 func NewSystem() *System {
 	return &System{throttle: carobthrottle.NewThrottle(carobthrottle.Config{
 		Rate: carobrate.Rate(8 * carobsize.KiB), Burst: 64 * carobsize.KiB,
 	})}
 }
 
-// Run passes on what is new. It runs after all systems that make news.
+// Run sends pending changes. It has to run after all systems that change descriptions or
+// send heartbeats.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	if w.Outbox.Stopped {
-		sayGoodbye(w)
+		announceLeave(w)
 		return
 	}
-	if w.Self.Beat != s.beat {
-		s.beat, s.passed = w.Self.Beat, 0
+	if w.Self.Beat != s.sequence {
+		s.sequence, s.sent = w.Self.Beat, 0
 	}
-	s.ride(w)
-	s.flood(w, now)
+	s.piggyback(w)
+	s.startRound(w, now)
 }
 
-// flood sends the newest words to some nodes at once. A new own word does not wait
-// for the interval: it may say that a target is leaving.
-func (s *System) flood(w *carobworld.World, now carobinstant.Instant) {
-	if !s.hasNews(w) {
+// startRound starts a round: it sends the pending descriptions to some random nodes. A
+// change of this node's own description does not wait for the interval, because it may
+// say that a target is leaving.
+func (s *System) startRound(w *carobworld.World, now carobinstant.Instant) {
+	if !s.hasPending(w) {
 		return
 	}
-	if s.passed > 0 && s.next != carobinstant.Never && !s.next.Reached(now) {
-		w.WakeAt(s.next)
+	if s.sent > 0 && s.nextRound != carobinstant.Never && !s.nextRound.Reached(now) {
+		w.WakeAt(s.nextRound)
 		return
 	}
-	s.next = now.Add(interval)
-	w.WakeAt(s.next)
+	s.nextRound = now.Add(roundInterval)
+	w.WakeAt(s.nextRound)
 	to := recipients(w)
 	if len(to) == 0 || !s.throttle.Spend(now, 0) {
 		return
 	}
-	members := s.pick(w, floods, large)
+	members := s.takePending(w, maxRoundSends, roundSize)
 	for _, pr := range to {
 		send(w, pr.Member, members)
-		s.throttle.Spend(now, weigh(members))
+		s.throttle.Spend(now, totalSize(members))
 	}
 }
 
-func (s *System) hasNews(w *carobworld.World) bool {
-	if s.passed < floods {
+// hasPending reports whether a description is still to be sent in a round.
+func (s *System) hasPending(w *carobworld.World) bool {
+	if s.sent < maxRoundSends {
 		return true
 	}
 	for id := range w.News.All() {
-		if pr := w.Peers.Get(id); pr != nil && pr.Told < floods {
+		if pr := w.Peers.Get(id); pr != nil && pr.Told < maxRoundSends {
 			return true
 		}
 	}
 	return false
 }
 
-// ride adds words to the probes of this tick.
-func (s *System) ride(w *carobworld.World) {
-	if s.passed >= passes && w.News.Len() == 0 {
+// piggyback sends pending descriptions along with the heartbeats of this tick.
+func (s *System) piggyback(w *carobworld.World) {
+	if s.sent >= maxSends && w.News.Len() == 0 {
 		return
 	}
 	for _, ms := range w.Outbox.Messages {
 		if ms.Probe == nil {
 			continue
 		}
-		if members := s.pick(w, passes, small); len(members) > 0 {
+		if members := s.takePending(w, maxSends, piggybackSize); len(members) > 0 {
 			w.Tell(carobmessage.Message{To: ms.To, Gossip: &carobgossip.Gossip{Members: members}})
 		}
 	}
 }
 
-// pick returns words that were passed on less often than most, the newest first,
-// and counts them as passed on. Words that were passed on enough are news no more.
-func (s *System) pick(w *carobworld.World, most, weight int) []carobmember.Member {
+// takePending returns descriptions that were sent fewer than maxSent times, those sent
+// least often first, and counts them as sent. They take up to space bytes, or more if
+// the first one alone does.
+func (s *System) takePending(w *carobworld.World, maxSent, space int) []carobmember.Member {
 	var members []carobmember.Member
-	if s.passed < most {
-		s.passed++
+	if s.sent < maxSent {
+		s.sent++
 		mb := w.Describe()
 		members = append(members, mb)
-		weight -= mb.Weight()
+		space -= mb.Weight()
 	}
-	for _, pr := range candidates(w, most) {
-		weight -= pr.Member.Weight()
-		if weight < 0 && len(members) > 0 || len(members) == carobgossip.Most {
+	for _, pr := range pendingPeers(w, maxSent) {
+		space -= pr.Member.Weight()
+		if space < 0 && len(members) > 0 || len(members) == carobgossip.Most {
 			break
 		}
 		pr.Told++
@@ -139,15 +145,17 @@
 	return members
 }
 
-func candidates(w *carobworld.World, most int) []*carobpeer.Peer {
+// pendingPeers returns the peers whose pending description was sent fewer than maxSent
+// times, those sent least often first. It removes the ones that were sent often enough.
+func pendingPeers(w *carobworld.World, maxSent int) []*carobpeer.Peer {
 	var rows []*carobpeer.Peer
 	for id := range w.News.All() {
 		pr := w.Peers.Get(id)
-		if pr == nil || pr.Told >= passes {
+		if pr == nil || pr.Told >= maxSends {
 			w.News.Delete(id)
 			continue
 		}
-		if pr.Told < most {
+		if pr.Told < maxSent {
 			rows = append(rows, pr)
 		}
 	}
@@ -155,7 +163,8 @@
 	return rows
 }
 
-// recipients picks nodes at random, most of them in the own data centre.
+// recipients returns random peers that are not down: most of them in this node's data
+// centre, and at least one elsewhere if there is one.
 func recipients(w *carobworld.World) []*carobpeer.Peer {
 	near := w.SomePeers(fanout, func(pr *carobpeer.Peer) bool { return reachable(pr) && pr.Member.Centre == w.Self.Centre })
 	far := w.SomePeers(fanout, func(pr *carobpeer.Peer) bool { return reachable(pr) && pr.Member.Centre != w.Self.Centre })
@@ -167,8 +176,8 @@
 	return !pr.Member.Standing.Lost()
 }
 
-// sayGoodbye tells some nodes that this one is about to end.
-func sayGoodbye(w *carobworld.World) {
+// announceLeave announces to some random nodes that this node leaves. It does so only once.
+func announceLeave(w *carobworld.World) {
 	if w.Farewell {
 		return
 	}
@@ -182,13 +191,13 @@
 	}
 }
 
-// weigh returns about how many bytes some words take.
-func weigh(members []carobmember.Member) int {
-	weight := 0
+// totalSize returns the approximate size of descriptions in a message, in bytes.
+func totalSize(members []carobmember.Member) int {
+	size := 0
 	for i := range members {
-		weight += members[i].Weight()
+		size += members[i].Weight()
 	}
-	return weight
+	return size
 }
 
 func send(w *carobworld.World, to carobmember.Member, members []carobmember.Member) {
--- a/pkg/carobjoining/system.go
+++ b/pkg/carobjoining/system.go
@@ -24,18 +24,21 @@
 )
 
 const (
-	// renewInterval is the longest time after which the node's own record is appended again; a
-	// random jitter of up to a quarter shortens it. The log's retention has to be longer.
+	// renewInterval is the longest time after which the node's own record is appended
+	// again; a random jitter of up to a quarter shortens it. The log's retention has to
+	// be longer.
 	renewInterval = time.Hour
-	// isolatedInterval is the time between two contact rounds while no other node is known, and
-	// isolatedContacts the number of nodes contacted in each.
+	// isolatedInterval is the time between two contact rounds while no other node is
+	// known, and isolatedContacts the number of nodes contacted in each.
 	isolatedInterval = 500 * time.Millisecond
 	isolatedContacts = 3
-	// contactInterval is the time between two contact rounds while other nodes are known. Unknown
-	// nodes are contacted even then, because they may have formed a separate group.
+	// contactInterval is the time between two contact rounds while other nodes are
+	// known. Unknown nodes are contacted even then, because they may have formed a
+	// separate group.
 	contactInterval = 10 * time.Second
-	// contactDelay is the shortest delay before a node that the log names is contacted; a random
-	// jitter at most doubles it. Gossip about the node usually arrives within the delay.
+	// contactDelay is the shortest delay before a node that the log names is contacted;
+	// a random jitter at most doubles it. It is not contacted if gossip about it arrives
+	// within the delay.
 	contactDelay = time.Second
 )
 
@@ -48,8 +51,8 @@
 // System contacts nodes that are not known as peers.
 type System struct {
 	seeds []carobaddress.Address
-	// nextContact is when the next contact round is, and nextRenewal when the node's own record is
-	// appended again. Both are Never before the first tick.
+	// nextContact is when the next contact round is, and nextRenewal when the node's own
+	// record is appended again. Both are Never before the first tick.
 	nextContact, nextRenewal carobinstant.Instant
 }
 
@@ -87,8 +90,8 @@
 	return !pr.Member.Standing.Lost()
 }
 
-// storeAddresses stores the addresses of other nodes from the log records of this tick, and reports
-// whether there were any. Invalid records are skipped.
+// storeAddresses stores the addresses of other nodes from the log records of this tick,
+// and reports whether there were any. Invalid records are skipped.
 func storeAddresses(w *carobworld.World) bool {
 	found := false
 	for _, rc := range w.Inbox.Records {
@@ -115,8 +118,8 @@
 	w.Outbox.Appends = append(w.Outbox.Appends, carobappend.Append{Stream: carobstream.Nodes, Data: data})
 }
 
-// contactUnknown contacts a random sample of the seeds and logged addresses that belong to no known
-// peer, and drops the logged addresses that do.
+// contactUnknown contacts a random sample of the seeds and logged addresses that belong
+// to no known peer, and drops the logged addresses that do.
 func (s *System) contactUnknown(w *carobworld.World, isolated bool) {
 	known := map[carobaddress.Address]bool{w.Self.Peer: true}
 	for _, pr := range w.Peers.All() {
--- a/pkg/carobmembership/system.go
+++ b/pkg/carobmembership/system.go
@@ -26,8 +26,8 @@
 	// unreachableRetention is how long an unreachable node is kept and retried. Regions
 	// occasionally lose contact with each other for an hour.
 	unreachableRetention = 6 * time.Hour
-	// leftRetention is how long a node that left is kept, so that a delayed older description
-	// does not add it again.
+	// leftRetention is how long a node that left is kept, so that a delayed older
+	// description does not add it again.
 	leftRetention = 10 * time.Minute
 	// sweepInterval is the time between two searches for expired rows.
 	sweepInterval = time.Minute
@@ -130,8 +130,8 @@
 	}
 }
 
-// addTarget adds a target of another node to the target table, unless this node has a target
-// of the same id itself.
+// addTarget adds a target of another node to the target table, unless this node has a
+// target of the same id itself.
 func addTarget(w *carobworld.World, mb carobmember.Member, tg carobtarget.Target) {
 	tg.Node = mb.Node
 	if mb.Leaving {
--- a/pkg/carobreconciliation/system.go
+++ b/pkg/carobreconciliation/system.go
@@ -1,9 +1,10 @@
-// Package carobreconciliation makes up for news that did not reach a node.
+// Package carobreconciliation repairs differences between the peer tables of two nodes
+// that gossip left behind (anti-entropy).
 //
-// Probes carry a checksum of each part of the sender's table of nodes. Where one
-// differs, the receiver answers with a digest of that part: which word about each
-// node it has. The two then send each other the words that the other lacks. A
-// node that starts gets the whole table this way.
+// Heartbeats carry a checksum of each partition of the sender's peer table. If one
+// differs, the receiver answers with a digest of that partition: the version of each
+// node's description that it has. The two nodes then send each other the descriptions that
+// the other lacks. A node that starts gets the whole table this way.
 package carobreconciliation
 
 import (
@@ -25,30 +26,33 @@
 )
 
 const (
-	// parts is the most parts that are compared after one probe.
-	parts = 4
-	// calm is the time between two comparisons while news is on its way, which
-	// may be all that differs.
-	calm = 2 * time.Second
-	// each is about how many bytes a row of a digest takes.
-	each = 60
+	// maxPartitions is the maximum number of partitions that are compared after one
+	// heartbeat.
+	maxPartitions = 4
+	// compareInterval is the minimum time between two comparisons while gossip is
+	// pending, since pending gossip alone may explain the difference.
+	compareInterval = 2 * time.Second
+	// rowSize is the approximate size of a digest row, in bytes.
+	rowSize = 60
 )
 
-// System compares tables.
+// System compares the peer table with those of other nodes and repairs differences.
 type System struct {
 	throttle *carobthrottle.Throttle
-	// next is when tables may be compared though news is on its way.
-	next carobinstant.Instant
+	// nextCompare is when tables may be compared again while gossip is pending; Never
+	// before the first comparison.
+	nextCompare carobinstant.Instant
 }
 
-// NewSystem returns the system.
+// NewSystem returns a System that is throttled to 12 KiB a second, with bursts of 128 KiB.
 func NewSystem() *System {
 	return &System{throttle: carobthrottle.NewThrottle(carobthrottle.Config{
 		Rate: carobrate.Rate(12 * carobsize.KiB), Burst: 128 * carobsize.KiB,
 	})}
 }
 
-// Run compares tables with those that probe, and answers digests.
+// Run compares the peer table with the checksums in the heartbeats of this tick, and
+// handles its digests.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	for i := range w.Inbox.Messages {
 		ms := &w.Inbox.Messages[i]
@@ -61,66 +65,73 @@
 	}
 }
 
+// compare sends digests of some of the partitions whose checksums differ, chosen at
+// random, as far as the throttle permits. If at most half of the partitions differ while
+// gossip is pending, it compares only once per interval.
 func (s *System) compare(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message) {
-	different := differences(w.Sums(), ms.Probe.Sums)
+	different := differing(w.Sums(), ms.Probe.Sums)
 	if len(different) == 0 {
 		return
 	}
-	if w.News.Len() > 0 && len(different) <= carobprobe.Parts/2 && s.next != carobinstant.Never && !s.next.Reached(now) {
+	if w.News.Len() > 0 && len(different) <= carobprobe.Parts/2 && s.nextCompare != carobinstant.Never && !s.nextCompare.Reached(now) {
 		return
 	}
-	s.next = now.Add(calm)
+	s.nextCompare = now.Add(compareInterval)
 	w.Random.Shuffle(len(different), func(i, j int) { different[i], different[j] = different[j], different[i] })
-	for _, part := range different[:min(parts, len(different))] {
-		rows := versions(w, part)
-		if !s.throttle.Spend(now, each*len(rows)) {
+	for _, partition := range different[:min(maxPartitions, len(different))] {
+		rows := versions(w, partition)
+		if !s.throttle.Spend(now, rowSize*len(rows)) {
 			return
 		}
-		w.Tell(carobmessage.Message{To: ms.Back, Digest: &carobdigest.Digest{Part: part, Rows: rows}})
+		w.Tell(carobmessage.Message{To: ms.Back, Digest: &carobdigest.Digest{Part: partition, Rows: rows}})
 	}
 }
 
-func differences(a, b []uint64) []int {
-	var different []int
+// differing returns the indices at which two lists of checksums differ.
+func differing(a, b []uint64) []int {
+	var indices []int
 	for i := range a {
 		if a[i] != b[i] {
-			different = append(different, i)
+			indices = append(indices, i)
 		}
 	}
-	return different
+	return indices
 }
 
-// versions returns which word about each node of a part this node has.
-func versions(w *carobworld.World, part int) []carobversion.Version {
+// versions returns the version of each description in a partition of the peer table, this
+// node's own included.
+func versions(w *carobworld.World, partition int) []carobversion.Version {
 	var rows []carobversion.Version
-	if carobworld.PartOf(w.Self.Node) == part {
+	if carobworld.PartOf(w.Self.Node) == partition {
 		rows = append(rows, w.Self.Version())
 	}
 	for id, pr := range w.Peers.All() {
-		if carobworld.PartOf(id) == part {
+		if carobworld.PartOf(id) == partition {
 			rows = append(rows, pr.Member.Version())
 		}
 	}
 	return rows
 }
 
-// answer sends the words that the sender of a digest lacks or wants, and asks for
-// those that this node lacks.
+// answer handles a digest. It sends the descriptions that the sender requests, or those
+// that are newer than in the sender's rows, and requests the ones that the sender has
+// newer.
 func (s *System) answer(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message) {
 	if len(ms.Digest.Wanted) > 0 {
 		s.send(w, now, ms.Back, ms.Digest.Wanted)
 		return
 	}
-	lacking, wanted := weigh(versions(w, ms.Digest.Part), ms.Digest.Rows)
-	s.send(w, now, ms.Back, lacking)
-	if len(wanted) > 0 {
-		w.Tell(carobmessage.Message{To: ms.Back, Digest: &carobdigest.Digest{Part: ms.Digest.Part, Wanted: wanted}})
+	missing, requested := compareVersions(versions(w, ms.Digest.Part), ms.Digest.Rows)
+	s.send(w, now, ms.Back, missing)
+	if len(requested) > 0 {
+		w.Tell(carobmessage.Message{To: ms.Back, Digest: &carobdigest.Digest{Part: ms.Digest.Part, Wanted: requested}})
 	}
 }
 
-// weigh returns of which nodes the others lack the newest word, and of which this
-// node does. A lost node that one side has dropped stays dropped.
-func weigh(own, others []carobversion.Version) (lacking, wanted []carobnodeid.ID) {
+// compareVersions compares the versions of a partition. It returns the nodes whose newest
+// description the sender of the digest lacks, and those whose newest description this node
+// lacks. A node that is down and that one side has dropped is not added again.
+func compareVersions(own, others []carobversion.Version) (missing, requested []carobnodeid.ID) {
 	theirs := make(map[carobnodeid.ID]carobversion.Version, len(others))
 	for _, vs := range others {
 		theirs[vs.Node] = vs
@@ -130,38 +141,39 @@
 		delete(theirs, vs.Node)
 		switch {
 		case !ok && !vs.Standing.Lost() || ok && vs.Newer(their):
-			lacking = append(lacking, vs.Node)
+			missing = append(missing, vs.Node)
 		case ok && their.Newer(vs):
-			wanted = append(wanted, vs.Node)
+			requested = append(requested, vs.Node)
 		}
 	}
 	for _, vs := range others {
 		if _, ok := theirs[vs.Node]; ok && !vs.Standing.Lost() {
-			wanted = append(wanted, vs.Node)
+			requested = append(requested, vs.Node)
 		}
 	}
-	return lacking, wanted
+	return missing, requested
 }
 
-// send sends the words about some nodes.
+// send sends the descriptions of some nodes, in as many messages as necessary, until the
+// throttle refuses one.
 func (s *System) send(w *carobworld.World, now carobinstant.Instant, to carobaddress.Address, nodes []carobnodeid.ID) {
 	var members []carobmember.Member
-	weight := 0
+	size := 0
 	flush := func() bool {
-		if len(members) == 0 || !s.throttle.Spend(now, weight) {
+		if len(members) == 0 || !s.throttle.Spend(now, size) {
 			return false
 		}
 		w.Tell(carobmessage.Message{To: to, Gossip: &carobgossip.Gossip{Members: members, Asked: true}})
-		members, weight = nil, 0
+		members, size = nil, 0
 		return true
 	}
 	for _, id := range nodes {
-		mb, ok := wordOf(w, id)
+		mb, ok := description(w, id)
 		if !ok {
 			continue
 		}
 		members = append(members, mb)
-		weight += mb.Weight()
+		size += mb.Weight()
 		if len(members) == carobgossip.Most && !flush() {
 			return
 		}
@@ -169,7 +181,9 @@
 	flush()
 }
 
-func wordOf(w *carobworld.World, id carobnodeid.ID) (carobmember.Member, bool) {
+// description returns the description of a node that this node has. It reports false if
+// there is none.
+func description(w *carobworld.World, id carobnodeid.ID) (carobmember.Member, bool) {
 	if id == w.Self.Node {
 		return w.Describe(), true
 	}
--- a/pkg/carobworld/members.go
+++ b/pkg/carobworld/members.go
@@ -42,7 +42,8 @@
 	return sums
 }
 
-// SomePeers returns up to n peers for which eligible returns true, sampled uniformly at random.
+// SomePeers returns up to n peers for which eligible returns true, sampled uniformly at
+// random.
 func (w *World) SomePeers(n int, eligible func(pr *carobpeer.Peer) bool) []*carobpeer.Peer {
 	var sample []*carobpeer.Peer
 	seen := 0
