--- a/pkg/carobdelivery/delivery.go
+++ b/pkg/carobdelivery/delivery.go
@@ -1,4 +1,5 @@
-// Package carobdelivery holds the message that an answer was passed on.
+// Package carobdelivery holds the tick input that reports how the forwarding of an
+// answer's body ended.
 package carobdelivery
 
 import (
@@ -7,11 +8,11 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Delivery tells how the passing on of an answer's body ended.
+// Delivery reports how the forwarding of an answer's body to the caller ended.
 type Delivery struct {
 	Job carobjobid.ID
-	// Kind is None if the whole answer was passed on.
+	// Kind is None if the whole answer was forwarded.
 	Kind carobkind.Kind
-	// Kept is the whole answer, if it is small; nil otherwise.
+	// Kept is the whole answer if it is small enough to be kept; nil otherwise.
 	Kept *carobkept.Kept
 }
--- a/pkg/carobdigest/digest.go
+++ b/pkg/carobdigest/digest.go
@@ -1,4 +1,5 @@
-// Package carobdigest holds in short what a node knows of a part of the nodes.
+// Package carobdigest holds the message by which two nodes compare a partition of their
+// peer tables.
 package carobdigest
 
 import (
@@ -8,25 +9,26 @@
 	"github.com/carobknot/carobknot/pkg/carobversion"
 )
 
-// Digest is which word about each node the sender has. The receiver sends the
-// words that the sender lacks, and asks for those that it lacks itself.
+// Digest lists the version of each description that the sender has of a partition. The
+// receiver sends the descriptions that the sender lacks, and requests those that it lacks
+// itself.
 type Digest struct {
-	// Part is the part of the table that Rows are of, below carobprobe.Parts.
+	// Part is the index of the partition, from 0.
 	Part int `json:"part"`
-	// Rows have different nodes.
+	// Rows are the versions of the sender's descriptions, at most one for each node.
 	Rows []carobversion.Version `json:"rows,omitempty"`
-	// Wanted are nodes of which the sender asks for the newest word. If there are
-	// any, there are no Rows.
+	// Wanted are the nodes whose newest description the sender requests. If there are any,
+	// the digest lists no versions.
 	Wanted []carobnodeid.ID `json:"wanted,omitempty"`
 }
 
-// most is the most rows of one digest.
-const most = 4096
+// maxRows is the maximum number of rows, and of requested nodes, of one digest.
+const maxRows = 4096
 
-// Check tells whether the digest is within its bounds.
+// Check returns an error of kind Invalid if the digest is out of bounds.
 func (d Digest) Check() error {
-	if d.Part < 0 || d.Part >= carobprobe.Parts || len(d.Rows) > most || len(d.Wanted) > most {
-		return carobkind.New(carobkind.Invalid, "digest: part %d with %d rows", d.Part, len(d.Rows))
+	if d.Part < 0 || d.Part >= carobprobe.Parts || len(d.Rows) > maxRows || len(d.Wanted) > maxRows {
+		return carobkind.New(carobkind.Invalid, "digest: partition %d with %d rows is out of bounds", d.Part, len(d.Rows))
 	}
 	for _, vs := range d.Rows {
 		if err := vs.Check(); err != nil {
--- a/pkg/carobfetch/fetch.go
+++ b/pkg/carobfetch/fetch.go
@@ -1,4 +1,4 @@
-// Package carobfetch asks another node for profile records.
+// Package carobfetch holds the message that requests profile records from another node.
 package carobfetch
 
 import (
@@ -6,16 +6,16 @@
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 )
 
-// Fetch asks for the records that the sender misses.
+// Fetch requests the profile records that the sender lacks.
 type Fetch struct {
-	// From is the first offset that is missing.
+	// From is the first offset that the sender lacks.
 	From caroboffset.Offset `json:"from"`
 }
 
-// Check tells whether the offset can be one.
+// Check returns an error of kind Invalid if the offset is negative.
 func (f Fetch) Check() error {
 	if f.From < 0 {
-		return carobkind.New(carobkind.Invalid, "fetch: from %d", f.From)
+		return carobkind.New(carobkind.Invalid, "fetch: offset %d is negative", f.From)
 	}
 	return nil
 }
--- a/pkg/carobfollow/follow.go
+++ b/pkg/carobfollow/follow.go
@@ -1,10 +1,9 @@
-// Package carobfollow holds the order to follow a stream of the log.
+// Package carobfollow holds the effect that starts or stops the reading of a log stream.
 package carobfollow
 
 import "github.com/carobknot/carobknot/pkg/carobstream"
 
-// Follow orders that a stream is read from its first kept record on, or that
-// reading it ends.
+// Follow starts reading a stream from its first retained record, or stops reading it.
 type Follow struct {
 	Stream carobstream.Stream
 	On     bool
--- a/pkg/carobfollowing/system.go
+++ b/pkg/carobfollowing/system.go
@@ -1,14 +1,14 @@
-// Package carobfollowing decides which nodes follow the operator's records in
-// the store, where each call has its price.
+// Package carobfollowing selects the nodes that read the operator's records from the
+// store, where each read has a cost.
 //
-// In each data centre one node follows: the first by name of those that are
-// there and can read the store. All nodes work that out alike from what they
-// know of each other, without a vote. A node that cannot read says so in its
-// word, and the next one follows; two at once do no harm.
+// In each data centre one node reads: the one with the lowest id among those that are
+// alive, not leaving, and can read the store. All nodes derive this from their peer
+// tables, without a vote. A node that cannot read the store says so in its description,
+// and the next one takes over; two readers at once do no harm.
 //
-// A read that the store holds until something comes may miss it: seen when the
-// store had been slow, for all followers at once. So no read is held for long, and
-// the followers' reads end at different times; what one finds all others hear of.
+// A long-poll read that the store holds open can miss a record. This was observed after
+// the store had been slow, for all readers at once. So no read is held open for long, and
+// the readers' polls end at different times; a record found by one reaches all other nodes.
 package carobfollowing
 
 import (
@@ -21,24 +21,24 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// fresh is the mean time between the beginnings of two reads, of all followers
-// together.
-const fresh = 750 * time.Millisecond
+// readInterval is the mean time between the starts of two reads, over all readers together.
+const readInterval = 750 * time.Millisecond
 
-// System decides whether this node follows.
+// System decides whether this node reads from the store.
 type System struct {
-	// centres counts the data centres as of the change of Peers that counted is one
-	// more than.
-	centres int
-	counted uint64
+	// readers is the cached number of data centres, and countedAt is 1 above the number of
+	// peer changes at which it was determined; 0 if it was not.
+	readers   int
+	countedAt uint64
 }
 
-// NewSystem returns the system.
+// NewSystem returns a System with an empty cache.
 func NewSystem() *System {
 	return &System{}
 }
 
-// Run takes in how the store answers, and decides anew.
+// Run applies changes in whether the store can be read, and decides whether this node
+// reads from it and for how long each read may be held open.
 func (s *System) Run(w *carobworld.World, _ carobinstant.Instant) {
 	for _, blind := range w.Inbox.Blind {
 		if blind != w.Self.Blind {
@@ -46,17 +46,18 @@
 			w.Self.Beat++
 		}
 	}
-	// A node that knows no routes looks for them itself, whoever else does.
-	w.Outbox.Following = !w.Stopping && (w.Routes == nil || first(w))
+	// A node without a route table reads the store itself, even if another node does too.
+	w.Outbox.Following = !w.Stopping && (w.Routes == nil || takesPrecedence(w))
 	if w.Outbox.Following {
-		w.Outbox.Hold = fresh * time.Duration(s.followers(w))
+		w.Outbox.Hold = readInterval * time.Duration(s.countReaders(w))
 	}
 }
 
-// followers returns how many nodes follow, one in each data centre.
-func (s *System) followers(w *carobworld.World) int {
-	if s.counted == w.PeerChanges+1 {
-		return s.centres
+// countReaders returns the number of nodes that read from the store: one in each data
+// centre with a live node.
+func (s *System) countReaders(w *carobworld.World) int {
+	if s.countedAt == w.PeerChanges+1 {
+		return s.readers
 	}
 	centres := map[carobcentre.Centre]struct{}{w.Self.Centre: {}}
 	for _, pr := range w.Peers.All() {
@@ -64,12 +65,13 @@
 			centres[pr.Member.Centre] = struct{}{}
 		}
 	}
-	s.centres, s.counted = len(centres), w.PeerChanges+1
-	return s.centres
+	s.readers, s.countedAt = len(centres), w.PeerChanges+1
+	return s.readers
 }
 
-// first reports whether no other node of the data centre comes before this one.
-func first(w *carobworld.World) bool {
+// takesPrecedence reports whether this node takes precedence over all other live nodes
+// of its data centre.
+func takesPrecedence(w *carobworld.World) bool {
 	return len(w.SomePeers(1, func(pr *carobpeer.Peer) bool {
 		mb := &pr.Member
 		if mb.Centre != w.Self.Centre || mb.Standing != carobstanding.Alive || mb.Leaving {
--- a/pkg/carobfollowing/system_test.go
+++ b/pkg/carobfollowing/system_test.go
@@ -18,7 +18,10 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-func TestOneNodeOfADataCentreFollows(t *testing.T) {
+// All nodes of a data centre must select the same reader. A reader that leaves, is
+// suspected, or cannot read the store must be replaced, or new route tables reach the data
+// centre late. A node without routes reads in any case.
+func TestOneNodeOfADataCentreReadsTheStore(t *testing.T) {
 	member := func(node carobnodeid.ID, centre carobcentre.Centre, change func(m *carobmember.Member)) carobmember.Member {
 		m := carobmember.Member{Node: node, Centre: centre}
 		if change != nil {
@@ -27,28 +30,28 @@
 		return m
 	}
 	for _, c := range []struct {
-		name    string
-		others  []carobmember.Member
-		blind   bool
-		unaware bool
-		follows bool
+		name       string
+		others     []carobmember.Member
+		unreadable bool
+		noRoutes   bool
+		reads      bool
 	}{
 		{"alone", nil, false, false, true},
-		{"behind another", []carobmember.Member{member("a", "x", nil)}, false, false, false},
-		{"before another", []carobmember.Member{member("z", "x", nil)}, false, false, true},
-		{"others elsewhere", []carobmember.Member{member("a", "y", nil)}, false, false, true},
-		{"the first is blind", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Blind = true })}, false, false, true},
-		{"the first is leaving", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Leaving = true })}, false, false, true},
-		{"the first is suspected", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Standing = carobstanding.Suspect })}, false, false, true},
-		{"blind, and another sees", []carobmember.Member{member("z", "x", nil)}, true, false, false},
-		{"all are blind, the first goes on", []carobmember.Member{member("z", "x", func(m *carobmember.Member) { m.Blind = true })}, true, false, true},
-		{"knows no routes", []carobmember.Member{member("a", "x", nil)}, false, true, true},
+		{"another has a lower id", []carobmember.Member{member("a", "x", nil)}, false, false, false},
+		{"another has a higher id", []carobmember.Member{member("z", "x", nil)}, false, false, true},
+		{"another data centre has a lower id", []carobmember.Member{member("a", "y", nil)}, false, false, true},
+		{"the lowest id cannot read the store", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Blind = true })}, false, false, true},
+		{"the lowest id is leaving", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Leaving = true })}, false, false, true},
+		{"the lowest id is suspected", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Standing = carobstanding.Suspect })}, false, false, true},
+		{"cannot read the store, another can", []carobmember.Member{member("z", "x", nil)}, true, false, false},
+		{"none can read the store, the lowest id goes on", []carobmember.Member{member("z", "x", func(m *carobmember.Member) { m.Blind = true })}, true, false, true},
+		{"has no route table", []carobmember.Member{member("a", "x", nil)}, false, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := carobworld.NewWorld(carobworld.Config{
 				Self: carobmember.Member{Node: "m", Centre: "x"}, Limits: caroblimits.NewLimits(),
 			})
-			if !c.unaware {
+			if !c.noRoutes {
 				rs, err := carobroutes.NewRoutes(1, nil)
 				require.NoError(t, err)
 				w.Routes = rs
@@ -57,21 +60,22 @@
 				w.Peers.Put(mb.Node, carobpeer.Peer{Member: mb})
 			}
 			in := carobinbox.Inbox{}
-			if c.blind {
+			if c.unreadable {
 				in.Blind = []bool{true}
 			}
-			beat := w.Self.Beat
+			sequence := w.Self.Beat
 			w.Begin(in)
 			carobfollowing.NewSystem().Run(w, 1)
-			require.Equal(t, c.follows, w.Outbox.Following)
-			require.Equal(t, c.follows, w.Outbox.Hold > 0)
-			require.Equal(t, c.blind, w.Self.Beat != beat, "blindness is news to others")
+			require.Equal(t, c.reads, w.Outbox.Following)
+			require.Equal(t, c.reads, w.Outbox.Hold > 0)
+			require.Equal(t, c.unreadable, w.Self.Beat != sequence, "other nodes learn whether it can read the store")
 		})
 	}
 }
 
-// Reads of all followers together begin as often whatever their number is.
-func TestMoreFollowersHoldTheirReadsForLonger(t *testing.T) {
+// Each read has a cost, so the rate of reads over all readers must not depend on the
+// number of data centres: each read is held open in proportion to that number.
+func TestMoreReadersHoldTheirReadsForLonger(t *testing.T) {
 	hold := func(centres ...carobcentre.Centre) time.Duration {
 		w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "a", Centre: "x"}, Limits: caroblimits.NewLimits()})
 		for i, centre := range centres {
--- a/pkg/carobgossip/gossip.go
+++ b/pkg/carobgossip/gossip.go
@@ -1,4 +1,4 @@
-// Package carobgossip holds what nodes tell each other about who is there.
+// Package carobgossip holds the message that carries descriptions of nodes.
 package carobgossip
 
 import (
@@ -6,19 +6,20 @@
 	"github.com/carobknot/carobknot/pkg/carobmember"
 )
 
-// Gossip is some of what the sender knows: the news, or what was asked for.
+// Gossip carries some of the descriptions that the sender has: pending changes, or those
+// that the receiver requested.
 type Gossip struct {
-	// Members have different nodes.
+	// Members are descriptions of different nodes.
 	Members []carobmember.Member `json:"members"`
-	// Asked says that the receiver lacked these words and others do not: they are
-	// no news.
+	// Asked is true if the receiver lacked these descriptions and other nodes have them,
+	// so that they are not gossiped further.
 	Asked bool `json:"asked,omitempty"`
 }
 
-// Most is the most members in one message.
+// Most is the maximum number of members in one message.
 const Most = 64
 
-// Check tells whether the message is within its bounds.
+// Check returns an error of kind Invalid if the message or a member is out of bounds.
 func (g Gossip) Check() error {
 	if len(g.Members) > Most {
 		return carobkind.New(carobkind.Invalid, "gossip: more than %d members", Most)
--- a/pkg/carobmember/member.go
+++ b/pkg/carobmember/member.go
@@ -1,4 +1,4 @@
-// Package carobmember holds what nodes tell each other about a node.
+// Package carobmember holds the descriptions of nodes that are exchanged by gossip.
 package carobmember
 
 import (
@@ -14,47 +14,48 @@
 	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
-// Member is a node as it describes itself, and its standing. Others pass it on
-// unchanged but for the standing.
+// Member is a node's description of itself, and its liveness state. Other nodes may change
+// the liveness state, and forward the rest unchanged.
 type Member struct {
 	Node        carobnodeid.ID               `json:"node"`
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
 	Region      carobregion.Region           `json:"region"`
 	Centre      carobcentre.Centre           `json:"centre"`
-	// Peer is where other nodes reach the node.
+	// Peer is the address at which other nodes reach the node.
 	Peer carobaddress.Address `json:"peer"`
-	// Beat grows with every change; the higher one is newer within an incarnation.
+	// Beat is the update sequence: the node increases it with every change. Within an
+	// incarnation the higher one is newer.
 	Beat uint64 `json:"beat"`
-	// Standing is what others say of the node.
+	// Standing is the liveness state that other nodes assign to the node.
 	Standing carobstanding.Standing `json:"standing,omitempty"`
-	// Leaving says that the node is shutting down.
+	// Leaving is true if the node is shutting down.
 	Leaving bool `json:"leaving,omitempty"`
-	// Blind says that the node cannot read the operator's records.
+	// Blind is true if the node cannot read the operator's records from the store.
 	Blind bool `json:"blind,omitempty"`
 	// Targets are the targets on the node's VM.
 	Targets []carobtarget.Target `json:"targets,omitempty"`
 }
 
-// MostTargets is the most targets on one VM.
+// MostTargets is the maximum number of targets on one VM.
 const MostTargets = 64
 
-// Version tells the word apart from others about the node.
+// Version returns the version of the description.
 func (m Member) Version() carobversion.Version {
 	return carobversion.Version{Node: m.Node, Incarnation: m.Incarnation, Beat: m.Beat, Standing: m.Standing}
 }
 
-// Newer reports whether m is a later word about the same node than o.
+// Newer reports whether m is a newer description of the same node than o.
 func (m Member) Newer(o Member) bool {
 	return m.Version().Newer(o.Version())
 }
 
-// Weight returns about how many bytes the word takes in a message.
+// Weight returns the approximate size of the description in a message, in bytes.
 func (m Member) Weight() int {
 	const fixed, each = 140, 130
 	return fixed + each*len(m.Targets)
 }
 
-// Check tells whether all fields are within their bounds.
+// Check returns an error of kind Invalid if a field is out of bounds.
 func (m Member) Check() error {
 	if err := m.Version().Check(); err != nil {
 		return err
--- a/pkg/carobmessage/check.go
+++ b/pkg/carobmessage/check.go
@@ -1,11 +1,11 @@
 package carobmessage
 
-// checker is a kind of message that tells whether it is within its bounds.
-type checker interface {
+// validator is message content that can validate itself.
+type validator interface {
 	Check() error
 }
 
-// Check tells whether the sender and the content are within their bounds.
+// Check returns an error of kind Invalid if the sender or the content is out of bounds.
 func (m *Message) Check() error {
 	if err := m.From.Check(); err != nil {
 		return err
@@ -21,11 +21,10 @@
 	return nil
 }
 
-// contents returns the pointers that are set.
-func (m *Message) contents() []checker {
-	var set []checker
-
-	// Membership and profiles.
+// contents returns the content that is set, if its type has a Check method. The content
+// types of calls, claims and load queries have none.
+func (m *Message) contents() []validator {
+	var set []validator
 
 	if m.Gossip != nil {
 		set = append(set, m.Gossip)
@@ -42,14 +41,9 @@
 	if m.Supply != nil {
 		set = append(set, m.Supply)
 	}
-
 	if m.Routes != nil {
 		set = append(set, m.Routes)
 	}
 
-	// Calls and claims.
-
-	// Measuring.
-
 	return set
 }
--- a/pkg/carobmessage/message.go
+++ b/pkg/carobmessage/message.go
@@ -1,5 +1,5 @@
-// Package carobmessage holds the control messages between nodes. All are sent
-// one way; what needs an answer gets it as another message, or not at all.
+// Package carobmessage holds the control messages between nodes. All are one-way; an
+// answer, where there is one, is a message of its own.
 package carobmessage
 
 import (
@@ -24,53 +24,54 @@
 	"github.com/carobknot/carobknot/pkg/carobsupply"
 )
 
-// Message is one control message. Of the pointers at most one is set, which
-// says what kind of message it is.
+// Message is one control message. At most one of the pointers is set, which makes it the
+// content.
 type Message struct {
-	// To is where the message goes. It does not travel.
+	// To is the address that the message is sent to. It is not part of the encoded
+	// message.
 	To carobaddress.Address `json:"-"`
-	// From, Incarnation and Back are the sender and where it takes answers.
+	// From and Incarnation identify the sender, and Back is the address for answers.
 	From        carobnodeid.ID               `json:"from"`
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
 	Back        carobaddress.Address         `json:"back"`
 
-	// RoutesVersion is that of the sender's route table. A message without content
-	// tells just that.
+	// RoutesVersion is the version of the sender's route table. A message without content
+	// only announces this version.
 	RoutesVersion carobrouteversion.Version `json:"routesversion,omitempty"`
 
 	// Membership and profiles.
 
-	// Gossip tells who is there.
+	// Gossip carries descriptions of nodes.
 	Gossip *carobgossip.Gossip `json:"gossip,omitempty"`
-	// Probe asks whether a node is there, or answers.
+	// Probe is a heartbeat or the answer to one.
 	Probe *carobprobe.Probe `json:"probe,omitempty"`
-	// Digest says what the sender knows of a part of the nodes, in short.
+	// Digest lists the versions of the sender's descriptions of some nodes.
 	Digest *carobdigest.Digest `json:"digest,omitempty"`
-	// Fetch asks for profile records, and Supply gives them.
+	// Fetch requests profile records, and Supply carries them.
 	Fetch  *carobfetch.Fetch   `json:"fetch,omitempty"`
 	Supply *carobsupply.Supply `json:"supply,omitempty"`
 
-	// RouteFetch asks for the route table, and Routes gives it.
+	// RouteFetch requests the route table, and Routes carries it.
 	RouteFetch *carobroutefetch.Fetch `json:"routefetch,omitempty"`
 	Routes     *carobroutes.Routes    `json:"routes,omitempty"`
 
 	// Calls and claims.
 
-	// Fence asks what became of a job.
+	// Fence makes sure that an attempt never runs, or asks how its job ended.
 	Fence *carobfence.Fence `json:"fence,omitempty"`
 	// FenceReply answers a fence.
 	FenceReply *carobfencereply.FenceReply `json:"fencereply,omitempty"`
-	// Claim asks the home of a key for it; ClaimReply answers.
+	// Claim requests an idempotency key from its home, and ClaimReply answers.
 	Claim      *carobclaim.Claim      `json:"claim,omitempty"`
 	ClaimReply *carobclaimreply.Reply `json:"claimreply,omitempty"`
-	// Settlement tells the home how a call ended; Settled confirms it.
+	// Settlement reports to the home of a key how a call ended, and Settled confirms it.
 	Settlement *carobsettlement.Settlement `json:"settlement,omitempty"`
 	Settled    *carobcallid.ID             `json:"settled,omitempty"`
 
 	// Measuring.
 
-	// Poll asks for the load of a target.
+	// Poll queries the load of a target.
 	Poll *carobpoll.Poll `json:"poll,omitempty"`
-	// Report answers a poll.
+	// Report answers a query for a load.
 	Report *carobreport.Report `json:"report,omitempty"`
 }
--- a/pkg/carobpeer/peer.go
+++ b/pkg/carobpeer/peer.go
@@ -1,4 +1,4 @@
-// Package carobpeer holds the rows of the other nodes.
+// Package carobpeer holds the rows of the peer table.
 package carobpeer
 
 import (
@@ -7,17 +7,18 @@
 	"github.com/carobknot/carobknot/pkg/carobrouteversion"
 )
 
-// Peer is what a node knows of another node.
+// Peer is the state that a node keeps of another node.
 type Peer struct {
-	// Member is the newest word about the other node.
+	// Member is the newest description of the peer.
 	Member carobmember.Member
-	// Heard is when the other node itself was last heard; before that, when the
-	// first word about it came.
+	// Heard is when the last message from the peer itself arrived; until then, when its
+	// first description arrived.
 	Heard carobinstant.Instant
-	// Since is when the standing came to be what it is.
+	// Since is when the liveness state of the peer last changed.
 	Since carobinstant.Instant
-	// Routes is the newest route table that the other node is known to have.
+	// Routes is the newest version of the route table that the peer is known to have.
 	Routes carobrouteversion.Version
-	// Told is how often this node has passed the word on.
+	// Told is the number of times that this node has sent the current description by
+	// gossip.
 	Told int
 }
--- a/pkg/carobprobe/probe.go
+++ b/pkg/carobprobe/probe.go
@@ -1,5 +1,5 @@
-// Package carobprobe holds the messages by which nodes find out whether others
-// are there.
+// Package carobprobe holds the heartbeat message, by which nodes detect whether others are
+// alive.
 package carobprobe
 
 import (
@@ -9,33 +9,36 @@
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 )
 
-// Probe asks a node whether it is there, or answers that. A node that gets no
-// answer asks others to probe in its place: the answer comes back their way.
+// Probe is a heartbeat, or the answer to one. If a node does not answer, the sender asks
+// other nodes to relay the heartbeat; the answer comes back the same way.
 type Probe struct {
-	// Number tells the probes of a node apart.
+	// Number identifies the heartbeat among those of its first sender.
 	Number uint64 `json:"number"`
-	// Node is the one that is probed. Another node at its address does not answer.
-	// Empty is whoever is at the address.
+	// Node is the node that the heartbeat is meant for; another node at the same address
+	// does not answer. If it is empty, whichever node is at the address answers.
 	Node carobnodeid.ID `json:"node,omitempty"`
-	// Answer says that this answers a probe.
+	// Answer is true if this is an answer.
 	Answer bool `json:"answer,omitempty"`
-	// Goal asks the receiver to probe Node at that address. May be empty.
+	// Goal is an address to which the receiver is asked to relay the heartbeat. It is
+	// empty if the heartbeat is not to be relayed.
 	Goal carobaddress.Address `json:"goal,omitempty"`
-	// Origin is who asked the sender to probe Node. May be empty.
+	// Origin is the address of the node that the sender relays for. It is empty if the
+	// heartbeat is not relayed.
 	Origin carobaddress.Address `json:"origin,omitempty"`
-	// Sums has a checksum of each part of the sender's table of nodes.
+	// Sums are the checksums of the partitions of the sender's peer table; empty if the
+	// heartbeat carries none.
 	Sums []uint64 `json:"sums,omitempty"`
-	// Read is how far the sender has read the stream of profiles.
+	// Read is the offset up to which the sender has applied the stream of profiles.
 	Read caroboffset.Offset `json:"read"`
 }
 
-// Parts is the number of parts of the table of nodes.
+// Parts is the number of partitions of the peer table.
 const Parts = 16
 
-// Check tells whether the probe is within its bounds.
+// Check returns an error of kind Invalid if a field is out of bounds.
 func (p Probe) Check() error {
 	if len(p.Sums) != 0 && len(p.Sums) != Parts {
-		return carobkind.New(carobkind.Invalid, "probe: %d sums", len(p.Sums))
+		return carobkind.New(carobkind.Invalid, "probe: wrong number of checksums: %d", len(p.Sums))
 	}
 	if p.Node != "" {
 		if err := p.Node.Check(); err != nil {
--- a/pkg/carobroutefetch/fetch.go
+++ b/pkg/carobroutefetch/fetch.go
@@ -1,16 +1,16 @@
-// Package carobroutefetch asks another node for its route table.
+// Package carobroutefetch holds the message that requests another node's route table.
 package carobroutefetch
 
 import "github.com/carobknot/carobknot/pkg/carobrouteversion"
 
-// Fetch asks for the route table if it is newer than what the sender has. One
-// with no newer table to give is not answered.
+// Fetch requests the route table if it is newer than the sender's. A node without a newer
+// one does not answer.
 type Fetch struct {
-	// Have is the sender's version.
+	// Have is the version of the sender's table; None if it has no table.
 	Have carobrouteversion.Version `json:"have"`
 }
 
-// Check tells whether the fetch is within its bounds.
+// Check returns nil, because every version is valid.
 func (f Fetch) Check() error {
 	return nil
 }
--- a/pkg/carobroutesync/system.go
+++ b/pkg/carobroutesync/system.go
@@ -1,9 +1,8 @@
-// Package carobroutesync puts newer route tables into force and brings them to
-// the other nodes.
+// Package carobroutesync applies newer route tables and distributes them among nodes.
 //
-// Each control message says which version its sender has, so that a node that
-// is behind finds out soon, whoever told. Tables travel only on request, and
-// first between nodes of one data centre, where bytes cost least.
+// Each control message carries the version of its sender's route table, so a node that has
+// an older one learns so from any message. Tables are sent only on request, and preferably
+// between nodes of one data centre, where traffic is cheapest.
 package carobroutesync
 
 import (
@@ -18,48 +17,49 @@
 )
 
 const (
-	// patience is how long an answer may take before another node is asked.
-	patience = 250 * time.Millisecond
-	// headStart is how long nodes of the own data centre have to tell of a new
-	// table before one elsewhere is asked for it.
-	headStart = 150 * time.Millisecond
+	// answerTimeout is how long to wait for an answer before another node is asked.
+	answerTimeout = 250 * time.Millisecond
+	// localHeadStart is how long to wait for a node of this data centre to announce a newer
+	// table before it is requested from a node elsewhere.
+	localHeadStart = 150 * time.Millisecond
 )
 
-// System keeps the route table up to date. Versions only ever go up.
+// System keeps the route table up to date. The version never decreases.
 type System struct {
-	// behind is since when a newer version is known of; Never if none is.
-	behind carobinstant.Instant
-	// until is when the question on its way counts as lost; Never if there is none.
-	until carobinstant.Instant
+	// behindSince is since when a peer is known to have a newer version; Never if none has.
+	behindSince carobinstant.Instant
+	// requestDeadline is when the pending request times out; Never if there is none.
+	requestDeadline carobinstant.Instant
 }
 
-// NewSystem returns the system.
+// NewSystem returns a System without a pending request.
 func NewSystem() *System {
 	return &System{}
 }
 
-// Run takes in tables, answers those who are behind, and asks if this node is.
+// Run applies newer tables, answers requests, and requests a newer table if a peer has
+// one.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	for _, rs := range w.Inbox.Routes {
-		if adopt(w, rs, "store") {
+		if apply(w, rs, "store") {
 			announce(w)
 		}
 	}
 	for i := range w.Inbox.Messages {
 		ms := &w.Inbox.Messages[i]
-		if ms.Routes != nil && adopt(w, ms.Routes, string(ms.From)) {
-			s.until = carobinstant.Never
+		if ms.Routes != nil && apply(w, ms.Routes, string(ms.From)) {
+			s.requestDeadline = carobinstant.Never
 		}
 		if ms.RouteFetch != nil && w.Routes != nil && w.Routes.Version > ms.RouteFetch.Have {
 			w.Tell(carobmessage.Message{To: ms.Back, Routes: w.Routes})
 		}
-		note(w, ms)
+		recordVersion(w, ms)
 	}
-	s.catchUp(w, now)
+	s.requestNewer(w, now)
 }
 
-// adopt puts a table into force if it is newer.
-func adopt(w *carobworld.World, rs *carobroutes.Routes, from string) bool {
+// apply applies a table and reports true if it is newer than the one in force.
+func apply(w *carobworld.World, rs *carobroutes.Routes, from string) bool {
 	if rs.Version <= w.RoutesVersion() {
 		return false
 	}
@@ -68,14 +68,15 @@
 	return true
 }
 
-// note remembers which version a peer has.
-func note(w *carobworld.World, ms *carobmessage.Message) {
+// recordVersion records which version of the route table a peer has.
+func recordVersion(w *carobworld.World, ms *carobmessage.Message) {
 	if pr := w.Peers.Get(ms.From); pr != nil && ms.Incarnation == pr.Member.Incarnation {
 		pr.Routes = max(pr.Routes, ms.RoutesVersion)
 	}
 }
 
-// announce tells the nodes of the data centre that there is a newer table.
+// announce sends the version of a new table to the nodes of this data centre that have an
+// older one.
 func announce(w *carobworld.World) {
 	for _, pr := range w.Peers.All() {
 		if pr.Member.Centre == w.Self.Centre && !pr.Member.Standing.Lost() && pr.Routes < w.Routes.Version {
@@ -84,33 +85,35 @@
 	}
 }
 
-// catchUp asks a node that has a newer table, one of the own data centre first.
-func (s *System) catchUp(w *carobworld.World, now carobinstant.Instant) {
+// requestNewer requests a newer table from a peer that has one, preferably of this data
+// centre. Only one request is pending at a time. A node without any table does not wait
+// for its data centre.
+func (s *System) requestNewer(w *carobworld.World, now carobinstant.Instant) {
 	have := w.RoutesVersion()
 	ahead := func(pr *carobpeer.Peer) bool { return pr.Routes > have && !pr.Member.Standing.Lost() }
 	near := w.SomePeers(1, func(pr *carobpeer.Peer) bool { return ahead(pr) && pr.Member.Centre == w.Self.Centre })
 	far := w.SomePeers(1, ahead)
 	if len(far) == 0 {
-		s.behind = carobinstant.Never
+		s.behindSince = carobinstant.Never
 		return
 	}
-	if s.behind == carobinstant.Never {
-		s.behind = now
+	if s.behindSince == carobinstant.Never {
+		s.behindSince = now
 	}
-	switch wait := s.behind.Add(headStart); {
-	case s.until != carobinstant.Never && !s.until.Reached(now):
-		w.WakeAt(s.until)
+	switch wait := s.behindSince.Add(localHeadStart); {
+	case s.requestDeadline != carobinstant.Never && !s.requestDeadline.Reached(now):
+		w.WakeAt(s.requestDeadline)
 	case len(near) > 0:
-		s.ask(w, now, near[0])
+		s.request(w, now, near[0])
 	case wait.Reached(now) || w.Routes == nil:
-		s.ask(w, now, far[0])
+		s.request(w, now, far[0])
 	default:
 		w.WakeAt(wait)
 	}
 }
 
-func (s *System) ask(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer) {
-	s.until = now.Add(patience)
-	w.WakeAt(s.until)
+func (s *System) request(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer) {
+	s.requestDeadline = now.Add(answerTimeout)
+	w.WakeAt(s.requestDeadline)
 	w.Tell(carobmessage.Message{To: pr.Member.Peer, RouteFetch: &carobroutefetch.Fetch{Have: w.RoutesVersion()}})
 }
--- a/pkg/carobroutesync/system_test.go
+++ b/pkg/carobroutesync/system_test.go
@@ -27,7 +27,7 @@
 	far  = carobcentre.Centre("there")
 )
 
-// rig is a node with one other node in its data centre and one elsewhere.
+// rig is a node with one peer in its data centre and one in another.
 type rig struct {
 	t      *testing.T
 	world  *carobworld.World
@@ -55,7 +55,7 @@
 	return r.world.Outbox.Messages
 }
 
-func (r *rig) hear(from carobnodeid.ID, version carobrouteversion.Version) []carobmessage.Message {
+func (r *rig) receive(from carobnodeid.ID, version carobrouteversion.Version) []carobmessage.Message {
 	return r.step(time.Millisecond, carobinbox.Inbox{Messages: []carobmessage.Message{
 		{From: from, Incarnation: 1, Back: carobaddress.Address(from), RoutesVersion: version},
 	}})
@@ -68,6 +68,8 @@
 	return rs
 }
 
+// Tables can arrive out of order, from the store and from peers. An older one must not
+// replace a newer one.
 func TestVersionsNeverGoBack(t *testing.T) {
 	r := newRig(t)
 	r.step(0, carobinbox.Inbox{Routes: []*carobroutes.Routes{table(t, 9)}})
@@ -76,51 +78,60 @@
 	require.EqualValues(t, 9, r.world.RoutesVersion())
 }
 
+// A table read from the store must be announced at once, by its version only, and only in
+// the node's data centre, where traffic is cheapest.
 func TestNewTableIsAnnouncedInTheDataCentre(t *testing.T) {
 	r := newRig(t)
 	sent := r.step(0, carobinbox.Inbox{Routes: []*carobroutes.Routes{table(t, 9)}})
 	require.Len(t, sent, 1)
 	require.EqualValues(t, "near", sent[0].To)
 	require.EqualValues(t, 9, sent[0].RoutesVersion)
-	require.Nil(t, sent[0].Routes, "the table travels on request only")
+	require.Nil(t, sent[0].Routes, "the table is sent on request only")
 }
 
-func TestNodeThatIsBehindAsksInItsDataCentreFirst(t *testing.T) {
+// A node with an old table must leave the nodes of its data centre time to announce the
+// newer one before it requests it from elsewhere.
+func TestOutdatedNodeRequestsInItsDataCentreFirst(t *testing.T) {
 	r := newRig(t)
 	r.step(0, carobinbox.Inbox{Routes: []*carobroutes.Routes{table(t, 3)}})
-	require.Empty(t, r.hear("far", 9), "the own data centre has a head start")
-	sent := r.hear("near", 9)
+	require.Empty(t, r.receive("far", 9), "the own data centre has a head start")
+	sent := r.receive("near", 9)
 	require.Len(t, sent, 1)
 	require.EqualValues(t, "near", sent[0].To)
 	require.EqualValues(t, 3, sent[0].RouteFetch.Have)
 }
 
-func TestNodeAsksElsewhereWhenItsDataCentreKnowsNothing(t *testing.T) {
+// If no node of the data centre announces the newer table, it must be requested from
+// elsewhere, and again if the answer is lost.
+func TestNodeRequestsElsewhereIfItsDataCentreHasNoNewerTable(t *testing.T) {
 	r := newRig(t)
 	r.step(0, carobinbox.Inbox{Routes: []*carobroutes.Routes{table(t, 3)}})
-	r.hear("far", 9)
+	r.receive("far", 9)
 	sent := r.step(200*time.Millisecond, carobinbox.Inbox{})
 	require.Len(t, sent, 1)
 	require.EqualValues(t, "far", sent[0].To)
-	require.Empty(t, r.step(100*time.Millisecond, carobinbox.Inbox{}), "one question at a time")
-	require.Len(t, r.step(200*time.Millisecond, carobinbox.Inbox{}), 1, "asked again when no answer comes")
+	require.Empty(t, r.step(100*time.Millisecond, carobinbox.Inbox{}), "one request is pending at a time")
+	require.Len(t, r.step(200*time.Millisecond, carobinbox.Inbox{}), 1, "requested again after a time-out")
 }
 
-func TestNodeWithoutATableAsksAtOnce(t *testing.T) {
+// A node without a route table has nothing to route by, so its data centre's head start
+// must not delay its request.
+func TestNodeWithoutATableRequestsAtOnce(t *testing.T) {
 	r := newRig(t)
-	require.Len(t, r.hear("far", 9), 1)
+	require.Len(t, r.receive("far", 9), 1)
 }
 
-func TestOnlyNewerTablesAreGiven(t *testing.T) {
+// A request is answered only with a newer table, since any other would only cost traffic.
+func TestOnlyNewerTablesAreSent(t *testing.T) {
 	r := newRig(t)
 	r.step(0, carobinbox.Inbox{Routes: []*carobroutes.Routes{table(t, 9)}})
-	ask := func(have carobrouteversion.Version) []carobmessage.Message {
+	request := func(have carobrouteversion.Version) []carobmessage.Message {
 		return r.step(time.Millisecond, carobinbox.Inbox{Messages: []carobmessage.Message{
 			{From: "far", Incarnation: 1, Back: "far", RoutesVersion: have, RouteFetch: &carobroutefetch.Fetch{Have: have}},
 		}})
 	}
-	require.Empty(t, ask(9))
-	sent := ask(4)
+	require.Empty(t, request(9))
+	sent := request(4)
 	require.Len(t, sent, 1)
 	require.EqualValues(t, 9, sent[0].Routes.Version)
 }
--- a/pkg/carobstanding/standing.go
+++ b/pkg/carobstanding/standing.go
@@ -1,38 +1,39 @@
-// Package carobstanding says whether a node is taken to be alive.
+// Package carobstanding holds the liveness states of a node.
 package carobstanding
 
 import "github.com/carobknot/carobknot/pkg/carobkind"
 
-// Standing is what nodes say of a node. Of two words about one beat of a node,
-// the higher standing is the later one; the node itself refutes it by a new beat.
+// Standing is the liveness state that nodes assign to another node. Of two descriptions
+// with the same update sequence the one with the higher state is newer. The node itself
+// refutes a state by increasing its update sequence.
 type Standing uint8
 
-// The standings.
+// The liveness states, in increasing order of precedence.
 const (
-	// Alive: the node answers.
+	// Alive: the node answers heartbeats.
 	Alive Standing = iota
-	// Suspect: the node did not answer, and may refute this.
+	// Suspect: the node did not answer, and may still refute the suspicion.
 	Suspect
-	// Unreachable: the node did not refute it in time. It may come back.
+	// Unreachable: the node did not refute the suspicion in time. It may recover.
 	Unreachable
-	// Gone: the node said goodbye.
+	// Gone: the node announced that it leaves.
 	Gone
 )
 
-// String names the standing.
+// String returns the name of the state, as it appears in the audit trail.
 func (s Standing) String() string {
 	return [...]string{"alive", "suspect", "unreachable", "gone"}[min(s, Gone)]
 }
 
-// Lost reports whether calls to the node are pointless.
+// Lost reports whether the node is down: unreachable or left. Calls are not sent to it.
 func (s Standing) Lost() bool {
 	return s >= Unreachable
 }
 
-// Check tells whether the standing is one of those above.
+// Check returns an error of kind Invalid if the state is not one of those above.
 func (s Standing) Check() error {
 	if s > Gone {
-		return carobkind.New(carobkind.Invalid, "standing %d is not known", uint8(s))
+		return carobkind.New(carobkind.Invalid, "standing %d is unknown", uint8(s))
 	}
 	return nil
 }
--- a/pkg/carobsupply/supply.go
+++ b/pkg/carobsupply/supply.go
@@ -1,4 +1,4 @@
-// Package carobsupply gives profile records to another node.
+// Package carobsupply holds the message that sends profile records to another node.
 package carobsupply
 
 import (
@@ -8,20 +8,22 @@
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
 )
 
-// Supply answers a Fetch.
+// Supply answers a request for profile records.
 type Supply struct {
-	// Records follow each other without gaps, from the one that was asked for.
+	// Records have consecutive offsets, beginning with the requested one.
 	Records []carobrecord.Record `json:"records,omitempty"`
-	// Snapshot stands in for Records if the sender has them no more.
+	// Snapshot replaces the records if the sender no longer has all of them; nil
+	// otherwise.
 	Snapshot *carobsnapshot.Snapshot `json:"snapshot,omitempty"`
-	// Read is how far the sender has read.
+	// Read is the offset up to which the sender has applied the stream of profiles.
 	Read caroboffset.Offset `json:"read"`
 }
 
-// Most is the most records in one supply.
+// Most is the maximum number of records in one answer.
 const Most = 64
 
-// Check tells whether the supply is within its bounds.
+// Check returns an error of kind Invalid if the records are too many or not consecutive,
+// or the snapshot is out of bounds.
 func (s Supply) Check() error {
 	if len(s.Records) > Most {
 		return carobkind.New(carobkind.Invalid, "supply: more than %d records", Most)
--- a/pkg/carobversion/version.go
+++ b/pkg/carobversion/version.go
@@ -1,4 +1,4 @@
-// Package carobversion tells the words about a node apart.
+// Package carobversion holds the versions of the descriptions of nodes.
 package carobversion
 
 import (
@@ -7,19 +7,20 @@
 	"github.com/carobknot/carobknot/pkg/carobstanding"
 )
 
-// Version is which word about a node one has.
+// Version identifies a description of a node, and orders the descriptions of the same
+// node.
 type Version struct {
 	Node        carobnodeid.ID               `json:"node"`
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
-	// Beat grows with every change that the node makes to its word; the higher
-	// one is newer within an incarnation.
+	// Beat is the update sequence, which the node increases with every change of its
+	// description. Within an incarnation the higher one is newer.
 	Beat uint64 `json:"beat"`
-	// Standing is what others say of the node; the higher one is newer within a
-	// beat.
+	// Standing is the liveness state that other nodes assign to the node. Within an update
+	// sequence the higher one is newer.
 	Standing carobstanding.Standing `json:"standing,omitempty"`
 }
 
-// Newer reports whether v is a later word about the same node than o.
+// Newer reports whether v is the version of a newer description of the same node than o.
 func (v Version) Newer(o Version) bool {
 	if v.Incarnation != o.Incarnation {
 		return v.Incarnation > o.Incarnation
@@ -34,28 +35,29 @@
 func (v Version) Sum() uint64 {
 	sum := Hash(v.Node)
 	for _, n := range []uint64{uint64(v.Incarnation), v.Beat, uint64(v.Standing)} {
-		sum = (sum ^ n) * prime
+		sum = (sum ^ n) * fnvPrime
 		sum ^= sum >> 32
 	}
 	return sum
 }
 
-// FNV-1a with 64 bits.
+// The parameters of 64-bit FNV-1a.
 const (
-	basis = 14695981039346656037
-	prime = 1099511628211
+	fnvOffset = 14695981039346656037
+	fnvPrime  = 1099511628211
 )
 
-// Hash returns a number that depends on the name alone.
+// Hash returns a hash of the node's id. It is the same on all nodes.
 func Hash(node carobnodeid.ID) uint64 {
-	sum := uint64(basis)
+	sum := uint64(fnvOffset)
 	for i := range len(node) {
-		sum = (sum ^ uint64(node[i])) * prime
+		sum = (sum ^ uint64(node[i])) * fnvPrime
 	}
 	return sum ^ sum>>32
 }
 
-// Check tells whether the version can be one.
+// Check returns an error of kind Invalid if the node's id or the liveness state is not
+// valid.
 func (v Version) Check() error {
 	if err := v.Node.Check(); err != nil {
 		return err
