--- a/pkg/carobdetection/system.go
+++ b/pkg/carobdetection/system.go
@@ -1,11 +1,11 @@
 // Package carobdetection detects which nodes are alive, in the manner of SWIM.
 //
 // Each node sends heartbeats to a few others in turn: to its successors on a ring of all
-// nodes, so that every node is monitored by some, and to random nodes, more of them in its
-// own data centre than elsewhere. If a node does not answer, others are asked to send it a
-// heartbeat too. If that fails, the node is suspected, and it becomes unreachable unless
-// it refutes the suspicion in time. Unreachable nodes are still sent a heartbeat
-// occasionally.
+// nodes, so that every node is monitored by some, and to random nodes, more of them in
+// its own data centre than elsewhere. If a node does not answer, others are requested to
+// send it a heartbeat too. If that fails, the node is suspected, and it becomes
+// unreachable unless it refutes the suspicion in time. Unreachable nodes are still sent
+// a heartbeat occasionally.
 package carobdetection
 
 import (
@@ -25,12 +25,12 @@
 const (
 	// heartbeatInterval is the time between two heartbeats.
 	heartbeatInterval = 500 * time.Millisecond
-	// answerTimeout is how long to wait for an answer. After that other nodes are asked to
-	// relay the heartbeat, and the wait is as long again.
+	// answerTimeout is how long to wait for an answer. After that other nodes are
+	// requested to relay the heartbeat, and the wait is as long again.
 	answerTimeout = 500 * time.Millisecond
 	// suspicionTimeout is how long a suspected node has to refute the suspicion.
 	suspicionTimeout = 3 * time.Second
-	// relayFanout is the number of nodes that are asked to relay a heartbeat.
+	// relayFanout is the number of nodes that are requested to relay a heartbeat.
 	relayFanout = 3
 	// downInterval is the time between two rounds of heartbeats to nodes that are down.
 	downInterval = 2 * time.Second
@@ -145,7 +145,7 @@
 	}
 }
 
-// expireHeartbeats handles the heartbeats that timed out: it first asks other nodes to
+// expireHeartbeats handles the heartbeats that timed out: it first requests other nodes to
 // relay them, and after a second time-out suspects the node.
 func (s *System) expireHeartbeats(w *carobworld.World, now carobinstant.Instant) {
 	for number, iq := range w.Inquiries.All() {
@@ -172,7 +172,7 @@
 	}
 }
 
-// relay asks random live peers to send the heartbeat to a node in place of this one.
+// relay requests random live peers to send the heartbeat to a node in place of this one.
 func relay(w *carobworld.World, number uint64, pr *carobpeer.Peer) {
 	others := w.SomePeers(relayFanout, func(o *carobpeer.Peer) bool {
 		return o.Member.Standing == carobstanding.Alive && o.Member.Node != pr.Member.Node
--- a/pkg/carobdissemination/system.go
+++ b/pkg/carobdissemination/system.go
@@ -73,7 +73,7 @@
 
 // startRound starts a round: it sends the pending descriptions to some random nodes. A
 // change of this node's own description does not wait for the interval, because it may
-// say that a target is leaving.
+// announce that a target is leaving.
 func (s *System) startRound(w *carobworld.World, now carobinstant.Instant) {
 	if !s.hasPending(w) {
 		return
--- a/pkg/carobfollowing/system.go
+++ b/pkg/carobfollowing/system.go
@@ -3,8 +3,8 @@
 //
 // In each data centre one node reads: the one with the lowest id among those that are
 // alive, not leaving, and can read the store. All nodes derive this from their peer
-// tables, without a vote. A node that cannot read the store says so in its description,
-// and the next one takes over; two readers at once do no harm.
+// tables, without a vote. A node that cannot read the store announces this in its
+// description, and the next one takes over; two readers at once do no harm.
 //
 // A long-poll read that the store holds open can miss a record. This was observed after
 // the store had been slow, for all readers at once. So no read is held open for long, and
--- a/pkg/carobjoining/system.go
+++ b/pkg/carobjoining/system.go
@@ -1,7 +1,7 @@
 // Package carobjoining connects nodes that do not know each other yet.
 //
 // Each node appends its description to a stream of the log when it starts, and again
-// before the record expires. A record says where a node was, not whether it is still
+// before the record expires. A record states where a node was, not whether it is still
 // there. So records only supply addresses to contact; an answer shows that the node is
 // alive.
 package carobjoining
@@ -36,9 +36,9 @@
 	// known. Unknown nodes are contacted even then, because they may have formed a
 	// separate group.
 	contactInterval = 10 * time.Second
-	// contactDelay is the shortest delay before a node that the log names is contacted;
-	// a random jitter at most doubles it. It is not contacted if gossip about it arrives
-	// within the delay.
+	// contactDelay is the shortest delay before a node with a record in the log is
+	// contacted; a random jitter at most doubles it. It is not contacted if gossip about
+	// it arrives within the delay.
 	contactDelay = time.Second
 )
 
@@ -61,7 +61,7 @@
 	return &System{seeds: c.Seeds}
 }
 
-// Run stores the addresses that the log names, appends the node's own record when it is
+// Run stores the addresses in the log's records, appends the node's own record when it is
 // due, and contacts some unknown nodes.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	found := storeAddresses(w)
--- a/pkg/carobmessage/message.go
+++ b/pkg/carobmessage/message.go
@@ -57,7 +57,7 @@
 
 	// Calls and claims.
 
-	// Fence makes sure that an attempt never runs, or asks how its job ended.
+	// Fence makes sure that an attempt never runs, or queries how its job ended.
 	Fence *carobfence.Fence `json:"fence,omitempty"`
 	// FenceReply answers a fence.
 	FenceReply *carobfencereply.FenceReply `json:"fencereply,omitempty"`
--- a/pkg/caroboutbox/outbox.go
+++ b/pkg/caroboutbox/outbox.go
@@ -32,7 +32,7 @@
 	Appends []carobappend.Append
 	// ChangeResults are the results of the profile changes that were applied.
 	ChangeResults []carobchangeresult.ChangeResult
-	// Following says whether this node reads the operator's records from the store.
+	// Following is true while this node reads the operator's records from the store.
 	Following bool
 	// Hold is how long the store may hold open a long-poll read that finds nothing new. It
 	// is set only if Following is true.
--- a/pkg/carobprobe/probe.go
+++ b/pkg/carobprobe/probe.go
@@ -9,8 +9,8 @@
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 )
 
-// Probe is a heartbeat, or the answer to one. If a node does not answer, the sender asks
-// other nodes to relay the heartbeat; the answer comes back the same way.
+// Probe is a heartbeat, or the answer to one. If a node does not answer, the sender
+// requests other nodes to relay the heartbeat; the answer comes back the same way.
 type Probe struct {
 	// Number identifies the heartbeat among those of its first sender.
 	Number uint64 `json:"number"`
@@ -19,7 +19,7 @@
 	Node carobnodeid.ID `json:"node,omitempty"`
 	// Answer is true if this is an answer.
 	Answer bool `json:"answer,omitempty"`
-	// Goal is an address to which the receiver is asked to relay the heartbeat. It is
+	// Goal is an address to which the receiver is requested to relay the heartbeat. It is
 	// empty if the heartbeat is not to be relayed.
 	Goal carobaddress.Address `json:"goal,omitempty"`
 	// Origin is the address of the node that the sender relays for. It is empty if the
--- a/pkg/carobroutesync/system.go
+++ b/pkg/carobroutesync/system.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// answerTimeout is how long to wait for an answer before another node is asked.
+	// answerTimeout is how long to wait for an answer before the request is sent to
+	// another node.
 	answerTimeout = 250 * time.Millisecond
 	// localHeadStart is how long to wait for a node of this data centre to announce a newer
 	// table before it is requested from a node elsewhere.
--- a/pkg/carobroutesync/system_test.go
+++ b/pkg/carobroutesync/system_test.go
@@ -94,7 +94,7 @@
 func TestOutdatedNodeRequestsInItsDataCentreFirst(t *testing.T) {
 	r := newRig(t)
 	r.step(0, carobinbox.Inbox{Routes: []*carobroutes.Routes{table(t, 3)}})
-	require.Empty(t, r.receive("far", 9), "the own data centre has a head start")
+	require.Empty(t, r.receive("far", 9), "nodes of its data centre get a head start")
 	sent := r.receive("near", 9)
 	require.Len(t, sent, 1)
 	require.EqualValues(t, "near", sent[0].To)
--- a/pkg/carobworld/world.go
+++ b/pkg/carobworld/world.go
@@ -92,7 +92,7 @@
 	Groups *carobtable.Table[carobservice.Service, carobgroup.Group]
 	// Peers has all other known nodes.
 	Peers *carobtable.Table[carobnodeid.ID, carobpeer.Peer]
-	// PeerChanges counts the changes of Peers, so that systems can tell when values
+	// PeerChanges counts the changes of Peers, so that systems can detect when values
 	// derived from it are out of date.
 	PeerChanges uint64
 	// News has the peers whose newest description this node still has to gossip.
