--- a/pkg/carobpeer/peer.go
+++ b/pkg/carobpeer/peer.go
@@ -11,8 +11,8 @@
 type Peer struct {
 	// Member is the newest description of the peer.
 	Member carobmember.Member
-	// Heard is when the last message from the peer itself arrived; until then, when its
-	// first description arrived.
+	// Heard is when the last message from the peer itself arrived, or when gossip last
+	// added the row or changed its incarnation or liveness state, if that was later.
 	Heard carobinstant.Instant
 	// Since is when the liveness state of the peer last changed.
 	Since carobinstant.Instant
--- a/pkg/carobworld/world.go
+++ b/pkg/carobworld/world.go
@@ -243,7 +243,8 @@
 	return w.wake
 }
 
-// Begin starts a tick: it sets the input, and clears the effects and the wake time.
+// Begin starts a tick: it sets the input, clears the effects and the wake time, and
+// applies a requested shutdown, which increases this node's update sequence.
 func (w *World) Begin(input carobinbox.Inbox) {
 	w.Inbox = input
 	w.Outbox = caroboutbox.Outbox{}
