--- a/pkg/carobclaiming/system.go
+++ b/pkg/carobclaiming/system.go
@@ -1,12 +1,13 @@
-// Package carobclaiming is the home side of idempotency keys: it appends claims
-// to the streams of the shards that this node is home of, and answers them once
-// they were read back.
+// Package carobclaiming implements the home's part of idempotency keys: it
+// appends claims to the log streams of the shards that this node is the home of,
+// and answers each claim after reading it back from the log.
 //
-// A claim is granted for one reason only: its batch was read back from the log,
-// in order, as valid and first for its key. So it does not matter that two nodes
-// may both take themselves for the home, that a home may wake from a pause with
-// a batch in its hand, or that the answer to an append was lost: whatever lands
-// in the log behind a takeover is void for everybody, its writer included.
+// A claim is granted only after its batch has been read back from the log, in
+// order, with a valid epoch and as the first claim of its key. This is safe when
+// two nodes both act as the home of a shard, when a home resumes after a pause
+// with a batch still in flight, and when the response to an append is lost:
+// every node, the writer included, ignores claims of an older epoch that follow
+// a takeover in the log.
 package carobclaiming
 
 import (
@@ -37,127 +38,133 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// Config is how the system is made.
+// Config holds the intervals and bounds of a System.
 type Config struct {
-	// Gap is the shortest time between two appends to one stream.
+	// Gap is the minimum interval between two appends to a stream.
 	Gap time.Duration
-	// Lull is the same for settlements, which ride on claims if some come.
+	// Lull is the minimum interval before a batch of settlements alone.
+	// Settlements that are queued when claims are appended go into the same batch.
 	Lull time.Duration
-	// Patience is how long a batch may take to be read back before it is
-	// appended again.
+	// Patience is the time after which a batch that has not been read back is
+	// appended again. It also limits the pause between takeovers.
 	Patience time.Duration
-	// Pause is the time before an append is tried again that the log refused.
+	// Pause is the delay before a retry of an append that certainly failed.
 	Pause time.Duration
-	// Keys and Kept bound the claims of each shard.
+	// Keys and Kept limit each shard: the number of claimed keys, and the bytes of
+	// stored answers.
 	Keys, Kept int
 }
 
-// most is how many claims and settlements go into one batch, and how many wait.
 const (
-	most    = 500
-	waiting = 10_000
+	// maxBatch limits the claims, and likewise the settlements, of one batch.
+	maxBatch = 500
+	// maxPending limits the unanswered claims and settlements of a shard.
+	maxPending = 10_000
 )
 
-// System appends and answers claims.
+// System appends claims to the log and answers them.
 type System struct {
 	config Config
-	// moved has what the homes were last worked out from.
-	moved roster
+	// lastInputs holds the inputs of the last run of updateHomes.
+	lastInputs homeInputs
 }
 
-// roster is what decides on the homes of shards.
-type roster struct {
-	// changes is one more than the changes of peers that were seen; 0 before
-	// the first tick.
-	changes  uint64
-	stopping bool
+// homeInputs is the state that the choice of homes depends on.
+type homeInputs struct {
+	// peerChanges is World.PeerChanges plus one, or 0 before the first tick, so
+	// that the first tick always updates the homes.
+	peerChanges uint64
+	stopping    bool
 }
 
-// NewSystem returns the system.
+// NewSystem returns a system that is not the home of any shard yet.
 func NewSystem(c Config) *System {
 	return &System{config: c}
 }
 
-// Run takes in what was read, answers what was asked, and appends what waits.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	if rs := (roster{changes: w.PeerChanges + 1, stopping: w.Stopping}); rs != s.moved {
-		s.moved = rs
-		s.move(w, now)
-	}
-	readAll(w)
-	for _, cd := range w.Inbox.Committed {
-		s.committed(w, now, cd)
-	}
-	for _, ms := range w.Inbox.Messages {
-		if ms.Claim != nil {
-			claim(w, ms.Back, *ms.Claim)
+// Run updates the shards that this node is the home of, folds the records that
+// were read, handles new claims and settlements, and appends the due batches.
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	if inputs := (homeInputs{peerChanges: world.PeerChanges + 1, stopping: world.Stopping}); inputs != s.lastInputs {
+		s.lastInputs = inputs
+		s.updateHomes(world, now)
+	}
+	readStreams(world)
+	for _, committed := range world.Inbox.Committed {
+		s.handleCommitted(world, now, committed)
+	}
+	for _, message := range world.Inbox.Messages {
+		if message.Claim != nil {
+			handleClaim(world, message.Back, *message.Claim)
 		}
-		if ms.Settlement != nil {
-			settle(w, ms.Back, *ms.Settlement)
+		if message.Settlement != nil {
+			handleSettlement(world, message.Back, *message.Settlement)
 		}
 	}
-	for sh, hm := range w.Homes.All() {
-		s.append(w, now, sh, hm)
+	for shard, home := range world.Homes.All() {
+		s.append(world, now, shard, home)
 	}
 }
 
-// readAll takes in what was read of the streams.
-func readAll(w *carobworld.World) {
-	for _, mk := range w.Inbox.Marks {
-		if hm := homeOfStream(w, mk.Stream); hm != nil {
-			hm.Next = max(hm.Next, mk.First)
-			hm.Claimed.Forget(mk.First)
+// readStreams folds the records of this tick into their shards, and drops the
+// claims that the log no longer keeps.
+func readStreams(world *carobworld.World) {
+	for _, mark := range world.Inbox.Marks {
+		if home := homeOfStream(world, mark.Stream); home != nil {
+			home.Next = max(home.Next, mark.First)
+			home.Claimed.Forget(mark.First)
 		}
 	}
-	for _, rc := range w.Inbox.Records {
-		if hm := homeOfStream(w, rc.Stream); hm != nil {
-			read(w, hm, rc)
+	for _, record := range world.Inbox.Records {
+		if home := homeOfStream(world, record.Stream); home != nil {
+			foldRecord(world, home, record)
 		}
 	}
-	for _, mk := range w.Inbox.Marks {
-		if hm := homeOfStream(w, mk.Stream); hm != nil && hm.Next >= mk.Next {
-			hm.Read = true
+	for _, mark := range world.Inbox.Marks {
+		if home := homeOfStream(world, mark.Stream); home != nil && home.Next >= mark.Next {
+			home.Read = true
 		}
 	}
 }
 
-// Home returns the node that is the home of a key's shard, and its address, as
-// this node sees it.
-func Home(w *carobworld.World, key carobkey.Key) (carobnodeid.ID, carobaddress.Address) {
-	return homeOf(w, carobshard.Of(key))
+// Home returns the node that is the home of a key's shard in this node's view,
+// and its address.
+func Home(world *carobworld.World, key carobkey.Key) (carobnodeid.ID, carobaddress.Address) {
+	return homeOf(world, carobshard.Of(key))
 }
 
-// homeOf ranks the nodes that are alive. One that is leaving is the home only if
-// all are, so that calls in flight get their keys until the last node has ended.
-func homeOf(w *carobworld.World, sh carobshard.Shard) (carobnodeid.ID, carobaddress.Address) {
-	best, address, leaving := w.Self.Node, w.Self.Peer, w.Stopping
-	for id, pr := range w.Peers.All() {
-		mb := &pr.Member
-		if mb.Standing != carobstanding.Alive || mb.Leaving && !leaving {
+// homeOf returns the live node with the highest weight for a shard. A leaving
+// node is the home only if all live nodes are leaving, so that calls in flight
+// can still claim keys until the last node has stopped.
+func homeOf(world *carobworld.World, shard carobshard.Shard) (carobnodeid.ID, carobaddress.Address) {
+	bestNode, address, leaving := world.Self.Node, world.Self.Peer, world.Stopping
+	for id, peer := range world.Peers.All() {
+		member := &peer.Member
+		if member.Standing != carobstanding.Alive || member.Leaving && !leaving {
 			continue
 		}
-		if leaving && !mb.Leaving || sh.Weight(id) > sh.Weight(best) {
-			best, address, leaving = id, mb.Peer, mb.Leaving
+		if leaving && !member.Leaving || shard.Weight(id) > shard.Weight(bestNode) {
+			bestNode, address, leaving = id, member.Peer, member.Leaving
 		}
 	}
-	return best, address
+	return bestNode, address
 }
 
-// move takes up the shards that this node has become the home of, and lets go of
-// those that it is not any more.
-func (s *System) move(w *carobworld.World, now carobinstant.Instant) {
-	for sh := range carobshard.Shard(carobshard.Count) {
-		node, _ := homeOf(w, sh)
-		mine, hm := node == w.Self.Node, w.Homes.Get(sh)
-		if mine == (hm != nil) {
+// updateHomes starts following the streams of shards that this node has become
+// the home of, and drops the shards that it is no longer the home of.
+func (s *System) updateHomes(world *carobworld.World, now carobinstant.Instant) {
+	for shard := range carobshard.Shard(carobshard.Count) {
+		node, _ := homeOf(world, shard)
+		isHome, home := node == world.Self.Node, world.Homes.Get(shard)
+		if isHome == (home != nil) {
 			continue
 		}
-		w.Outbox.Follows = append(w.Outbox.Follows, carobfollow.Follow{Stream: sh.Stream(), On: mine})
-		if !mine {
-			w.Homes.Delete(sh)
+		world.Outbox.Follows = append(world.Outbox.Follows, carobfollow.Follow{Stream: shard.Stream(), On: isHome})
+		if !isHome {
+			world.Homes.Delete(shard)
 			continue
 		}
-		w.Homes.Put(sh, carobhome.Home{
+		world.Homes.Put(shard, carobhome.Home{
 			Claimed: carobclaims.NewClaims(carobclaims.Config{Keys: s.config.Keys, Kept: s.config.Kept}),
 			Since:   now,
 			Back:    map[carobcallid.ID]carobaddress.Address{},
@@ -165,211 +172,224 @@
 	}
 }
 
-func homeOfStream(w *carobworld.World, stream carobstream.Stream) *carobhome.Home {
-	for sh, hm := range w.Homes.All() {
-		if sh.Stream() == stream {
-			return hm
+// homeOfStream returns the row of the shard that has its claims in the stream,
+// or nil if this node is not its home.
+func homeOfStream(world *carobworld.World, stream carobstream.Stream) *carobhome.Home {
+	for shard, home := range world.Homes.All() {
+		if shard.Stream() == stream {
+			return home
 		}
 	}
 	return nil
 }
 
-// read folds a record. Records that are not the next one are left out: copies,
-// and those of an earlier reading of the stream that come late.
-func read(w *carobworld.World, hm *carobhome.Home, rc carobrecord.Record) {
-	if rc.Offset != hm.Next {
+// foldRecord folds the next record of a stream and answers the batch in flight if
+// the record holds it. Records at any other offset are skipped: they are copies,
+// or late records from an earlier subscription to the stream.
+func foldRecord(world *carobworld.World, home *carobhome.Home, record carobrecord.Record) {
+	if record.Offset != home.Next {
 		return
 	}
-	hm.Next++
-	var bt carobclaimbatch.Batch
-	if json.Unmarshal(rc.Data, &bt) != nil {
+	home.Next++
+	var batch carobclaimbatch.Batch
+	if json.Unmarshal(record.Data, &batch) != nil {
 		return
 	}
-	hm.Claimed.Fold(rc.Offset, bt)
-	if hm.Flight != nil && bt.Node == w.Self.Node &&
-		bt.Incarnation == w.Self.Incarnation && bt.Number == hm.Flight.Number {
-		landed(w, hm)
+	home.Claimed.Fold(record.Offset, batch)
+	if home.Flight != nil && batch.Node == world.Self.Node &&
+		batch.Incarnation == world.Self.Incarnation && batch.Number == home.Flight.Number {
+		answerBatch(world, home)
 	}
 }
 
-// landed answers the claims and settlements of the batch that was read back.
-func landed(w *carobworld.World, hm *carobhome.Home) {
-	bt := hm.Flight
-	hm.Flight = nil
-	for _, cm := range bt.Claims {
-		reply(w, hm, hm.Back[cm.Call], cm)
-		delete(hm.Back, cm.Call)
-	}
-	for _, sm := range bt.Settlements {
-		confirm(w, hm.Back[sm.Claim.Call], sm)
-		delete(hm.Back, sm.Claim.Call)
+// answerBatch answers the claims and settlements of the batch in flight, which
+// has been read back from the log.
+func answerBatch(world *carobworld.World, home *carobhome.Home) {
+	batch := home.Flight
+	home.Flight = nil
+	for _, claim := range batch.Claims {
+		replyToClaim(world, home, home.Back[claim.Call], claim)
+		delete(home.Back, claim.Call)
+	}
+	for _, settlement := range batch.Settlements {
+		confirmSettlement(world, home.Back[settlement.Claim.Call], settlement)
+		delete(home.Back, settlement.Claim.Call)
 	}
 }
 
-// committed takes in how an append went. That it took effect is told by reading
-// alone; that it certainly did not, lets it be tried again sooner.
-func (s *System) committed(w *carobworld.World, now carobinstant.Instant, cd carobcommitted.Committed) {
-	hm := homeOfStream(w, cd.Stream)
-	if hm != nil && hm.Flight != nil && hm.Flight.Number == cd.Number && cd.Kind == carobkind.LogOut {
-		hm.Due = now.Add(s.config.Pause)
+// handleCommitted schedules an earlier retry if the append in flight certainly
+// failed. All other results are ignored, since only reading the batch back from
+// the log proves that it was appended.
+func (s *System) handleCommitted(world *carobworld.World, now carobinstant.Instant, committed carobcommitted.Committed) {
+	home := homeOfStream(world, committed.Stream)
+	if home != nil && home.Flight != nil && home.Flight.Number == committed.Number && committed.Kind == carobkind.LogOut {
+		home.Due = now.Add(s.config.Pause)
 	}
 }
 
-// append sends the next batch to the log, or the one in flight once more.
-func (s *System) append(w *carobworld.World, now carobinstant.Instant, sh carobshard.Shard, hm *carobhome.Home) {
-	if hm.Flight == nil {
-		if hm.Flight = s.next(w, now, hm); hm.Flight == nil {
+// append sends the next batch to the log, or the batch in flight again if
+// its resend is due.
+func (s *System) append(world *carobworld.World, now carobinstant.Instant, shard carobshard.Shard, home *carobhome.Home) {
+	if home.Flight == nil {
+		if home.Flight = s.nextBatch(world, now, home); home.Flight == nil {
 			return
 		}
-		hm.Due = now
+		home.Due = now
 	}
-	if !hm.Due.Reached(now) {
-		w.WakeAt(hm.Due)
+	if !home.Due.Reached(now) {
+		world.WakeAt(home.Due)
 		return
 	}
-	data, err := json.Marshal(hm.Flight)
+	data, err := json.Marshal(home.Flight)
 	if err != nil {
 		return
 	}
-	hm.Sent, hm.Due = now, now.Add(s.config.Patience)
-	w.WakeAt(hm.Due)
-	w.Outbox.Commits = append(w.Outbox.Commits, carobcommit.Commit{
-		Stream: sh.Stream(), Number: hm.Flight.Number, Data: data,
+	home.Sent, home.Due = now, now.Add(s.config.Patience)
+	world.WakeAt(home.Due)
+	world.Outbox.Commits = append(world.Outbox.Commits, carobcommit.Commit{
+		Stream: shard.Stream(), Number: home.Flight.Number, Data: data,
 	})
 }
 
-// next returns the batch that is to be appended now, or nil. A takeover waits
-// until the stream was read, or some time has passed: one that names an epoch
-// from before that would be void, and so a wait of Patience for nothing.
-func (s *System) next(w *carobworld.World, now carobinstant.Instant, hm *carobhome.Home) *carobclaimbatch.Batch {
-	if due := hm.Since.Add(s.config.Lull); !hm.Read && !due.Reached(now) {
-		w.WakeAt(due)
+// nextBatch returns the batch to append now, or nil. The first batch of a home
+// waits until its stream has been read to the end, or for one settlement interval
+// at most, so that it names the newest epoch.
+func (s *System) nextBatch(world *carobworld.World, now carobinstant.Instant, home *carobhome.Home) *carobclaimbatch.Batch {
+	if due := home.Since.Add(s.config.Lull); !home.Read && !due.Reached(now) {
+		world.WakeAt(due)
 		return nil
 	}
-	owner := hm.Claimed.OwnedBy(w.Self.Node, w.Self.Incarnation)
-	if owner && len(hm.Claims)+len(hm.Settlements) == 0 {
+	owner := home.Claimed.OwnedBy(world.Self.Node, world.Self.Incarnation)
+	if owner && len(home.Claims)+len(home.Settlements) == 0 {
 		return nil
 	}
-	if !s.mayAppend(w, now, hm, owner) {
+	if !s.mayAppend(world, now, home, owner) {
 		return nil
 	}
-	w.Commits++
-	bt := &carobclaimbatch.Batch{
-		Node: w.Self.Node, Incarnation: w.Self.Incarnation, Number: w.Commits, Epoch: hm.Claimed.Epoch(), Take: !owner,
+	world.Commits++
+	batch := &carobclaimbatch.Batch{
+		Node: world.Self.Node, Incarnation: world.Self.Incarnation, Number: world.Commits, Epoch: home.Claimed.Epoch(), Take: !owner,
 	}
 	if !owner {
-		hm.Pause = s.nextPause(now, hm)
-		hm.Taken = now
-		return bt
+		home.Pause = s.nextTakeoverPause(now, home)
+		home.Taken = now
+		return batch
 	}
-	bt.Claims, hm.Claims = split(hm.Claims)
-	bt.Settlements, hm.Settlements = split(hm.Settlements)
-	return bt
+	batch.Claims, home.Claims = cutBatch(home.Claims)
+	batch.Settlements, home.Settlements = cutBatch(home.Settlements)
+	return batch
 }
 
-// nextPause returns the time between a takeover and the next. It doubles while
-// another node takes the shard back each time, and is short again after a while:
-// nodes that start together agree within milliseconds on who is the home, and
-// keys must not wait long for the last of their takeovers.
-func (s *System) nextPause(now carobinstant.Instant, hm *carobhome.Home) time.Duration {
-	if hm.Taken == carobinstant.Never || now.Sub(hm.Taken) > 2*s.config.Patience {
+// nextTakeoverPause returns the minimum time between this takeover and the next.
+// It doubles, up to the time-out for reading a batch back, while another node
+// keeps taking the shard back, and is as short as the append interval again when
+// this node has taken over nothing for twice that time-out. It starts short
+// because nodes that start together agree within milliseconds on the home, and
+// claims must not wait long for the last of their takeovers.
+func (s *System) nextTakeoverPause(now carobinstant.Instant, home *carobhome.Home) time.Duration {
+	if home.Taken == carobinstant.Never || now.Sub(home.Taken) > 2*s.config.Patience {
 		return s.config.Gap
 	}
-	return min(2*hm.Pause, s.config.Patience)
+	return min(2*home.Pause, s.config.Patience)
 }
 
-// mayAppend reports whether enough time has passed since the last append, so
-// that claims that come fast share one; and, for a takeover, since the last of
-// those, so that two nodes that both take themselves for the home do not fight
-// over the shard all the time.
-func (s *System) mayAppend(w *carobworld.World, now carobinstant.Instant, hm *carobhome.Home, owner bool) bool {
-	last, gap := hm.Sent, s.config.Gap
+// mayAppend reports whether enough time has passed since the last append, so that
+// claims in quick succession share a batch. A takeover is limited by the time
+// since the last takeover instead, so that two nodes that both act as the home
+// do not keep taking the shard from each other.
+func (s *System) mayAppend(world *carobworld.World, now carobinstant.Instant, home *carobhome.Home, owner bool) bool {
+	lastAppend, interval := home.Sent, s.config.Gap
 	switch {
 	case !owner:
-		last, gap = hm.Taken, hm.Pause
-	case len(hm.Claims) == 0:
-		gap = s.config.Lull
+		lastAppend, interval = home.Taken, home.Pause
+	case len(home.Claims) == 0:
+		interval = s.config.Lull
 	}
-	due := last.Add(gap)
-	if last == carobinstant.Never || due.Reached(now) {
+	due := lastAppend.Add(interval)
+	if lastAppend == carobinstant.Never || due.Reached(now) {
 		return true
 	}
-	w.WakeAt(due)
+	world.WakeAt(due)
 	return false
 }
 
-func split[T any](all []T) (batch, rest []T) {
-	n := min(most, len(all))
+// cutBatch returns the first maxBatch items and the remaining ones.
+func cutBatch[T any](all []T) (first, remaining []T) {
+	n := min(maxBatch, len(all))
 	return all[:n:n], all[n:]
 }
 
-// claim takes in the claim of an entry node. While the shard is being taken
-// over there is no answer; the entry asks again.
-func claim(w *carobworld.World, back carobaddress.Address, cm carobclaim.Claim) {
-	hm := w.Homes.Get(carobshard.Of(cm.Key))
-	if hm == nil || !hm.Claimed.OwnedBy(w.Self.Node, w.Self.Incarnation) || cm.Key.Check() != nil {
+// handleClaim answers a claim at once if its key is held or the shard is full, and
+// otherwise queues it for the next batch. Without an answer, as during a takeover
+// of the shard or when too many claims are pending, the entry node retries.
+func handleClaim(world *carobworld.World, replyTo carobaddress.Address, claim carobclaim.Claim) {
+	home := world.Homes.Get(carobshard.Of(claim.Key))
+	if home == nil || !home.Claimed.OwnedBy(world.Self.Node, world.Self.Incarnation) || claim.Key.Check() != nil {
 		return
 	}
-	if hm.Claimed.Holding(cm.Key) != nil || !hm.Claimed.Room() {
-		reply(w, hm, back, cm)
+	if home.Claimed.Holding(claim.Key) != nil || !home.Claimed.Room() {
+		replyToClaim(world, home, replyTo, claim)
 		return
 	}
-	if _, asked := hm.Back[cm.Call]; asked || len(hm.Back) >= waiting {
+	if _, pending := home.Back[claim.Call]; pending || len(home.Back) >= maxPending {
 		return
 	}
-	hm.Back[cm.Call] = back
-	hm.Claims = append(hm.Claims, cm)
+	home.Back[claim.Call] = replyTo
+	home.Claims = append(home.Claims, claim)
 }
 
-// settle takes in the end of a call. It is confirmed once it stands in the log,
-// or if the call does not hold the key, which leaves nothing to settle.
-func settle(w *carobworld.World, back carobaddress.Address, sm carobsettlement.Settlement) {
-	hm := w.Homes.Get(carobshard.Of(sm.Claim.Key))
-	if hm == nil || !hm.Claimed.OwnedBy(w.Self.Node, w.Self.Incarnation) {
+// handleSettlement queues the settlement of a call for the next batch; it is
+// confirmed after it has been read back from the log. If the call does not hold
+// the key or is settled already, it is confirmed at once.
+func handleSettlement(world *carobworld.World, replyTo carobaddress.Address, settlement carobsettlement.Settlement) {
+	home := world.Homes.Get(carobshard.Of(settlement.Claim.Key))
+	if home == nil || !home.Claimed.OwnedBy(world.Self.Node, world.Self.Incarnation) {
 		return
 	}
-	if _, asked := hm.Back[sm.Claim.Call]; asked || len(hm.Back) >= waiting {
+	if _, pending := home.Back[settlement.Claim.Call]; pending || len(home.Back) >= maxPending {
 		return
 	}
-	if hd := hm.Claimed.Holding(sm.Claim.Key); hd == nil || hd.Call != sm.Claim.Call || hd.Ended {
-		confirm(w, back, sm)
+	if holding := home.Claimed.Holding(settlement.Claim.Key); holding == nil || holding.Call != settlement.Claim.Call || holding.Ended {
+		confirmSettlement(world, replyTo, settlement)
 		return
 	}
-	hm.Back[sm.Claim.Call] = back
-	hm.Settlements = append(hm.Settlements, sm)
+	home.Back[settlement.Claim.Call] = replyTo
+	home.Settlements = append(home.Settlements, settlement)
 }
 
-// reply tells an entry what became of a claim, if anything is known.
-func reply(w *carobworld.World, hm *carobhome.Home, back carobaddress.Address, cm carobclaim.Claim) {
-	hd := hm.Claimed.Holding(cm.Key)
-	rp := carobclaimreply.Reply{Call: cm.Call}
+// replyToClaim sends the result of a claim to its entry node. It sends nothing
+// while the result is open, or if the call that holds the key has ended.
+func replyToClaim(world *carobworld.World, home *carobhome.Home, replyTo carobaddress.Address, claim carobclaim.Claim) {
+	holding := home.Claimed.Holding(claim.Key)
+	result := carobclaimreply.Reply{Call: claim.Call}
 	switch {
-	case hd == nil && hm.Claimed.Room(), hd != nil && hd.Call == cm.Call && hd.Ended:
+	case holding == nil && home.Claimed.Room(), holding != nil && holding.Call == claim.Call && holding.Ended:
 		return
-	case hd == nil:
-		rp.Grant = carobgrant.Unclaimed
-	case hd.Call == cm.Call:
-		rp.Grant = carobgrant.Granted
-	case !hd.Ended && !replaced(w, hd.Call):
-		rp.Grant = carobgrant.Wait
-	case hd.Ended && hd.Kind == carobkind.None:
-		rp.Grant, rp.Kept = carobgrant.Repeated, hd.Kept
+	case holding == nil:
+		result.Grant = carobgrant.Unclaimed
+	case holding.Call == claim.Call:
+		result.Grant = carobgrant.Granted
+	case !holding.Ended && !entryReplaced(world, holding.Call):
+		result.Grant = carobgrant.Wait
+	case holding.Ended && holding.Kind == carobkind.None:
+		result.Grant, result.Kept = carobgrant.Repeated, holding.Kept
 	default:
-		rp.Grant = carobgrant.Unknown
+		result.Grant = carobgrant.Unknown
 	}
-	w.Tell(carobmessage.Message{To: back, ClaimReply: &rp})
+	world.Tell(carobmessage.Message{To: replyTo, ClaimReply: &result})
 }
 
-// replaced reports whether a call's entry node is known to have ended, so that
-// nobody will tell the end of the call any more.
-func replaced(w *carobworld.World, call carobcallid.ID) bool {
-	if call.Node == w.Self.Node {
-		return call.Incarnation < w.Self.Incarnation
-	}
-	pr := w.Peers.Get(call.Node)
-	return pr != nil && call.Incarnation < pr.Member.Incarnation
+// entryReplaced reports whether the entry node of a call has been replaced by a
+// newer incarnation, so that the call will never be settled.
+func entryReplaced(world *carobworld.World, call carobcallid.ID) bool {
+	if call.Node == world.Self.Node {
+		return call.Incarnation < world.Self.Incarnation
+	}
+	peer := world.Peers.Get(call.Node)
+	return peer != nil && call.Incarnation < peer.Member.Incarnation
 }
 
-func confirm(w *carobworld.World, back carobaddress.Address, sm carobsettlement.Settlement) {
-	w.Tell(carobmessage.Message{To: back, Settled: &sm.Claim.Call})
+// confirmSettlement tells the entry node to stop resending a settlement.
+func confirmSettlement(world *carobworld.World, replyTo carobaddress.Address, settlement carobsettlement.Settlement) {
+	world.Tell(carobmessage.Message{To: replyTo, Settled: &settlement.Claim.Call})
 }
--- a/pkg/carobclaiming/system_test.go
+++ b/pkg/carobclaiming/system_test.go
@@ -17,252 +17,269 @@
 	"github.com/carobknot/carobknot/pkg/carobstanding"
 )
 
-const soon = 200 * time.Millisecond
+const shortWait = 200 * time.Millisecond
 
 func keyOf(text string) carobkey.Key { return carobkey.Key{Service: "payouts", Text: text} }
 
-// Of several calls with one key one runs; the others wait for its end and get
+// Guards against running calls with one key more than once: concurrent calls at
+// several entry nodes wait for the one that runs, and they and later calls get
 // its answer.
-func TestOneOfSeveralRuns(t *testing.T) {
-	r := newRig(t, "a", "b", "c")
-	calls := []carobcallid.ID{r.call("a", "k", 1), r.call("b", "k", 1), r.call("c", "k", 1), r.call("a", "k", 2)}
-	r.rest(soon)
+func TestOnlyOneOfSeveralCallsWithAKeyRuns(t *testing.T) {
+	cluster := newCluster(t, "a", "b", "c")
+	calls := []carobcallid.ID{cluster.startCall("a", "k", 1), cluster.startCall("b", "k", 1), cluster.startCall("c", "k", 1), cluster.startCall("a", "k", 2)}
+	cluster.advance(shortWait)
 	var winner carobcallid.ID
 	running := 0
 	for _, id := range calls {
-		if r.runs(id) {
+		if cluster.mayRun(id) {
 			running++
 			winner = id
 		}
 	}
 	require.Equal(t, 1, running)
-	r.answer(winner, "paid")
-	r.rest(soon)
+	cluster.finishCall(winner, "paid")
+	cluster.advance(shortWait)
 	for _, id := range calls {
 		if id != winner {
-			require.Equal(t, "201 paid", r.told(id))
+			require.Equal(t, "201 paid", cluster.result(id))
 		}
 	}
-	late := r.call("b", "k", 9)
-	r.rest(soon)
-	require.Equal(t, "201 paid", r.told(late))
-	for _, n := range r.nodes {
+	lateCall := cluster.startCall("b", "k", 9)
+	cluster.advance(shortWait)
+	require.Equal(t, "201 paid", cluster.result(lateCall))
+	for _, n := range cluster.nodes {
 		require.Zero(t, n.world.Unsettled.Len())
 	}
 }
 
-// A key whose call did not run is free again.
-func TestReleased(t *testing.T) {
-	r := newRig(t, "a", "b")
-	first := r.call("a", "k", 1)
-	r.rest(soon)
-	require.True(t, r.runs(first))
-	r.rest(patience)
-	require.Equal(t, "late", r.told(first))
-	second := r.call("b", "k", 1)
-	r.rest(soon)
-	require.True(t, r.runs(second))
+// Guards against a key that stays held although its call timed out before it was
+// started, so that a resubmission could never run.
+func TestKeyOfACallThatDidNotRunIsReleased(t *testing.T) {
+	cluster := newCluster(t, "a", "b")
+	first := cluster.startCall("a", "k", 1)
+	cluster.advance(shortWait)
+	require.True(t, cluster.mayRun(first))
+	cluster.advance(callTimeout)
+	require.Equal(t, "late", cluster.result(first))
+	second := cluster.startCall("b", "k", 1)
+	cluster.advance(shortWait)
+	require.True(t, cluster.mayRun(second))
 }
 
-func TestKeysDoNotMeet(t *testing.T) {
-	r := newRig(t, "a", "b")
-	ids := []carobcallid.ID{r.call("a", "k", 1), r.call("b", "l", 1), r.call("b", "", 2)}
-	r.rest(soon)
-	for _, id := range ids {
-		require.True(t, r.runs(id))
+// Guards against calls that wait for each other although they have different keys,
+// or none.
+func TestCallsWithOtherKeysRunAtTheSameTime(t *testing.T) {
+	cluster := newCluster(t, "a", "b")
+	calls := []carobcallid.ID{cluster.startCall("a", "k", 1), cluster.startCall("b", "l", 1), cluster.startCall("b", "", 2)}
+	cluster.advance(shortWait)
+	for _, id := range calls {
+		require.True(t, cluster.mayRun(id))
 	}
 }
 
-func TestLogOut(t *testing.T) {
-	r := newRig(t, "a", "b")
-	r.out = true
-	keyed, plain := r.call("a", "k", 1), r.call("a", "", 2)
-	r.rest(soon)
-	require.False(t, r.runs(keyed))
-	require.True(t, r.runs(plain), "a call without a key does not need the log")
-	r.rest(patience)
-	require.Equal(t, "unclaimed", r.told(keyed))
+// Guards against running a call whose claim is not in the log, and against a log
+// outage that stops calls without keys. A call that still has time when the log is
+// back must run.
+func TestLogOutageBlocksOnlyCallsWithKeys(t *testing.T) {
+	cluster := newCluster(t, "a", "b")
+	cluster.logDown = true
+	keyed, plain := cluster.startCall("a", "k", 1), cluster.startCall("a", "", 2)
+	cluster.advance(shortWait)
+	require.False(t, cluster.mayRun(keyed))
+	require.True(t, cluster.mayRun(plain), "a call without a key does not need the log")
+	cluster.advance(callTimeout)
+	require.Equal(t, "unclaimed", cluster.result(keyed))
 
-	waiting := r.call("b", "l", 1)
-	r.rest(soon)
-	r.out = false
-	r.rest(time.Second)
-	require.True(t, r.runs(waiting), "a call waits for the log within its deadline")
+	waiting := cluster.startCall("b", "l", 1)
+	cluster.advance(shortWait)
+	cluster.logDown = false
+	cluster.advance(time.Second)
+	require.True(t, cluster.mayRun(waiting), "a call waits for the log until its deadline")
 }
 
-// An append whose answer was lost took effect: reading tells.
-func TestLostAppendAnswer(t *testing.T) {
-	r := newRig(t, "a", "b")
-	r.lose = true
-	id := r.call("a", "k", 1)
-	r.rest(soon)
-	require.True(t, r.runs(id))
-	appends := r.appends
-	r.rest(resend)
-	require.Equal(t, appends, r.appends, "what was read back is not appended again")
+// Guards against a call that stays without its key, and against a second append,
+// when the append took effect and only its response was lost.
+func TestClaimIsGrantedWithoutAnAppendResponse(t *testing.T) {
+	cluster := newCluster(t, "a", "b")
+	cluster.loseResponses = true
+	id := cluster.startCall("a", "k", 1)
+	cluster.advance(shortWait)
+	require.True(t, cluster.mayRun(id))
+	appends := cluster.appends
+	cluster.advance(resendDelay)
+	require.Equal(t, appends, cluster.appends, "a batch that was read back is not appended again")
 }
 
-// An append that gets no answer at all is made again, and both copies land.
-func TestAppendLandsTwice(t *testing.T) {
-	r := newRig(t, "a", "b")
-	r.rest(soon)
-	r.hold = true
-	id := r.call("a", "k", 1)
-	r.rest(resend + soon)
-	require.False(t, r.runs(id))
-	require.Len(t, r.held, 2)
-	r.hold = false
-	r.land(r.held[0])
-	r.rest(soon)
-	require.True(t, r.runs(id))
-	r.answer(id, "paid")
-	r.rest(soon)
-	r.land(r.held[1])
-	again := r.call("b", "k", 1)
-	r.rest(soon)
-	require.Equal(t, "201 paid", r.told(again))
+// Guards against a claim that holds a second time or is lost when an append gets no
+// response at all: the home appends the batch again, and both copies reach the log.
+func TestBatchInTheLogTwiceChangesNothing(t *testing.T) {
+	cluster := newCluster(t, "a", "b")
+	cluster.advance(shortWait)
+	cluster.holdAppends = true
+	id := cluster.startCall("a", "k", 1)
+	cluster.advance(resendDelay + shortWait)
+	require.False(t, cluster.mayRun(id))
+	require.Len(t, cluster.heldAppends, 2)
+	cluster.holdAppends = false
+	cluster.appendRecord(cluster.heldAppends[0])
+	cluster.advance(shortWait)
+	require.True(t, cluster.mayRun(id))
+	cluster.finishCall(id, "paid")
+	cluster.advance(shortWait)
+	cluster.appendRecord(cluster.heldAppends[1])
+	again := cluster.startCall("b", "k", 1)
+	cluster.advance(shortWait)
+	require.Equal(t, "201 paid", cluster.result(again))
 }
 
-// A home that is frozen with a claim in its hand can not win, whenever its
-// append lands.
-func TestFrozenHome(t *testing.T) {
-	for name, early := range map[string]bool{"lands before the takeover": true, "lands behind it": false} {
+// Guards against two holders of one key: a home is paused with an append in flight,
+// and the append reaches the log before or after another home takes the shard over.
+// After the takeover it must not count.
+func TestLogOrderDecidesAfterAPausedHome(t *testing.T) {
+	for name, beforeTakeover := range map[string]bool{"append before the takeover": true, "append after the takeover": false} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, "a", "b", "c")
-			r.rest(soon)
-			home := r.home("k")
-			entry := r.other(home)
-			r.hold = true
-			first := r.call(home, "k", 1)
-			r.rest(soon)
-			require.Len(t, r.held, 1)
-			r.hold = false
-			r.node(home).frozen = true
-			if early {
-				r.land(r.held[0])
+			cluster := newCluster(t, "a", "b", "c")
+			cluster.advance(shortWait)
+			home := cluster.homeOf("k")
+			entryNode := cluster.otherNode(home)
+			cluster.holdAppends = true
+			first := cluster.startCall(home, "k", 1)
+			cluster.advance(shortWait)
+			require.Len(t, cluster.heldAppends, 1)
+			cluster.holdAppends = false
+			cluster.node(home).frozen = true
+			if beforeTakeover {
+				cluster.appendRecord(cluster.heldAppends[0])
 			}
-			r.lost(home, carobstanding.Unreachable)
-			r.rest(soon)
-			second := r.call(entry, "k", 1)
-			r.rest(soon)
-			require.Equal(t, !early, r.runs(second), "the order of the log decides")
-			if !early {
-				r.land(r.held[0])
+			cluster.setStanding(home, carobstanding.Unreachable)
+			cluster.advance(shortWait)
+			second := cluster.startCall(entryNode, "k", 1)
+			cluster.advance(shortWait)
+			require.Equal(t, !beforeTakeover, cluster.mayRun(second), "the order of the log decides")
+			if !beforeTakeover {
+				cluster.appendRecord(cluster.heldAppends[0])
 			}
-			r.node(home).frozen = false
-			r.rest(soon)
-			require.Equal(t, early, r.runs(first))
-			require.Equal(t, !early, r.runs(second))
+			cluster.node(home).frozen = false
+			cluster.advance(shortWait)
+			require.Equal(t, beforeTakeover, cluster.mayRun(first))
+			require.Equal(t, !beforeTakeover, cluster.mayRun(second))
 		})
 	}
 }
 
-// A home that does not know yet that it was replaced appends in vain.
-func TestTwoHomes(t *testing.T) {
-	r := newRig(t, "a", "b")
-	r.rest(soon)
-	home := r.home("k")
-	other := r.other(home)
-	r.lost(home, carobstanding.Unreachable)
-	first, second := r.call(home, "k", 1), r.call(other, "k", 1)
+// Guards against a key that is granted by two nodes that both act as the home of
+// its shard, and against an append for each of their attempts to take it over.
+func TestTwoHomesGrantAKeyOnce(t *testing.T) {
+	cluster := newCluster(t, "a", "b")
+	cluster.advance(shortWait)
+	home := cluster.homeOf("k")
+	other := cluster.otherNode(home)
+	cluster.setStanding(home, carobstanding.Unreachable)
+	first, second := cluster.startCall(home, "k", 1), cluster.startCall(other, "k", 1)
 	for range 100 {
-		r.rest(50 * time.Millisecond)
-		require.False(t, r.runs(first) && r.runs(second))
+		cluster.advance(50 * time.Millisecond)
+		require.False(t, cluster.mayRun(first) && cluster.mayRun(second))
 	}
-	require.Less(t, r.appends, 100, "two nodes that both want the shard do not fight all the time")
+	require.Less(t, cluster.appends, 100, "two homes of a shard must not keep taking it from each other")
 }
 
-// The end of a call whose entry node was replaced is not known.
-func TestEntryReplaced(t *testing.T) {
-	r := newRig(t, "a", "b", "c")
-	r.rest(soon)
-	home := r.home("k")
-	entry := r.other(home)
-	r.call(entry, "k", 1)
-	r.rest(soon)
-	r.node(entry).frozen = true
-	for _, n := range r.nodes {
-		if pr := n.world.Peers.Get(r.node(entry).world.Self.Node); pr != nil {
-			pr.Member.Incarnation++
+// Guards against calls that wait until their deadline for a key whose call can
+// never be settled, since a newer incarnation has replaced its entry node.
+func TestCallOfAReplacedEntryIsUnknown(t *testing.T) {
+	cluster := newCluster(t, "a", "b", "c")
+	cluster.advance(shortWait)
+	home := cluster.homeOf("k")
+	entryNode := cluster.otherNode(home)
+	cluster.startCall(entryNode, "k", 1)
+	cluster.advance(shortWait)
+	cluster.node(entryNode).frozen = true
+	for _, n := range cluster.nodes {
+		if peer := n.world.Peers.Get(cluster.node(entryNode).world.Self.Node); peer != nil {
+			peer.Member.Incarnation++
 		}
 	}
-	later := r.call(home, "k", 1)
-	r.rest(soon)
-	require.Equal(t, "key-unknown", r.told(later))
+	later := cluster.startCall(home, "k", 1)
+	cluster.advance(shortWait)
+	require.Equal(t, "key-unknown", cluster.result(later))
 }
 
-// A claim that is contested until the deadline does not count as not run.
-func TestContestedToTheEnd(t *testing.T) {
-	r := newRig(t, "a", "b")
-	first := r.call("a", "k", 1)
-	r.rest(soon)
-	require.True(t, r.runs(first))
-	r.node("a").world.Calls.Get(first).Deadline = r.now.Add(time.Hour)
-	second := r.call("b", "k", 1)
-	r.rest(patience + soon)
-	require.Equal(t, "key-unknown", r.told(second))
-	require.True(t, r.runs(first))
+// Guards against reporting "not run" to a caller while another call with its key is
+// still running: it waits for the key until its deadline.
+func TestCallWaitingForAHeldKeyEndsAsUnknown(t *testing.T) {
+	cluster := newCluster(t, "a", "b")
+	first := cluster.startCall("a", "k", 1)
+	cluster.advance(shortWait)
+	require.True(t, cluster.mayRun(first))
+	cluster.node("a").world.Calls.Get(first).Deadline = cluster.now.Add(time.Hour)
+	second := cluster.startCall("b", "k", 1)
+	cluster.advance(callTimeout + shortWait)
+	require.Equal(t, "key-unknown", cluster.result(second))
+	require.True(t, cluster.mayRun(first))
 }
 
-// The keys that come together share appends.
-func TestGroupCommit(t *testing.T) {
+// Guards against one append for each claim, which would bound the rate of claims by
+// the rate of appends.
+func TestConcurrentClaimsShareAppends(t *testing.T) {
 	const calls = 1000
-	r := newRig(t, "a", "b")
-	r.rest(soon)
-	require.LessOrEqual(t, r.appends, carobshard.Count, "one takeover a shard")
-	before := r.appends
+	cluster := newCluster(t, "a", "b")
+	cluster.advance(shortWait)
+	require.LessOrEqual(t, cluster.appends, carobshard.Count, "one takeover for each shard")
+	before := cluster.appends
 	for i := range calls {
-		r.call("a", fmt.Sprint("key", i), uint64(i+1))
-		r.rest(tick)
+		cluster.startCall("a", fmt.Sprint("key", i), uint64(i+1))
+		cluster.advance(tick)
 	}
-	r.rest(soon)
+	cluster.advance(shortWait)
 	for i := range calls {
-		require.True(t, r.runs(carobcallid.ID{Node: "a", Incarnation: 1, Sequence: uint64(i + 1)}))
+		require.True(t, cluster.mayRun(carobcallid.ID{Node: "a", Incarnation: 1, Sequence: uint64(i + 1)}))
 	}
-	t.Logf("%d claims in 1 s took %d appends", calls, r.appends-before)
-	require.LessOrEqual(t, r.appends-before, carobshard.Count*(1000/25+10))
+	t.Logf("%d claims in 1 s took %d appends", calls, cluster.appends-before)
+	require.LessOrEqual(t, cluster.appends-before, carobshard.Count*(1000/25+10))
 }
 
-// Records of an earlier reading of a stream that come late are not taken for
-// the start of it.
-func TestLateRecordsOfAnEarlierReading(t *testing.T) {
-	r := newRig(t, "a", "b")
-	first := r.call("a", "k", 1)
-	r.rest(soon)
-	require.True(t, r.runs(first))
-	home := r.home("k")
-	other := r.other(home)
+// Guards against a node that becomes the home, gets a late record from an earlier
+// subscription to the stream, and takes it for the first record of the stream: it
+// would miss the claims before that record and grant their keys again.
+func TestLateRecordsOfAnEarlierSubscriptionAreSkipped(t *testing.T) {
+	cluster := newCluster(t, "a", "b")
+	first := cluster.startCall("a", "k", 1)
+	cluster.advance(shortWait)
+	require.True(t, cluster.mayRun(first))
+	home := cluster.homeOf("k")
+	other := cluster.otherNode(home)
 	stream := carobshard.Of(keyOf("k")).Stream()
-	r.land(carobcommit.Commit{Stream: stream, Data: []byte("{}")})
-	records := r.log[stream]
-	r.node(other).inbox.Records = append(r.node(other).inbox.Records, records[len(records)-1])
-	r.lost(home, carobstanding.Unreachable)
-	r.rest(soon)
-	second := r.call(other, "k", 2)
-	r.rest(soon)
-	require.False(t, r.runs(second))
+	cluster.appendRecord(carobcommit.Commit{Stream: stream, Data: []byte("{}")})
+	records := cluster.log[stream]
+	cluster.node(other).inbox.Records = append(cluster.node(other).inbox.Records, records[len(records)-1])
+	cluster.setStanding(home, carobstanding.Unreachable)
+	cluster.advance(shortWait)
+	second := cluster.startCall(other, "k", 2)
+	cluster.advance(shortWait)
+	require.False(t, cluster.mayRun(second))
 }
 
-// A home takes only keys within their bounds.
-func TestEmptyKey(t *testing.T) {
-	r := newRig(t, "a")
-	r.rest(soon)
-	before := r.appends
-	r.node("a").inbox.Messages = []carobmessage.Message{{Back: "a", Claim: &carobclaim.Claim{Key: keyOf("")}}}
-	r.rest(soon)
-	require.Equal(t, before, r.appends)
+// Guards against invalid keys in the log, from a message that did not pass the
+// checks of an entry node.
+func TestEmptyKeyIsNotAppended(t *testing.T) {
+	cluster := newCluster(t, "a")
+	cluster.advance(shortWait)
+	before := cluster.appends
+	cluster.node("a").inbox.Messages = []carobmessage.Message{{Back: "a", Claim: &carobclaim.Claim{Key: keyOf("")}}}
+	cluster.advance(shortWait)
+	require.Equal(t, before, cluster.appends)
 }
 
-// A caller whose key has run is not told "not run", though its answer is lost.
-func TestRepeatedIsNotToldNotRun(t *testing.T) {
-	r := newRig(t, "a", "b")
-	first := r.call("a", "k", 1)
-	r.rest(soon)
-	r.answer(first, "paid")
-	r.node("a").inbox.Deliveries[0].Kept = nil
-	r.rest(soon)
-	second := r.call("b", "k", 1)
-	r.rest(soon)
-	require.Equal(t, "repeated", r.told(second))
+// Guards against reporting "not run" to a caller whose key has run, when the
+// answer of the earlier call was not stored.
+func TestCallAfterALostAnswerIsRepeated(t *testing.T) {
+	cluster := newCluster(t, "a", "b")
+	first := cluster.startCall("a", "k", 1)
+	cluster.advance(shortWait)
+	cluster.finishCall(first, "paid")
+	cluster.node("a").inbox.Deliveries[0].Kept = nil
+	cluster.advance(shortWait)
+	second := cluster.startCall("b", "k", 1)
+	cluster.advance(shortWait)
+	require.Equal(t, "repeated", cluster.result(second))
 	require.False(t, carobkind.Repeated.NotRun())
 }
