--- a/pkg/carobclaims/claims.go
+++ b/pkg/carobclaims/claims.go
@@ -1,10 +1,10 @@
-// Package carobclaims folds a stream of claims: who may write claims, and which
-// call holds which key.
+// Package carobclaims folds the stream of claims of a shard into its state: which
+// node may write claims, and which call holds which key.
 //
-// The order of the log decides and nothing else. The epoch is the offset of the
-// newest record that took the shard over, so it can only grow, also when the log
-// has forgotten older takeovers. A batch of an older epoch that comes behind it
-// is void, whoever wrote it and whatever its writer believes.
+// Only the order of the log matters. The epoch is the offset of the newest
+// takeover record, so it only grows, even if the log no longer keeps older
+// takeovers. The claims of a batch with an older epoch that follows the takeover
+// are void, whichever node wrote them.
 package carobclaims
 
 import (
@@ -19,39 +19,43 @@
 	"github.com/carobknot/carobknot/pkg/carobsettlement"
 )
 
-// Config is how claims are made.
+// Config bounds the state of a shard.
 type Config struct {
-	// Keys is the most keys that are held at once.
+	// Keys is the maximum number of keys held at once.
 	Keys int
-	// Kept is the most bytes of kept answers.
+	// Kept is the maximum total size of kept answer bodies, in bytes.
 	Kept int
 }
 
-// Claims is what a shard's stream says so far.
+// Claims is the state of a shard after the records folded so far.
 type Claims struct {
 	config Config
-	// epoch is that of valid claims; None before the first takeover.
+	// epoch is the epoch of valid claims, or None before the first takeover.
 	epoch caroboffset.Offset
-	// node and incarnation wrote the takeover.
+	// node and incarnation identify the writer of the takeover.
 	node        carobnodeid.ID
 	incarnation carobincarnation.Incarnation
-	// number is that of the newest batch of the epoch.
+	// number is the number of the newest batch of the epoch. Batches up to it are
+	// copies.
 	number   uint64
 	holdings map[carobkey.Key]*carobholding.Holding
-	// order has the keys by the offsets of their claims, the oldest first.
-	order []carobkey.Key
-	// kept has the keys with kept answers, the oldest first, and bytes their sum.
-	kept  []carobkey.Key
-	bytes int
-	// missed is the offset of the newest claim that found no room; None if none
-	// did. While the log keeps it, a key that is not held may be claimed.
-	missed caroboffset.Offset
+	// claimOrder lists the keys by the offsets of their claims, oldest first.
+	// It may contain keys that are no longer held.
+	claimOrder []carobkey.Key
+	// keptOrder lists the keys with kept answers, oldest first, and keptBytes
+	// is the total size of those answers.
+	keptOrder []carobkey.Key
+	keptBytes int
+	// overflow is the offset of the newest claim that was not recorded because
+	// the table was full, or None. While the log keeps that claim, a key that
+	// is not held may have been claimed, so no new key is accepted.
+	overflow caroboffset.Offset
 }
 
 // NewClaims returns the claims of an empty stream.
 func NewClaims(c Config) *Claims {
 	return &Claims{
-		config: c, epoch: caroboffset.None, missed: caroboffset.None,
+		config: c, epoch: caroboffset.None, overflow: caroboffset.None,
 		holdings: map[carobkey.Key]*carobholding.Holding{},
 	}
 }
@@ -61,113 +65,121 @@
 	return c.epoch
 }
 
-// OwnedBy reports whether an incarnation of a node took the shard over last.
+// OwnedBy reports whether an incarnation of a node wrote the newest takeover.
 func (c *Claims) OwnedBy(node carobnodeid.ID, incarnation carobincarnation.Incarnation) bool {
 	return c.epoch != caroboffset.None && c.node == node && c.incarnation == incarnation
 }
 
-// Holding returns who holds a key, or nil if nobody does.
+// Holding returns the holding of a key, or nil if no call holds it.
 func (c *Claims) Holding(key carobkey.Key) *carobholding.Holding {
 	return c.holdings[key]
 }
 
-// Room reports whether a key that is not held may be claimed.
+// Room reports whether a key that is not held may be claimed: the number of keys
+// is below its limit, and the log keeps no claim that exceeded the limit.
 func (c *Claims) Room() bool {
-	return len(c.holdings) < c.config.Keys && c.missed == caroboffset.None
+	return len(c.holdings) < c.config.Keys && c.overflow == caroboffset.None
 }
 
-// Fold takes in the record at an offset.
-func (c *Claims) Fold(offset caroboffset.Offset, bt carobclaimbatch.Batch) {
+// Fold applies the record at an offset. Records have to be folded in the order of
+// their offsets. A takeover starts a new epoch, claims count only in the current
+// epoch and once, and settlements count whatever the epoch of their batch is.
+func (c *Claims) Fold(offset caroboffset.Offset, batch carobclaimbatch.Batch) {
 	switch {
-	case bt.Take:
-		c.epoch, c.node, c.incarnation, c.number = offset, bt.Node, bt.Incarnation, bt.Number
-	case bt.Epoch > c.epoch:
-		c.adopt(bt)
+	case batch.Take:
+		c.epoch, c.node, c.incarnation, c.number = offset, batch.Node, batch.Incarnation, batch.Number
+	case batch.Epoch > c.epoch:
+		c.adoptEpoch(batch)
 	}
-	if bt.Epoch == c.epoch && !bt.Take && bt.Number > c.number {
-		c.number = bt.Number
-		for _, cm := range bt.Claims {
-			c.claim(offset, cm)
+	if batch.Epoch == c.epoch && !batch.Take && batch.Number > c.number {
+		c.number = batch.Number
+		for _, claim := range batch.Claims {
+			c.hold(offset, claim)
 		}
 	}
-	for _, sm := range bt.Settlements {
-		c.settle(sm)
+	for _, settlement := range batch.Settlements {
+		c.settle(settlement)
 	}
 }
 
-// adopt takes in an epoch whose takeover the log has forgotten. Claims that were
-// read behind that takeover were of an older epoch, so they are void.
-func (c *Claims) adopt(bt carobclaimbatch.Batch) {
-	c.epoch, c.node, c.incarnation, c.number = bt.Epoch, bt.Node, bt.Incarnation, 0
-	for key, hd := range c.holdings {
-		if hd.Offset > bt.Epoch {
-			c.free(key)
+// adoptEpoch switches to an epoch whose takeover record the log no longer keeps.
+// Claims at offsets after that takeover were of an older epoch, so it removes them.
+func (c *Claims) adoptEpoch(batch carobclaimbatch.Batch) {
+	c.epoch, c.node, c.incarnation, c.number = batch.Epoch, batch.Node, batch.Incarnation, 0
+	for key, holding := range c.holdings {
+		if holding.Offset > batch.Epoch {
+			c.remove(key)
 		}
 	}
 }
 
-func (c *Claims) claim(offset caroboffset.Offset, cm carobclaim.Claim) {
-	if c.holdings[cm.Key] != nil {
+// hold records a claim whose key is not held. If there is no room, it notes the
+// offset in overflow.
+func (c *Claims) hold(offset caroboffset.Offset, claim carobclaim.Claim) {
+	if c.holdings[claim.Key] != nil {
 		return
 	}
 	if len(c.holdings) >= c.config.Keys {
-		c.missed = offset
+		c.overflow = offset
 		return
 	}
-	c.holdings[cm.Key] = &carobholding.Holding{Call: cm.Call, Offset: offset}
-	c.order = append(c.order, cm.Key)
+	c.holdings[claim.Key] = &carobholding.Holding{Call: claim.Call, Offset: offset}
+	c.claimOrder = append(c.claimOrder, claim.Key)
 }
 
-// settle notes the end of the call that holds a key, once.
-func (c *Claims) settle(sm carobsettlement.Settlement) {
-	hd := c.holdings[sm.Claim.Key]
-	if hd == nil || hd.Call != sm.Claim.Call || hd.Ended {
+// settle records the end of the call that holds a key, and releases the key if the
+// call did not run. Only the first settlement counts.
+func (c *Claims) settle(settlement carobsettlement.Settlement) {
+	holding := c.holdings[settlement.Claim.Key]
+	if holding == nil || holding.Call != settlement.Claim.Call || holding.Ended {
 		return
 	}
-	if sm.Kind != carobkind.None && sm.Kind.NotRun() {
-		c.free(sm.Claim.Key)
+	if settlement.Kind != carobkind.None && settlement.Kind.NotRun() {
+		c.remove(settlement.Claim.Key)
 		return
 	}
-	hd.Ended, hd.Kind, hd.Kept = true, sm.Kind, sm.Kept
-	if hd.Kept != nil {
-		c.kept = append(c.kept, sm.Claim.Key)
-		c.bytes += len(hd.Kept.Body)
-		c.trim()
+	holding.Ended, holding.Kind, holding.Kept = true, settlement.Kind, settlement.Kept
+	if holding.Kept != nil {
+		c.keptOrder = append(c.keptOrder, settlement.Claim.Key)
+		c.keptBytes += len(holding.Kept.Body)
+		c.evictKept()
 	}
 }
 
-// trim forgets the oldest kept answers while there are too many bytes of them.
-func (c *Claims) trim() {
-	for c.bytes > c.config.Kept && len(c.kept) > 0 {
-		if hd := c.holdings[c.kept[0]]; hd != nil && hd.Kept != nil {
-			c.bytes -= len(hd.Kept.Body)
-			hd.Kept = nil
+// evictKept drops the oldest kept answers while their total size exceeds the
+// limit. Their keys stay held.
+func (c *Claims) evictKept() {
+	for c.keptBytes > c.config.Kept && len(c.keptOrder) > 0 {
+		if holding := c.holdings[c.keptOrder[0]]; holding != nil && holding.Kept != nil {
+			c.keptBytes -= len(holding.Kept.Body)
+			holding.Kept = nil
 		}
-		c.kept = c.kept[1:]
+		c.keptOrder = c.keptOrder[1:]
 	}
 }
 
-// Forget drops the keys whose claims the log does not keep any more: first is
-// the oldest offset that it does.
+// Forget removes the keys whose claims the log no longer keeps. first is the oldest
+// offset that it still keeps.
 func (c *Claims) Forget(first caroboffset.Offset) {
-	if c.missed < first {
-		c.missed = caroboffset.None
+	if c.overflow < first {
+		c.overflow = caroboffset.None
 	}
-	for len(c.order) > 0 {
-		hd := c.holdings[c.order[0]]
-		if hd != nil && hd.Offset >= first {
+	for len(c.claimOrder) > 0 {
+		holding := c.holdings[c.claimOrder[0]]
+		if holding != nil && holding.Offset >= first {
 			return
 		}
-		if hd != nil {
-			c.free(c.order[0])
+		if holding != nil {
+			c.remove(c.claimOrder[0])
 		}
-		c.order = c.order[1:]
+		c.claimOrder = c.claimOrder[1:]
 	}
 }
 
-func (c *Claims) free(key carobkey.Key) {
-	if hd := c.holdings[key]; hd.Kept != nil {
-		c.bytes -= len(hd.Kept.Body)
+// remove releases a held key together with its kept answer.
+func (c *Claims) remove(key carobkey.Key) {
+	if holding := c.holdings[key]; holding.Kept != nil {
+		c.keptBytes -= len(holding.Kept.Body)
 	}
 	delete(c.holdings, key)
 }
--- a/pkg/carobclaims/claims_test.go
+++ b/pkg/carobclaims/claims_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func take(node string) carobclaimbatch.Batch {
+func takeover(node string) carobclaimbatch.Batch {
 	return carobclaimbatch.Batch{Node: carobnodeid.ID(node), Number: 1, Take: true, Epoch: caroboffset.None}
 }
 
@@ -31,11 +31,14 @@
 	return carobclaimbatch.Batch{Node: carobnodeid.ID(node), Number: number, Epoch: epoch, Claims: claims}
 }
 
-func settle(cm carobclaim.Claim, kind carobkind.Kind) carobclaimbatch.Batch {
-	return carobclaimbatch.Batch{Settlements: []carobsettlement.Settlement{{Claim: cm, Kind: kind}}}
+func settle(settled carobclaim.Claim, kind carobkind.Kind) carobclaimbatch.Batch {
+	return carobclaimbatch.Batch{Settlements: []carobsettlement.Settlement{{Claim: settled, Kind: kind}}}
 }
 
-func TestFold(t *testing.T) {
+// Guards against two calls that hold one key, and against a key that stays held
+// though its call did not run: through batches of a home that was replaced, copies
+// of a batch, and takeovers that the log no longer keeps.
+func TestFoldFollowsTheOrderOfTheLog(t *testing.T) {
 	k1, k2, k3 := claim("k", 1), claim("k", 2), claim("k", 3)
 	cases := map[string]struct {
 		// from is the offset of the first record.
@@ -45,83 +48,86 @@
 		holder uint64
 		ended  bool
 	}{
-		"nothing":       {},
-		"first wins":    {0, []carobclaimbatch.Batch{take("a"), batch("a", 0, 2, k1), batch("a", 0, 3, k2)}, 1, false},
-		"no takeover":   {0, []carobclaimbatch.Batch{batch("a", -1, 2)}, 0, false},
-		"old epoch":     {0, []carobclaimbatch.Batch{take("a"), take("b"), batch("a", 0, 2, k1)}, 0, false},
-		"before, after": {0, []carobclaimbatch.Batch{take("a"), batch("a", 0, 2, k1), take("b"), batch("b", 2, 2, k2)}, 1, false},
-		"took it back":  {0, []carobclaimbatch.Batch{take("a"), take("b"), take("a"), batch("a", 0, 2, k1), batch("a", 2, 3, k2)}, 2, false},
-		"ended":         {0, []carobclaimbatch.Batch{take("a"), batch("a", 0, 2, k1), settle(k1, carobkind.None)}, 1, true},
-		"end unknown":   {0, []carobclaimbatch.Batch{take("a"), batch("a", 0, 2, k1), settle(k1, carobkind.Cut)}, 1, true},
-		"released":      {0, []carobclaimbatch.Batch{take("a"), batch("a", 0, 2, k1), settle(k1, carobkind.Busy)}, 0, false},
-		"end of another call": {
-			0, []carobclaimbatch.Batch{take("a"), batch("a", 0, 2, k1), settle(k2, carobkind.Busy)}, 1, false,
+		"nothing":                            {},
+		"first claim wins":                   {0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), batch("a", 0, 3, k2)}, 1, false},
+		"empty batch without a takeover":     {0, []carobclaimbatch.Batch{batch("a", -1, 2)}, 0, false},
+		"claim of an old epoch":              {0, []carobclaimbatch.Batch{takeover("a"), takeover("b"), batch("a", 0, 2, k1)}, 0, false},
+		"claims before and after a takeover": {0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), takeover("b"), batch("b", 2, 2, k2)}, 1, false},
+		"shard taken back":                   {0, []carobclaimbatch.Batch{takeover("a"), takeover("b"), takeover("a"), batch("a", 0, 2, k1), batch("a", 2, 3, k2)}, 2, false},
+		"ended":                              {0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), settle(k1, carobkind.None)}, 1, true},
+		"ended with an unknown outcome":      {0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), settle(k1, carobkind.Cut)}, 1, true},
+		"released":                           {0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), settle(k1, carobkind.Busy)}, 0, false},
+		"settlement of another call": {
+			0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), settle(k2, carobkind.Busy)}, 1, false,
 		},
-		"release after the end": {
-			0, []carobclaimbatch.Batch{take("a"), batch("a", 0, 2, k1), settle(k1, carobkind.Cut), settle(k1, carobkind.Busy)}, 1, true,
+		"release after the settlement": {
+			0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), settle(k1, carobkind.Cut), settle(k1, carobkind.Busy)}, 1, true,
 		},
-		"copy after the release": {
-			0, []carobclaimbatch.Batch{take("a"), batch("a", 0, 2, k1), settle(k1, carobkind.Busy), batch("a", 0, 2, k1)}, 0, false,
+		"copy of a claim after its release": {
+			0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), settle(k1, carobkind.Busy), batch("a", 0, 2, k1)}, 0, false,
 		},
 		"copy of a takeover": {
-			0, []carobclaimbatch.Batch{take("a"), take("a"), batch("a", 0, 2, k1), batch("a", 1, 3, k2)}, 2, false,
+			0, []carobclaimbatch.Batch{takeover("a"), takeover("a"), batch("a", 0, 2, k1), batch("a", 1, 3, k2)}, 2, false,
 		},
-		"takeover forgotten": {9, []carobclaimbatch.Batch{batch("a", 3, 5, k1)}, 1, false},
-		"two takeovers forgotten, the older home late": {
+		"takeover dropped from the log": {9, []carobclaimbatch.Batch{batch("a", 3, 5, k1)}, 1, false},
+		"two takeovers dropped from the log, the older home late": {
 			9, []carobclaimbatch.Batch{batch("a", 3, 5, k1), batch("b", 6, 2, k2), settle(k1, carobkind.Busy), batch("b", 6, 3, k3)}, 2, false,
 		},
-		"new home with a forgotten takeover behind it": {
-			9, []carobclaimbatch.Batch{take("b"), batch("a", 3, 5, k1), batch("b", 9, 2, k2)}, 2, false,
+		"new home, then a batch of a takeover dropped from the log": {
+			9, []carobclaimbatch.Batch{takeover("b"), batch("a", 3, 5, k1), batch("b", 9, 2, k2)}, 2, false,
 		},
 	}
-	for name, c := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			cs := carobclaims.NewClaims(carobclaims.Config{Keys: 10, Kept: 10})
-			for i, bt := range c.records {
-				cs.Fold(c.from+caroboffset.Offset(i), bt)
+			shard := carobclaims.NewClaims(carobclaims.Config{Keys: 10, Kept: 10})
+			for i, record := range tc.records {
+				shard.Fold(tc.from+caroboffset.Offset(i), record)
 			}
-			hd := cs.Holding(k1.Key)
-			if c.holder == 0 {
-				require.Nil(t, hd)
+			holding := shard.Holding(k1.Key)
+			if tc.holder == 0 {
+				require.Nil(t, holding)
 				return
 			}
-			require.NotNil(t, hd)
-			require.Equal(t, c.holder, hd.Call.Sequence)
-			require.Equal(t, c.ended, hd.Ended)
+			require.NotNil(t, holding)
+			require.Equal(t, tc.holder, holding.Call.Sequence)
+			require.Equal(t, tc.ended, holding.Ended)
 		})
 	}
 }
 
-// A claim that found no room bars all new keys until the log has dropped it, so
-// that its key is never taken for a free one.
-func TestNoRoom(t *testing.T) {
-	cs := carobclaims.NewClaims(carobclaims.Config{Keys: 2, Kept: 10})
-	cs.Fold(0, take("a"))
-	cs.Fold(1, batch("a", 0, 2, claim("k", 1)))
-	require.True(t, cs.Room())
-	cs.Fold(2, batch("a", 0, 3, claim("l", 2), claim("m", 3)))
-	require.False(t, cs.Room())
-	cs.Fold(3, settle(claim("k", 1), carobkind.Busy))
-	require.False(t, cs.Room(), "the claim of m is still in the log")
-	cs.Forget(2)
-	require.False(t, cs.Room())
-	cs.Forget(3)
-	require.True(t, cs.Room())
-	require.Nil(t, cs.Holding(claim("l", 2).Key), "the log has dropped it")
+// Guards against granting a key twice when a claim exceeded the limit of held
+// keys: its key is not in the table, so it would look free. No new key may be
+// claimed until the log has dropped that claim.
+func TestFullTableRejectsKeysUntilTheLogDropsTheExcessClaim(t *testing.T) {
+	shard := carobclaims.NewClaims(carobclaims.Config{Keys: 2, Kept: 10})
+	shard.Fold(0, takeover("a"))
+	shard.Fold(1, batch("a", 0, 2, claim("k", 1)))
+	require.True(t, shard.Room())
+	shard.Fold(2, batch("a", 0, 3, claim("l", 2), claim("m", 3)))
+	require.False(t, shard.Room())
+	shard.Fold(3, settle(claim("k", 1), carobkind.Busy))
+	require.False(t, shard.Room(), "the claim of m is still in the log")
+	shard.Forget(2)
+	require.False(t, shard.Room())
+	shard.Forget(3)
+	require.True(t, shard.Room())
+	require.Nil(t, shard.Holding(claim("l", 2).Key), "the log has dropped its claim")
 }
 
-func TestKeptAnswersAreBounded(t *testing.T) {
-	cs := carobclaims.NewClaims(carobclaims.Config{Keys: 10, Kept: 10})
-	cs.Fold(0, take("a"))
+// Guards against unbounded memory for kept answers, and against releasing a key
+// when its answer is evicted.
+func TestOldestKeptAnswersAreEvictedAndKeysStayHeld(t *testing.T) {
+	shard := carobclaims.NewClaims(carobclaims.Config{Keys: 10, Kept: 10})
+	shard.Fold(0, takeover("a"))
 	for i, key := range []string{"k", "l", "m"} {
-		cm := claim(key, uint64(i))
-		cs.Fold(1, batch("a", 0, uint64(i+2), cm))
-		bt := settle(cm, carobkind.None)
-		bt.Settlements[0].Kept = &carobkept.Kept{Body: []byte("12345")}
-		cs.Fold(2, bt)
+		newClaim := claim(key, uint64(i))
+		shard.Fold(1, batch("a", 0, uint64(i+2), newClaim))
+		settlements := settle(newClaim, carobkind.None)
+		settlements.Settlements[0].Kept = &carobkept.Kept{Body: []byte("12345")}
+		shard.Fold(2, settlements)
 	}
-	require.Nil(t, cs.Holding(claim("k", 0).Key).Kept)
-	require.True(t, cs.Holding(claim("k", 0).Key).Ended, "the key stays held")
-	require.NotNil(t, cs.Holding(claim("l", 1).Key).Kept)
-	require.NotNil(t, cs.Holding(claim("m", 2).Key).Kept)
+	require.Nil(t, shard.Holding(claim("k", 0).Key).Kept)
+	require.True(t, shard.Holding(claim("k", 0).Key).Ended, "the key stays held")
+	require.NotNil(t, shard.Holding(claim("l", 1).Key).Kept)
+	require.NotNil(t, shard.Holding(claim("m", 2).Key).Kept)
 }
