--- a/pkg/carobclaim/claim.go
+++ b/pkg/carobclaim/claim.go
@@ -1,4 +1,4 @@
-// Package carobclaim holds the claims of idempotency keys.
+// Package carobclaim holds the message and record that claims an idempotency key.
 package carobclaim
 
 import (
@@ -6,7 +6,7 @@
 	"github.com/carobknot/carobknot/pkg/carobkey"
 )
 
-// Claim says that a call wants to be the only one to run with its key.
+// Claim requests that, of all calls with a key, only this call runs.
 type Claim struct {
 	Key  carobkey.Key   `json:"key"`
 	Call carobcallid.ID `json:"call"`
--- a/pkg/carobclaimbatch/batch.go
+++ b/pkg/carobclaimbatch/batch.go
@@ -1,4 +1,4 @@
-// Package carobclaimbatch holds the records of the streams of claims.
+// Package carobclaimbatch holds the records in the log streams of claims.
 package carobclaimbatch
 
 import (
@@ -9,17 +9,19 @@
 	"github.com/carobknot/carobknot/pkg/carobsettlement"
 )
 
-// Batch is one record: the taking over of a shard, or claims and settlements.
-// The same batch may stand in the log twice; the second changes nothing.
+// Batch is one record: either the takeover of a shard by a home, or claims and
+// settlements. A retried append can put the same batch into the log twice; the
+// second copy has no effect.
 type Batch struct {
-	// Node, Incarnation and Number name the batch.
+	// Node, Incarnation and Number identify the batch: the home that wrote it, and
+	// the number of the batch among those of this incarnation.
 	Node        carobnodeid.ID               `json:"node"`
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
 	Number      uint64                       `json:"number"`
-	// Take says that the writer takes the shard over. The offset of this record
-	// is the new epoch.
+	// Take is true if the writer takes the shard over. The offset of this record is
+	// then the new epoch.
 	Take bool `json:"take,omitempty"`
-	// Epoch is the one that the writer's claims hold in.
+	// Epoch is the epoch that the claims belong to. They are void in any other.
 	Epoch       caroboffset.Offset           `json:"epoch"`
 	Claims      []carobclaim.Claim           `json:"claims,omitempty"`
 	Settlements []carobsettlement.Settlement `json:"settlements,omitempty"`
--- a/pkg/carobclaimreply/reply.go
+++ b/pkg/carobclaimreply/reply.go
@@ -7,10 +7,10 @@
 	"github.com/carobknot/carobknot/pkg/carobkept"
 )
 
-// Reply tells a call's entry node what became of its claim.
+// Reply is the home's answer to a claim, sent to the entry node of the call.
 type Reply struct {
 	Call  carobcallid.ID   `json:"call"`
 	Grant carobgrant.Grant `json:"grant"`
-	// Kept is the answer of the call that ran; nil if there is none.
+	// Kept is the stored answer of the earlier call that ran, or nil.
 	Kept *carobkept.Kept `json:"kept,omitempty"`
 }
--- a/pkg/carobgrant/grant.go
+++ b/pkg/carobgrant/grant.go
@@ -1,32 +1,32 @@
-// Package carobgrant says what became of a claim.
+// Package carobgrant holds the results of claims.
 package carobgrant
 
 import "github.com/carobknot/carobknot/pkg/carobkind"
 
-// Grant is the answer to a claim.
+// Grant is the result of a claim.
 type Grant string
 
-// The answers.
 const (
-	// Granted: the call holds the key and may run.
+	// Granted means that the call holds the key and may run.
 	Granted Grant = "granted"
-	// Wait: another call holds the key and is not over.
+	// Wait means that another call holds the key and has not ended.
 	Wait Grant = "wait"
-	// Repeated: another call with the key has run.
+	// Repeated means that another call with the key has run.
 	Repeated Grant = "repeated"
-	// Unknown: another call with the key may have run.
+	// Unknown means that another call with the key may have run.
 	Unknown Grant = "unknown"
-	// Unclaimed: there is no room for another key.
+	// Unclaimed means that the shard has no room for another key.
 	Unclaimed Grant = "unclaimed"
 )
 
-// UnmarshalText decodes an answer and checks it.
+// UnmarshalText decodes a grant. It returns an Invalid error if the text is none
+// of the constants.
 func (g *Grant) UnmarshalText(text []byte) error {
-	switch gr := Grant(text); gr {
+	switch grant := Grant(text); grant {
 	case Granted, Wait, Repeated, Unknown, Unclaimed:
-		*g = gr
+		*g = grant
 		return nil
 	default:
-		return carobkind.New(carobkind.Invalid, "grant %.40q is not in the list", text)
+		return carobkind.New(carobkind.Invalid, "grant: unknown value %.40q", text)
 	}
 }
--- a/pkg/carobholding/holding.go
+++ b/pkg/carobholding/holding.go
@@ -1,4 +1,4 @@
-// Package carobholding holds the rows of the claimed keys.
+// Package carobholding holds the state of claimed idempotency keys.
 package carobholding
 
 import (
@@ -8,16 +8,16 @@
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 )
 
-// Holding is a key that a call has claimed.
+// Holding is the state of a key that a call has claimed.
 type Holding struct {
-	// Call is the first that claimed the key, in the order of the log.
+	// Call is the first call that claimed the key, in the order of the log.
 	Call carobcallid.ID
-	// Offset is that of the record with the claim.
+	// Offset is the offset of the record with the claim.
 	Offset caroboffset.Offset
-	// Ended says that the call is over.
+	// Ended is true once the call has been settled.
 	Ended bool
-	// Kind is how it ended; None if it was answered.
+	// Kind is the error kind that the call ended with, or None if it was answered.
 	Kind carobkind.Kind
-	// Kept is the answer; nil if it is not kept.
+	// Kept is the stored answer, or nil if none is stored.
 	Kept *carobkept.Kept
 }
--- a/pkg/carobsettlement/settlement.go
+++ b/pkg/carobsettlement/settlement.go
@@ -1,4 +1,4 @@
-// Package carobsettlement holds the ends of calls that claimed a key.
+// Package carobsettlement holds the results of calls that claimed a key.
 package carobsettlement
 
 import (
@@ -7,12 +7,13 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Settlement tells how a call that claimed, or wanted to claim, its key ended.
+// Settlement is the result of a call whose entry node sent a claim, whether or not
+// the claim was answered.
 type Settlement struct {
 	Claim carobclaim.Claim `json:"claim"`
-	// Kind is None if the call ran and was answered. A kind that says that the
-	// call did not run gives the key free; any other leaves it unknown.
+	// Kind is None if the call ran and was answered. A kind for which the call did
+	// not run releases the key; with any other kind, it is unknown whether it ran.
 	Kind carobkind.Kind `json:"kind,omitempty"`
-	// Kept is the answer; nil if it is not kept.
+	// Kept is the answer to store for resubmissions, or nil.
 	Kept *carobkept.Kept `json:"kept,omitempty"`
 }
--- a/pkg/carobunsettled/unsettled.go
+++ b/pkg/carobunsettled/unsettled.go
@@ -1,5 +1,5 @@
-// Package carobunsettled holds the rows of the ended calls whose ends the homes
-// of their keys do not have yet.
+// Package carobunsettled holds the rows of the settlements that the homes of their
+// keys have not confirmed yet.
 package carobunsettled
 
 import (
@@ -9,11 +9,13 @@
 	"github.com/carobknot/carobknot/pkg/carobsettlement"
 )
 
-// Unsettled is the end of a call that claimed a key, until it stands in the log.
+// Unsettled is a settlement that the entry node sends to the home again until the
+// home confirms that it is in the log.
 type Unsettled struct {
 	Settlement carobsettlement.Settlement
-	// Due is when the home is told again.
+	// Due is when the settlement is sent again.
 	Due carobinstant.Instant
-	// Pause is the time between the last two tellings. It grows.
+	// Pause is the delay from the next resend to the one after it. It grows with
+	// each resend.
 	Pause time.Duration
 }
