--- a/pkg/carobclaiming/system.go
+++ b/pkg/carobclaiming/system.go
@@ -71,8 +71,8 @@
 
 // homeInputs is the state that the choice of homes depends on.
 type homeInputs struct {
-	// peerChanges is World.PeerChanges plus one, or 0 before the first tick, so
-	// that the first tick always updates the homes.
+	// peerChanges is the world's count of peer changes plus one, or 0 before the
+	// first tick, so that the first tick always updates the homes.
 	peerChanges uint64
 	stopping    bool
 }
--- a/pkg/carobfold/audit.go
+++ b/pkg/carobfold/audit.go
@@ -9,18 +9,20 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// audit notes that a revision is in force on this node from now on.
-func audit(w *carobworld.World, rv carobrevision.Revision) {
+// addAudit records in the audit trail that a revision has come into force on this
+// node.
+func addAudit(world *carobworld.World, revision carobrevision.Revision) {
 	from := "none"
-	if rv.Change.Profile.Base != caroboffset.None {
-		from = revision(rv.Change.Profile.Base)
+	if revision.Change.Profile.Base != caroboffset.None {
+		from = revisionText(revision.Change.Profile.Base)
 	}
-	w.Outbox.Audits = append(w.Outbox.Audits, carobaudit.Audit{
-		Who: rv.Change.Who, Part: "profile", What: string(rv.Change.Profile.Name),
-		From: from, To: revision(rv.Offset), Local: true,
+	world.Outbox.Audits = append(world.Outbox.Audits, carobaudit.Audit{
+		Who: revision.Change.Who, Part: "profile", What: string(revision.Change.Profile.Name),
+		From: from, To: revisionText(revision.Offset), Local: true,
 	})
 }
 
-func revision(offset caroboffset.Offset) string {
+// revisionText returns the name of a revision in the audit trail.
+func revisionText(offset caroboffset.Offset) string {
 	return fmt.Sprintf("revision %d", offset)
 }
--- a/pkg/carobfold/system.go
+++ b/pkg/carobfold/system.go
@@ -1,14 +1,14 @@
-// Package carobfold turns the changes in the log into the profiles in force.
+// Package carobfold folds the changes in the log into the profiles in force.
 //
-// The fold is the same on every node: records are folded in the order of their
-// offsets and none is left out. A change whose base is not the revision in force
-// is void, and so is a record that cannot be decoded.
+// Every node gets the same result: it folds records in the order of their offsets
+// and skips none. A change whose base is not the revision in force has no effect,
+// and neither has a record that cannot be decoded.
 //
-// Records come from the log and from other nodes, in any order and more than
-// once. Those that come too early are held back until the gap before them is
-// closed: by the missing records, or by a snapshot that reaches past the gap. A
-// snapshot that does not reach past what was read says nothing new; so one that
-// was made before a change and appended after it undoes nothing.
+// Records arrive from the log and from other nodes, in any order and more than
+// once. Records after a gap are buffered until the gap is closed, either by the
+// missing records or by a snapshot that covers it. A snapshot that covers no more
+// than what was already folded is ignored, so that one that was taken before a
+// change and appended after it does not revert the change.
 package carobfold
 
 import (
@@ -26,163 +26,173 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// patience is how long a node that starts waits for the log. What one node has
-// read reaches the others in less, so after it no node that still runs has more.
-const patience = 5 * time.Second
+// startTimeout is how long a starting node waits for the log. Records that one node
+// has read reach the other nodes in less time, so after it no running node has
+// records that this node lacks.
+const startTimeout = 5 * time.Second
 
-// System folds the records of the stream of profiles.
+// System folds the records of the profiles stream.
 type System struct {
-	// until is when the node stops waiting for the log; Never before the first tick.
-	until carobinstant.Instant
-	// met says that the node has read the log to its end, or waits no more.
-	met bool
+	// waitEnd is when the node stops waiting for the log; Never before the first
+	// tick.
+	waitEnd carobinstant.Instant
+	// caughtUp is true once the node has read the log to its end, or has stopped
+	// waiting for it.
+	caughtUp bool
 }
 
-// NewSystem returns the system.
+// NewSystem returns a system that has not caught up with the log yet.
 func NewSystem() *System {
 	return &System{}
 }
 
-// entry is a record of the stream: a change, or a snapshot.
-type entry struct {
+// snapshotRecord is a record of the stream that contains a snapshot. In a record
+// that contains a change, Snapshot is nil.
+type snapshotRecord struct {
 	Snapshot *carobsnapshot.Snapshot `json:"snapshot"`
 }
 
-// Run folds in the records that have come.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	for _, ms := range w.Inbox.Messages {
-		if ms.Supply == nil {
+// Run folds the records that arrived from other nodes and from the log.
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	for _, message := range world.Inbox.Messages {
+		if message.Supply == nil {
 			continue
 		}
-		if ms.Supply.Snapshot != nil {
-			adopt(w, ms.Supply.Snapshot)
+		if message.Supply.Snapshot != nil {
+			adoptSnapshot(world, message.Supply.Snapshot)
 		}
-		for _, rc := range ms.Supply.Records {
-			take(w, rc)
+		for _, record := range message.Supply.Records {
+			receive(world, record)
 		}
 	}
-	for _, rc := range w.Inbox.Records {
-		if rc.Stream == carobstream.Profiles {
-			take(w, rc)
+	for _, record := range world.Inbox.Records {
+		if record.Stream == carobstream.Profiles {
+			receive(world, record)
 		}
 	}
-	s.meet(w, now)
+	s.checkCaughtUp(world, now)
 }
 
-// meet keeps a node that starts from using profiles that its predecessor on the
-// VM may have seen replaced already.
-func (s *System) meet(w *carobworld.World, now carobinstant.Instant) {
-	if s.until == carobinstant.Never {
-		s.until = now.Add(patience)
-	}
-	for _, mk := range w.Inbox.Marks {
-		if mk.Stream == carobstream.Profiles && w.ProfilesRead+1 >= mk.Next {
-			s.met = true
+// checkCaughtUp marks the node as behind the log until it has read the log to its
+// end or startTimeout has passed. It prevents a starting node from using profiles
+// that the previous node on the VM may already have seen replaced.
+func (s *System) checkCaughtUp(world *carobworld.World, now carobinstant.Instant) {
+	if s.waitEnd == carobinstant.Never {
+		s.waitEnd = now.Add(startTimeout)
+	}
+	for _, mark := range world.Inbox.Marks {
+		if mark.Stream == carobstream.Profiles && world.ProfilesRead+1 >= mark.Next {
+			s.caughtUp = true
 		}
 	}
-	s.met = s.met || s.until.Reached(now)
-	w.Behind = !s.met
-	if w.Behind {
-		w.WakeAt(s.until)
+	s.caughtUp = s.caughtUp || s.waitEnd.Reached(now)
+	world.Behind = !s.caughtUp
+	if world.Behind {
+		world.WakeAt(s.waitEnd)
 	}
 }
 
-// take folds a record in, or holds it back until those before it have come.
-func take(w *carobworld.World, rc carobrecord.Record) {
-	if rc.Offset <= w.ProfilesRead {
+// receive buffers a record and folds all buffered records that follow without a
+// gap. A snapshot in a record is adopted at once, also if it closes a gap.
+func receive(world *carobworld.World, record carobrecord.Record) {
+	if record.Offset <= world.ProfilesRead {
 		return
 	}
-	hold(w, rc)
-	if sn := snapshotOf(rc); sn != nil {
-		w.Snapshot = max(w.Snapshot, rc.Offset)
-		w.SnapshotThrough = max(w.SnapshotThrough, sn.Through)
-		adopt(w, sn)
+	buffer(world, record)
+	if snapshot := snapshotOf(record); snapshot != nil {
+		world.Snapshot = max(world.Snapshot, record.Offset)
+		world.SnapshotThrough = max(world.SnapshotThrough, snapshot.Through)
+		adoptSnapshot(world, snapshot)
 	}
 	for {
-		next := w.HeldChanges.Get(w.ProfilesRead + 1)
+		next := world.HeldChanges.Get(world.ProfilesRead + 1)
 		if next == nil {
 			return
 		}
-		fold(w, *next)
+		foldRecord(world, *next)
 	}
 }
 
-// hold keeps a record until its turn. If there are too many, the lowest goes: a
-// later snapshot makes up for it, or another node has it.
-func hold(w *carobworld.World, rc carobrecord.Record) {
-	if w.HeldChanges.Full() {
-		lowest := rc.Offset
-		for offset := range w.HeldChanges.All() {
+// buffer stores a record until all records before it have been folded. If the
+// buffer is full, it drops the record with the lowest offset: a later snapshot
+// covers it, or another node can supply it.
+func buffer(world *carobworld.World, record carobrecord.Record) {
+	if world.HeldChanges.Full() {
+		lowest := record.Offset
+		for offset := range world.HeldChanges.All() {
 			lowest = min(lowest, offset)
 		}
-		w.HeldChanges.Delete(lowest)
+		world.HeldChanges.Delete(lowest)
 	}
-	w.HeldChanges.Put(rc.Offset, rc)
+	world.HeldChanges.Put(record.Offset, record)
 }
 
-// snapshotOf returns the snapshot in a record, or nil if it has none or one that
-// cannot be: it would stand before a record that it holds.
-func snapshotOf(rc carobrecord.Record) *carobsnapshot.Snapshot {
-	var en entry
-	if json.Unmarshal(rc.Data, &en) != nil || en.Snapshot == nil {
+// snapshotOf returns the snapshot in a record, or nil if the record has none or an
+// invalid one, such as one that covers the offset of its own record or a later one.
+func snapshotOf(record carobrecord.Record) *carobsnapshot.Snapshot {
+	var entry snapshotRecord
+	if json.Unmarshal(record.Data, &entry) != nil || entry.Snapshot == nil {
 		return nil
 	}
-	if en.Snapshot.Check() != nil || en.Snapshot.Through >= rc.Offset {
+	if entry.Snapshot.Check() != nil || entry.Snapshot.Through >= record.Offset {
 		return nil
 	}
-	return en.Snapshot
+	return entry.Snapshot
 }
 
-// adopt starts from a snapshot that reaches further than what was read.
-func adopt(w *carobworld.World, sn *carobsnapshot.Snapshot) {
-	if sn.Through <= w.ProfilesRead {
+// adoptSnapshot replaces the folded state by a snapshot, if it covers records that
+// have not been folded. It drops the folded records that are kept for other nodes,
+// since those have to follow each other without gaps.
+func adoptSnapshot(world *carobworld.World, snapshot *carobsnapshot.Snapshot) {
+	if snapshot.Through <= world.ProfilesRead {
 		return
 	}
-	w.ProfilesRead = sn.Through
-	for offset := range w.HeldChanges.All() {
-		if offset <= sn.Through {
-			w.HeldChanges.Delete(offset)
+	world.ProfilesRead = snapshot.Through
+	for offset := range world.HeldChanges.All() {
+		if offset <= snapshot.Through {
+			world.HeldChanges.Delete(offset)
 		}
 	}
-	for offset := range w.Changes.All() {
-		w.Changes.Delete(offset)
+	for offset := range world.Changes.All() {
+		world.Changes.Delete(offset)
 	}
-	for _, rv := range sn.Revisions {
-		old := w.Profiles.Get(rv.Change.Profile.Name)
-		if old == nil || old.Offset < rv.Offset {
-			w.Profiles.Put(rv.Change.Profile.Name, rv)
-			audit(w, rv)
+	for _, revision := range snapshot.Revisions {
+		current := world.Profiles.Get(revision.Change.Profile.Name)
+		if current == nil || current.Offset < revision.Offset {
+			world.Profiles.Put(revision.Change.Profile.Name, revision)
+			addAudit(world, revision)
 		}
 	}
 }
 
-// fold takes the next record in.
-func fold(w *carobworld.World, rc carobrecord.Record) {
-	w.HeldChanges.Delete(rc.Offset)
-	w.ProfilesRead = rc.Offset
-	if w.Changes.Full() {
-		w.Changes.Delete(rc.Offset - caroboffset.Offset(w.Changes.Len()))
-	}
-	w.Changes.Put(rc.Offset, rc)
-	var ch carobchange.Change
-	if snapshotOf(rc) != nil || json.Unmarshal(rc.Data, &ch) != nil {
+// foldRecord folds the next record, and keeps it for other nodes that lack it.
+func foldRecord(world *carobworld.World, record carobrecord.Record) {
+	world.HeldChanges.Delete(record.Offset)
+	world.ProfilesRead = record.Offset
+	if world.Changes.Full() {
+		world.Changes.Delete(record.Offset - caroboffset.Offset(world.Changes.Len()))
+	}
+	world.Changes.Put(record.Offset, record)
+	var change carobchange.Change
+	if snapshotOf(record) != nil || json.Unmarshal(record.Data, &change) != nil {
 		return
 	}
-	cr := judge(w, carobrevision.Revision{Change: ch, Offset: rc.Offset})
-	w.Outbox.ChangeResults = append(w.Outbox.ChangeResults, cr)
+	result := applyChange(world, carobrevision.Revision{Change: change, Offset: record.Offset})
+	world.Outbox.ChangeResults = append(world.Outbox.ChangeResults, result)
 }
 
-// judge brings a change into force if its base is the revision in force.
-func judge(w *carobworld.World, rv carobrevision.Revision) carobchangeresult.ChangeResult {
-	name := rv.Change.Profile.Name
-	cr := carobchangeresult.ChangeResult{Change: rv.Change, Offset: rv.Offset}
-	cr.Before.Offset = caroboffset.None
-	if old := w.Profiles.Get(name); old != nil {
-		cr.Before = *old
-	}
-	cr.Won = rv.Change.Profile.Base == cr.Before.Offset && w.Profiles.Put(name, rv) != nil
-	if cr.Won {
-		audit(w, rv)
-	}
-	return cr
+// applyChange brings a change into force if its base is the revision in force and
+// there is room for the profile.
+func applyChange(world *carobworld.World, revision carobrevision.Revision) carobchangeresult.ChangeResult {
+	name := revision.Change.Profile.Name
+	result := carobchangeresult.ChangeResult{Change: revision.Change, Offset: revision.Offset}
+	result.Before.Offset = caroboffset.None
+	if current := world.Profiles.Get(name); current != nil {
+		result.Before = *current
+	}
+	result.Won = revision.Change.Profile.Base == result.Before.Offset && world.Profiles.Put(name, revision) != nil
+	if result.Won {
+		addAudit(world, revision)
+	}
+	return result
 }
--- a/pkg/carobfold/system_test.go
+++ b/pkg/carobfold/system_test.go
@@ -24,7 +24,7 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// node is a world with nothing but the fold.
+// node is a node that runs only the fold.
 type node struct {
 	world *carobworld.World
 	fold  *carobfold.System
@@ -37,112 +37,125 @@
 	}
 }
 
+// read runs a tick with records that were read from the log.
 func (n *node) read(records ...carobrecord.Record) {
 	n.world.Begin(carobinbox.Inbox{Records: records})
 	n.fold.Run(n.world, 1)
 }
 
-func (n *node) hear(sp carobsupply.Supply) {
-	n.world.Begin(carobinbox.Inbox{Messages: []carobmessage.Message{{Supply: &sp}}})
+// receiveSupply runs a tick with records that another node sent.
+func (n *node) receiveSupply(supply carobsupply.Supply) {
+	n.world.Begin(carobinbox.Inbox{Messages: []carobmessage.Message{{Supply: &supply}}})
 	n.fold.Run(n.world, 1)
 }
 
-// inForce has the revision of each profile.
+// inForce returns the offset of the revision in force of each profile.
 func (n *node) inForce() map[carobword.Word]caroboffset.Offset {
 	all := map[carobword.Word]caroboffset.Offset{}
-	for name, rv := range n.world.Profiles.All() {
-		all[name] = rv.Offset
+	for name, revision := range n.world.Profiles.All() {
+		all[name] = revision.Offset
 	}
 	return all
 }
 
-func record(offset caroboffset.Offset, data string) carobrecord.Record {
+func newRecord(offset caroboffset.Offset, data string) carobrecord.Record {
 	return carobrecord.Record{Stream: carobstream.Profiles, Offset: offset, Data: []byte(data)}
 }
 
-func change(offset caroboffset.Offset, name carobword.Word, base caroboffset.Offset) carobrecord.Record {
-	pf := carobprofile.NewProfile(name)
-	pf.Base = base
-	data, err := json.Marshal(carobchange.Change{Profile: pf, Who: "alma", When: time.Unix(0, 0)})
+func changeRecord(offset caroboffset.Offset, name carobword.Word, base caroboffset.Offset) carobrecord.Record {
+	profile := carobprofile.NewProfile(name)
+	profile.Base = base
+	data, err := json.Marshal(carobchange.Change{Profile: profile, Who: "alma", When: time.Unix(0, 0)})
 	if err != nil {
 		panic(err)
 	}
-	return record(offset, string(data))
+	return newRecord(offset, string(data))
 }
 
-func snapshot(offset caroboffset.Offset, sn carobsnapshot.Snapshot) carobrecord.Record {
-	data, err := json.Marshal(map[string]any{"snapshot": sn})
+func snapshotRecord(offset caroboffset.Offset, snapshot carobsnapshot.Snapshot) carobrecord.Record {
+	data, err := json.Marshal(map[string]any{"snapshot": snapshot})
 	if err != nil {
 		panic(err)
 	}
-	return record(offset, string(data))
+	return newRecord(offset, string(data))
 }
 
-func TestChangeOnAnOldBaseIsVoid(t *testing.T) {
+// Guards against lost updates: of two changes made from the same revision, only
+// the first in the log may win.
+func TestChangeOnAnOldBaseHasNoEffect(t *testing.T) {
 	n := newNode()
-	n.read(change(0, "rota", -1), change(1, "rota", 0), change(2, "rota", 0), change(3, "rota", -1))
+	n.read(changeRecord(0, "rota", -1), changeRecord(1, "rota", 0), changeRecord(2, "rota", 0), changeRecord(3, "rota", -1))
 	require.Equal(t, map[carobword.Word]caroboffset.Offset{"rota": 1}, n.inForce())
 	require.EqualValues(t, 3, n.world.ProfilesRead)
-	cr := n.world.Outbox.ChangeResults[2]
-	require.False(t, cr.Won)
-	require.EqualValues(t, 1, cr.Before.Offset)
-	require.Len(t, n.world.Outbox.Audits, 2, "one entry in the audit trail for each change in force")
+	result := n.world.Outbox.ChangeResults[2]
+	require.False(t, result.Won)
+	require.EqualValues(t, 1, result.Before.Offset)
+	require.Len(t, n.world.Outbox.Audits, 2, "one audit entry for each change that came into force")
 }
 
-func TestBadRecordsArePassedOver(t *testing.T) {
+// Guards against a fold that stops, or goes wrong, at a record that cannot be
+// decoded or that has an impossible snapshot.
+func TestInvalidRecordsAreSkipped(t *testing.T) {
 	for name, data := range map[string]string{
-		"not JSON":           "{",
-		"no profile":         `{"who": "alma"}`,
-		"a field too large":  `{"profile": {"name": "rota", "tries": 1000}}`,
-		"an empty snapshot":  `{"snapshot": {}}`,
-		"snapshot of itself": `{"snapshot": {"through": 1, "revisions": []}}`,
-		"snapshot of later":  `{"snapshot": {"through": 9, "revisions": []}}`,
+		"not JSON":                   "{",
+		"no profile":                 `{"who": "alma"}`,
+		"field out of bounds":        `{"profile": {"name": "rota", "tries": 1000}}`,
+		"empty snapshot":             `{"snapshot": {}}`,
+		"snapshot of its own offset": `{"snapshot": {"through": 1, "revisions": []}}`,
+		"snapshot of a later offset": `{"snapshot": {"through": 9, "revisions": []}}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := newNode()
-			n.read(change(0, "rota", -1), record(1, data), change(2, "rota", 0))
+			n.read(changeRecord(0, "rota", -1), newRecord(1, data), changeRecord(2, "rota", 0))
 			require.Equal(t, map[carobword.Word]caroboffset.Offset{"rota": 2}, n.inForce())
 			require.EqualValues(t, 2, n.world.ProfilesRead)
 		})
 	}
 }
 
-func TestNodeBehindAGapWaitsForTheRecords(t *testing.T) {
+// Guards against folding a change while a record before it is missing: the missing
+// change decides whether the base of the later one is in force.
+func TestRecordsAfterAGapWaitForTheMissingOnes(t *testing.T) {
 	n := newNode()
-	n.read(change(0, "rota", -1))
-	n.read(change(2, "rota", 1), change(3, "rota", 2))
-	require.EqualValues(t, 0, n.world.ProfilesRead, "the change at 1 may have been a winning one")
-	n.hear(carobsupply.Supply{Records: []carobrecord.Record{change(1, "rota", 0)}, Read: 3})
+	n.read(changeRecord(0, "rota", -1))
+	n.read(changeRecord(2, "rota", 1), changeRecord(3, "rota", 2))
+	require.EqualValues(t, 0, n.world.ProfilesRead, "the change at 1 may have come into force")
+	n.receiveSupply(carobsupply.Supply{Records: []carobrecord.Record{changeRecord(1, "rota", 0)}, Read: 3})
 	require.Equal(t, map[carobword.Word]caroboffset.Offset{"rota": 3}, n.inForce())
 }
 
-func TestSnapshotThatRacesAChange(t *testing.T) {
+// Guards against a lost change when a snapshot is taken before the change and
+// appended after it: neither a node that folded the change nor a node that starts
+// at the record of the change may lose it.
+func TestSnapshotDoesNotRevertAConcurrentChange(t *testing.T) {
 	old := newNode()
-	old.read(change(0, "rota", -1))
-	raced := snapshot(2, old.world.TakeSnapshot())
-	tail := []carobrecord.Record{change(1, "rota", 0), raced, change(3, "payouts", -1)}
+	old.read(changeRecord(0, "rota", -1))
+	racing := snapshotRecord(2, old.world.TakeSnapshot())
+	records := []carobrecord.Record{changeRecord(1, "rota", 0), racing, changeRecord(3, "payouts", -1)}
 	want := map[carobword.Word]caroboffset.Offset{"rota": 1, "payouts": 3}
 
-	old.read(tail...)
-	require.Equal(t, want, old.inForce(), "the snapshot takes nothing back")
+	old.read(records...)
+	require.Equal(t, want, old.inForce(), "the snapshot reverts nothing")
 	fresh := newNode()
-	fresh.read(tail...)
+	fresh.read(records...)
 	require.Equal(t, want, fresh.inForce(), "the change before the snapshot is not lost")
 }
 
-func TestSnapshotFromAPeerNeverLowersAnOffset(t *testing.T) {
+// Guards against a late message that sets a node back to an older revision.
+func TestOldSnapshotFromAPeerIsIgnored(t *testing.T) {
 	n := newNode()
-	n.read(change(0, "rota", -1), change(1, "rota", 0))
+	n.read(changeRecord(0, "rota", -1), changeRecord(1, "rota", 0))
 	before := n.world.TakeSnapshot()
-	n.read(change(2, "rota", 1))
-	n.hear(carobsupply.Supply{Snapshot: &before, Read: 1})
+	n.read(changeRecord(2, "rota", 1))
+	n.receiveSupply(carobsupply.Supply{Snapshot: &before, Read: 1})
 	require.Equal(t, map[carobword.Word]caroboffset.Offset{"rota": 2}, n.inForce())
 	require.EqualValues(t, 2, n.world.ProfilesRead)
 }
 
-// However records come (late, twice, out of order, the first ones expired), a
-// node that has read them all has what a node has that read them one by one.
-func TestFoldIsTheSameHoweverRecordsCome(t *testing.T) {
+// Guards against nodes with different profiles: a node that gets the records late,
+// twice or out of order, or after the log has dropped the first ones, must end with
+// the same profiles as a node that read them one by one.
+func TestFoldDoesNotDependOnTheOrderOfArrival(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log, reference := makeLog(t)
 		n := newNode()
@@ -167,12 +180,13 @@
 	})
 }
 
-// makeLog makes a log of changes with fitting and other bases, bad records, and
-// snapshots that are appended some records late.
+// makeLog generates a log of changes with matching and other bases, invalid
+// records, and snapshots that are appended some records late. It returns the log
+// and a node that has read it record by record.
 func makeLog(t *rapid.T) ([]carobrecord.Record, *node) {
 	reference := newNode()
 	var log []carobrecord.Record
-	var taken []carobsnapshot.Snapshot
+	var snapshots []carobsnapshot.Snapshot
 	for i := range rapid.IntRange(1, 40).Draw(t, "records") {
 		offset := caroboffset.Offset(i)
 		name := carobword.Word(fmt.Sprint("p", rapid.IntRange(0, 2).Draw(t, "name")))
@@ -180,29 +194,29 @@
 		if current, ok := reference.inForce()[name]; ok && rapid.IntRange(0, 3).Draw(t, "fits") > 0 {
 			base = current
 		}
-		rc := change(offset, name, base)
-		switch kind := rapid.IntRange(0, 9).Draw(t, "kind"); {
-		case kind == 0:
-			rc = record(offset, "broken")
-		case kind <= 2 && len(taken) > 0:
-			rc = snapshot(offset, taken[rapid.IntRange(max(0, len(taken)-4), len(taken)-1).Draw(t, "snapshot")])
+		record := changeRecord(offset, name, base)
+		switch choice := rapid.IntRange(0, 9).Draw(t, "kind"); {
+		case choice == 0:
+			record = newRecord(offset, "broken")
+		case choice <= 2 && len(snapshots) > 0:
+			record = snapshotRecord(offset, snapshots[rapid.IntRange(max(0, len(snapshots)-4), len(snapshots)-1).Draw(t, "snapshot")])
 		}
-		log = append(log, rc)
-		reference.read(rc)
-		taken = append(taken, reference.world.TakeSnapshot())
+		log = append(log, record)
+		reference.read(record)
+		snapshots = append(snapshots, reference.world.TakeSnapshot())
 	}
 	return log, reference
 }
 
-// firstReadable picks a first record such that a snapshot makes up for those
-// before it.
+// firstReadable chooses the first record that the log still keeps, so that a
+// snapshot covers the records before it.
 func firstReadable(t *rapid.T, log []carobrecord.Record) int {
-	good := []int{0}
-	for _, rc := range log {
-		var en struct{ Snapshot *carobsnapshot.Snapshot }
-		if json.Unmarshal(rc.Data, &en) == nil && en.Snapshot != nil {
-			good = append(good, int(en.Snapshot.Through)+1)
+	starts := []int{0}
+	for _, record := range log {
+		var entry struct{ Snapshot *carobsnapshot.Snapshot }
+		if json.Unmarshal(record.Data, &entry) == nil && entry.Snapshot != nil {
+			starts = append(starts, int(entry.Snapshot.Through)+1)
 		}
 	}
-	return rapid.SampledFrom(good).Draw(t, "from")
+	return rapid.SampledFrom(starts).Draw(t, "from")
 }
