--- a/pkg/carobcatchup/system.go
+++ b/pkg/carobcatchup/system.go
@@ -1,8 +1,9 @@
-// Package carobcatchup passes profile records from node to node, so that a
-// change that one node has read reaches all though the log fails after.
+// Package carobcatchup transfers profile records between nodes, so that a change
+// that one node has read reaches all nodes even if the log fails afterwards.
 //
-// Nodes say in their probes how far they have read. Who has read less asks for
-// the records that it misses, by offset, and gets them in order; none is left out.
+// The probes of a node carry the offset up to which it has read. A node that has
+// read less fetches the records that it lacks, by offset, and receives them in
+// order and without gaps, or a snapshot that covers them.
 package carobcatchup
 
 import (
@@ -17,64 +18,71 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// patience is how long an answer may take before another node is asked.
-const patience = 300 * time.Millisecond
+// fetchTimeout is how long a fetch may stay unanswered before the next one is sent,
+// to whichever node is next found to have read more.
+const fetchTimeout = 300 * time.Millisecond
 
-// System asks other nodes for records and answers them.
+// System fetches records from other nodes and answers their fetches.
 type System struct {
-	// until is when the question on its way counts as lost.
-	until carobinstant.Instant
+	// fetchDeadline is when the outstanding fetch counts as lost; Never if there is
+	// none.
+	fetchDeadline carobinstant.Instant
 }
 
-// NewSystem returns the system.
+// NewSystem returns a system without an outstanding fetch.
 func NewSystem() *System {
 	return &System{}
 }
 
-// Run answers those who miss records and asks for those that this node misses.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	for i := range w.Inbox.Messages {
-		ms := &w.Inbox.Messages[i]
+// Run answers the fetches of other nodes and fetches records that this node lacks.
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	for i := range world.Inbox.Messages {
+		message := &world.Inbox.Messages[i]
 		switch {
-		case ms.Fetch != nil:
-			answer(w, ms)
-		case ms.Supply != nil:
-			s.until = carobinstant.Never
-			s.ask(w, now, ms, ms.Supply.Read)
-		case ms.Probe != nil:
-			s.ask(w, now, ms, ms.Probe.Read)
+		case message.Fetch != nil:
+			supplyRecords(world, message)
+		case message.Supply != nil:
+			s.fetchDeadline = carobinstant.Never
+			s.fetch(world, now, message, message.Supply.Read)
+		case message.Probe != nil:
+			s.fetch(world, now, message, message.Probe.Read)
 		}
 	}
 }
 
-func (s *System) ask(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message, read caroboffset.Offset) {
-	if read <= w.ProfilesRead {
+// fetch requests the next records from the sender of a message, if the sender has
+// read further than this node and no fetch is outstanding.
+func (s *System) fetch(world *carobworld.World, now carobinstant.Instant, message *carobmessage.Message, read caroboffset.Offset) {
+	if read <= world.ProfilesRead {
 		return
 	}
-	if s.until != carobinstant.Never && !s.until.Reached(now) {
+	if s.fetchDeadline != carobinstant.Never && !s.fetchDeadline.Reached(now) {
 		return
 	}
-	s.until = now.Add(patience)
-	w.Tell(carobmessage.Message{To: ms.Back, Fetch: &carobfetch.Fetch{From: w.ProfilesRead + 1}})
+	s.fetchDeadline = now.Add(fetchTimeout)
+	world.Tell(carobmessage.Message{To: message.Back, Fetch: &carobfetch.Fetch{From: world.ProfilesRead + 1}})
 }
 
-func answer(w *carobworld.World, ms *carobmessage.Message) {
-	if ms.Fetch.From > w.ProfilesRead {
+// supplyRecords answers a fetch with records, or with a snapshot if this node no
+// longer has one of the records. It does not answer if it has read none of them.
+func supplyRecords(world *carobworld.World, message *carobmessage.Message) {
+	if message.Fetch.From > world.ProfilesRead {
 		return
 	}
-	sp := &carobsupply.Supply{Read: w.ProfilesRead}
-	for offset := ms.Fetch.From; offset <= w.ProfilesRead && len(sp.Records) < carobsupply.Most; offset++ {
-		rc := w.Changes.Get(offset)
-		if rc == nil {
-			sp.Records, sp.Snapshot = nil, snapshot(w)
+	supply := &carobsupply.Supply{Read: world.ProfilesRead}
+	for offset := message.Fetch.From; offset <= world.ProfilesRead && len(supply.Records) < carobsupply.Most; offset++ {
+		record := world.Changes.Get(offset)
+		if record == nil {
+			supply.Records, supply.Snapshot = nil, takeSnapshot(world)
 			break
 		}
-		sp.Records = append(sp.Records, *rc)
+		supply.Records = append(supply.Records, *record)
 	}
-	w.Tell(carobmessage.Message{To: ms.Back, Supply: sp})
+	world.Tell(carobmessage.Message{To: message.Back, Supply: supply})
 }
 
-func snapshot(w *carobworld.World) *carobsnapshot.Snapshot {
-	sn := w.TakeSnapshot()
-	return &sn
+// takeSnapshot returns a pointer to a snapshot of the profiles in force.
+func takeSnapshot(world *carobworld.World) *carobsnapshot.Snapshot {
+	snapshot := world.TakeSnapshot()
+	return &snapshot
 }
--- a/pkg/carobcompaction/system.go
+++ b/pkg/carobcompaction/system.go
@@ -1,10 +1,11 @@
-// Package carobcompaction keeps a snapshot of the profiles in the log, so that
-// they outlast the records that made them.
+// Package carobcompaction appends snapshots of the profiles to the log, so that
+// the profiles outlive the records of their changes.
 //
-// The log keeps records for a limited time that this system is not told. So a
-// snapshot is appended again after a fixed time, which has to be shorter, and
-// earlier when many records have come since the last one. Any node may do it:
-// each waits for a random while first, and does nothing if another was faster.
+// The log keeps records for a limited time that this system does not know. It
+// therefore appends a snapshot at a fixed period, which has to be shorter than
+// that time, and earlier if many records follow the last snapshot. Any node may
+// append it: each node first waits for a random delay, and appends nothing if it
+// has read a newer snapshot by then.
 package carobcompaction
 
 import (
@@ -21,85 +22,94 @@
 )
 
 const (
-	// period is the time between two snapshots. The log's retention has to be
-	// longer by a good margin.
+	// period is the time between two snapshots. The retention of the log has to be
+	// much longer, or profiles expire before a snapshot covers them.
 	period = time.Hour
-	// crowd is the number of records after which a snapshot is due earlier, while
-	// it is not known how many the log keeps.
-	crowd = 64
-	// calm and urgent bound the random wait before a snapshot is appended.
-	calm   = time.Minute
-	urgent = 2 * time.Second
+	// maxSinceSnapshot is the number of records since the last snapshot at which a
+	// snapshot is due early, even while it is unknown how many the log keeps.
+	maxSinceSnapshot = 64
+	// normalDelay and urgentDelay are the upper bounds of the random delay before a
+	// snapshot is appended, at the end of a period and when it is due early.
+	normalDelay = time.Minute
+	urgentDelay = 2 * time.Second
 )
 
-// System appends snapshots.
+// System appends snapshots of the profiles to the log.
 type System struct {
-	// mark is what the newest read of the stream found.
-	mark carobmark.Mark
-	// seen is the newest snapshot that this node knows of.
-	seen caroboffset.Offset
-	// again is when a snapshot is due though no record came.
-	again carobinstant.Instant
-	// due is when this node appends one, unless another does before; or Never.
-	due carobinstant.Instant
+	// bounds holds the bounds of the stream that the newest read found.
+	bounds carobmark.Mark
+	// lastSnapshot is the offset of the newest snapshot that this node has read.
+	lastSnapshot caroboffset.Offset
+	// periodEnd is when a snapshot is due even if no record has been added; Never
+	// before the first tick.
+	periodEnd carobinstant.Instant
+	// appendAt is when this node appends a snapshot, unless it reads a newer one
+	// first; Never if no snapshot is due.
+	appendAt carobinstant.Instant
 }
 
-// NewSystem returns the system.
+// NewSystem returns a system that has read no snapshot yet.
 func NewSystem() *System {
-	return &System{seen: caroboffset.None}
+	return &System{lastSnapshot: caroboffset.None}
 }
 
 // Run appends a snapshot when one is due.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	for _, mk := range w.Inbox.Marks {
-		if mk.Stream == carobstream.Profiles {
-			s.mark = mk
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	for _, mark := range world.Inbox.Marks {
+		if mark.Stream == carobstream.Profiles {
+			s.bounds = mark
 		}
 	}
-	if s.again == carobinstant.Never || w.Snapshot > s.seen {
-		s.seen = w.Snapshot
-		s.again, s.due = now.Add(period), carobinstant.Never
+	if s.periodEnd == carobinstant.Never || world.Snapshot > s.lastSnapshot {
+		s.lastSnapshot = world.Snapshot
+		s.periodEnd, s.appendAt = now.Add(period), carobinstant.Never
 	}
-	wait, needed := s.needed(w, now)
+	maxDelay, needed := s.needed(world, now)
 	if !needed {
-		s.due = carobinstant.Never
-		if !s.again.Reached(now) {
-			w.WakeAt(s.again)
+		s.appendAt = carobinstant.Never
+		if !s.periodEnd.Reached(now) {
+			world.WakeAt(s.periodEnd)
 		}
 		return
 	}
-	if s.due == carobinstant.Never {
-		s.due = now.Add(time.Duration(w.Random.Int64N(int64(wait))))
+	if s.appendAt == carobinstant.Never {
+		s.appendAt = now.Add(time.Duration(world.Random.Int64N(int64(maxDelay))))
 	}
-	if s.due.Reached(now) {
-		appendSnapshot(w)
-		s.due = now.Add(wait)
+	if s.appendAt.Reached(now) {
+		appendSnapshot(world)
+		s.appendAt = now.Add(maxDelay)
 	}
-	w.WakeAt(s.due)
+	world.WakeAt(s.appendAt)
 }
 
-// needed says whether a snapshot is due, and how long to wait for others at most.
-func (s *System) needed(w *carobworld.World, now carobinstant.Instant) (time.Duration, bool) {
-	if w.Profiles.Len() == 0 || w.ProfilesRead+1 < s.mark.First {
+// needed reports whether a snapshot is due, and returns the upper bound of the
+// random delay before it. None is due on a node without profiles, or with a gap
+// before the records that the log keeps. One is due early if the log has dropped
+// records and holds no snapshot that covers them, if the log has dropped records
+// and more than half of those it keeps follow the last snapshot, or if at least
+// maxSinceSnapshot records follow it.
+func (s *System) needed(world *carobworld.World, now carobinstant.Instant) (time.Duration, bool) {
+	if world.Profiles.Len() == 0 || world.ProfilesRead+1 < s.bounds.First {
 		return 0, false
 	}
-	kept := w.Snapshot >= s.mark.First && w.SnapshotThrough+1 >= s.mark.First
-	if s.mark.First > 0 && !kept {
-		return urgent, true
+	covered := world.Snapshot >= s.bounds.First && world.SnapshotThrough+1 >= s.bounds.First
+	if s.bounds.First > 0 && !covered {
+		return urgentDelay, true
 	}
-	since := w.ProfilesRead - max(w.Snapshot, caroboffset.None)
-	if s.mark.First > 0 && since > max(1, (s.mark.Next-s.mark.First)/2) || since >= crowd {
-		return urgent, true
+	sinceSnapshot := world.ProfilesRead - max(world.Snapshot, caroboffset.None)
+	if s.bounds.First > 0 && sinceSnapshot > max(1, (s.bounds.Next-s.bounds.First)/2) || sinceSnapshot >= maxSinceSnapshot {
+		return urgentDelay, true
 	}
-	return calm, s.again.Reached(now)
+	return normalDelay, s.periodEnd.Reached(now)
 }
 
-func appendSnapshot(w *carobworld.World) {
+// appendSnapshot appends a snapshot of the profiles in force to the log.
+func appendSnapshot(world *carobworld.World) {
 	data, err := json.Marshal(struct {
 		Snapshot carobsnapshot.Snapshot `json:"snapshot"`
-	}{w.TakeSnapshot()})
+	}{world.TakeSnapshot()})
 	if err != nil {
 		return
 	}
-	w.Outbox.Appends = append(w.Outbox.Appends, carobappend.Append{Stream: carobstream.Profiles, Data: data})
+	world.Outbox.Appends = append(world.Outbox.Appends, carobappend.Append{Stream: carobstream.Profiles, Data: data})
 }
