--- a/pkg/carobappend/append.go
+++ b/pkg/carobappend/append.go
@@ -1,12 +1,13 @@
-// Package carobappend holds the order to append a record to the log.
+// Package carobappend holds the effect of appending a record with retries.
 package carobappend
 
 import "github.com/carobknot/carobknot/pkg/carobstream"
 
-// Append orders that a record is appended. It is tried again while the log is
-// out, so the record may come to stand in the log more than once.
+// Append requests that a record is appended. It is retried while the log is
+// unavailable, so the record may be in the log more than once.
 type Append struct {
 	Stream carobstream.Stream
-	// Data takes the place of an earlier append to the stream that still waits.
+	// Data is the content of the record. It replaces that of an earlier append to
+	// the stream that is still pending.
 	Data []byte
 }
--- a/pkg/carobaudit/audit.go
+++ b/pkg/carobaudit/audit.go
@@ -1,18 +1,19 @@
-// Package carobaudit holds the entries of the audit trail of changes.
+// Package carobaudit holds the entries of the audit trail.
 package carobaudit
 
 import "time"
 
-// Audit says who changed what, when, from what, to what.
+// Audit is a record of one change: who changed what and when, with the old and the
+// new value.
 type Audit struct {
 	When time.Time `json:"when"`
 	Who  string    `json:"who"`
-	// Part is the part of the system that saw the change.
+	// Part is the part of the system that detected the change.
 	Part string `json:"part"`
 	What string `json:"what"`
 	From string `json:"from"`
 	To   string `json:"to"`
-	// Local says that the entry goes to the log lines only, since the platform's
-	// log has the change already.
+	// Local is true if the entry is written only to the node's own log, since the
+	// platform's log already contains the change.
 	Local bool `json:"-"`
 }
--- a/pkg/carobchange/change.go
+++ b/pkg/carobchange/change.go
@@ -1,4 +1,4 @@
-// Package carobchange holds changes of profiles as they stand in the log.
+// Package carobchange holds the changes of profiles as the log stores them.
 package carobchange
 
 import (
@@ -9,41 +9,44 @@
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 )
 
-// Change is one change of a profile. Its place in the log is the revision that
-// it makes, if it wins.
+// Change replaces a profile. If it comes into force, its offset in the log is the
+// number of the new revision.
 type Change struct {
-	// ID tells the change apart from all others, so that its publisher finds it
-	// in the log though the answer to the append was lost. A change that was
-	// appended twice has one ID; its base lets at most one of the two win.
+	// ID is unique to the change, so that its publisher can find it in the log if
+	// the response to the append was lost. Both copies of a change that was
+	// appended twice have the same ID; because they have the same base, at most
+	// one of them comes into force.
 	ID      string               `json:"id,omitempty"`
 	Profile carobprofile.Profile `json:"profile"`
-	// Who published the change.
+	// Who identifies the operator who published the change.
 	Who string `json:"who"`
-	// When it was published, on the operator's clock. It decides nothing.
+	// When is the time of publication by the operator's clock. It is informational:
+	// only offsets order changes.
 	When time.Time `json:"when"`
 }
 
-// longest is the most bytes of ID and Who.
-const longest = 256
+// maxLength is the maximum length of ID and of Who, in bytes.
+const maxLength = 256
 
-// UnmarshalJSON decodes a change and checks it.
+// UnmarshalJSON decodes a change. It returns an Invalid error if the text cannot be
+// decoded or a field is out of bounds.
 func (c *Change) UnmarshalJSON(text []byte) error {
-	type plain Change
-	var ch plain
-	if err := json.Unmarshal(text, &ch); err != nil {
+	type fields Change
+	var decoded fields
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "decode change")
 	}
-	if err := Change(ch).Check(); err != nil {
+	if err := Change(decoded).Check(); err != nil {
 		return err
 	}
-	*c = Change(ch)
+	*c = Change(decoded)
 	return nil
 }
 
-// Check tells whether all fields are within their bounds.
+// Check returns an Invalid error if a field is out of bounds.
 func (c Change) Check() error {
-	if len(c.ID) > longest || len(c.Who) > longest {
-		return carobkind.New(carobkind.Invalid, "change: id or who has more than %d bytes", longest)
+	if len(c.ID) > maxLength || len(c.Who) > maxLength {
+		return carobkind.New(carobkind.Invalid, "change: id or who is longer than %d bytes", maxLength)
 	}
 	return c.Profile.Check()
 }
--- a/pkg/carobchangeresult/result.go
+++ b/pkg/carobchangeresult/result.go
@@ -1,4 +1,4 @@
-// Package carobchangeresult says what became of the changes in the log.
+// Package carobchangeresult holds the results of the changes in the log.
 package carobchangeresult
 
 import (
@@ -7,15 +7,15 @@
 	"github.com/carobknot/carobknot/pkg/carobrevision"
 )
 
-// ChangeResult is the end of one change.
+// ChangeResult is the result of folding one change.
 type ChangeResult struct {
 	Change carobchange.Change
-	// Offset is the place of the change in the log.
+	// Offset is the offset of the change in the log.
 	Offset caroboffset.Offset
-	// Won says that the change came into force.
+	// Won is true if the change came into force.
 	Won bool
-	// Before is the revision that was in force when the change was folded in; its
-	// offset is None if there was none. If the change did not win, this is the
-	// winner.
+	// Before is the revision that was in force when the change was folded; its
+	// offset is None if there was none. If the change did not come into force, this
+	// revision stays in force.
 	Before carobrevision.Revision
 }
--- a/pkg/carobcommit/commit.go
+++ b/pkg/carobcommit/commit.go
@@ -1,12 +1,15 @@
-// Package carobcommit holds the order to append a record and to tell how it went.
+// Package carobcommit holds the effect of appending a record and reporting the
+// result.
 package carobcommit
 
 import "github.com/carobknot/carobknot/pkg/carobstream"
 
-// Commit orders one append. It is not tried again by whoever carries it out.
+// Commit requests one append. It is not retried by the goroutine that carries it
+// out; its result comes back as a message.
 type Commit struct {
 	Stream carobstream.Stream
-	// Number names the commit in its stream.
+	// Number identifies the commit among those of this node to the stream.
 	Number uint64
-	Data   []byte
+	// Data is the content of the record.
+	Data []byte
 }
--- a/pkg/carobcommitted/committed.go
+++ b/pkg/carobcommitted/committed.go
@@ -1,4 +1,4 @@
-// Package carobcommitted holds the message that an append has ended.
+// Package carobcommitted holds the message with the result of an append.
 package carobcommitted
 
 import (
@@ -6,11 +6,12 @@
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
 
-// Committed tells how a commit went.
+// Committed is the result of a commit.
 type Committed struct {
 	Stream carobstream.Stream
+	// Number is the number of the commit.
 	Number uint64
-	// Kind is None if the record was appended, LogOut if it certainly was not,
-	// and Unsure otherwise.
+	// Kind is None if the record was appended, LogOut if it certainly was not, and
+	// Unsure if neither is certain.
 	Kind carobkind.Kind
 }
--- a/pkg/carobmark/mark.go
+++ b/pkg/carobmark/mark.go
@@ -1,4 +1,4 @@
-// Package carobmark says how far a stream of the platform's log reaches.
+// Package carobmark holds the bounds of the streams in the platform's log.
 package carobmark
 
 import (
@@ -6,10 +6,10 @@
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
 
-// Mark is the bounds of a stream as a read of it found them.
+// Mark holds the bounds of a stream that a read of it found.
 type Mark struct {
 	Stream carobstream.Stream
-	// First is the first offset that the log still keeps.
+	// First is the lowest offset that the log still keeps.
 	First caroboffset.Offset
 	// Next is the offset after the last record that was read.
 	Next caroboffset.Offset
--- a/pkg/carobrecord/record.go
+++ b/pkg/carobrecord/record.go
@@ -1,4 +1,4 @@
-// Package carobrecord holds the records of the platform's log.
+// Package carobrecord holds the records that are read from the platform's log.
 package carobrecord
 
 import (
@@ -6,10 +6,10 @@
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
 
-// Record is one record as it stands in the log.
+// Record is one record of a stream.
 type Record struct {
 	Stream carobstream.Stream `json:"stream,omitempty"`
 	Offset caroboffset.Offset `json:"offset"`
-	// Data is what was appended.
+	// Data is the content as it was appended.
 	Data []byte `json:"data"`
 }
--- a/pkg/carobrevision/revision.go
+++ b/pkg/carobrevision/revision.go
@@ -6,14 +6,15 @@
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 )
 
-// Most is the most profiles that can be in force. It is the same on every node,
-// since a change that passes it is void.
+// Most is the maximum number of profiles in force. A change that would exceed it
+// has no effect, so it must be the same on every node.
 const Most = 1000
 
-// Revision is the profile in force under a name.
+// Revision is the change of a profile that is in force.
 type Revision struct {
-	// Change is the one that won.
+	// Change is the change that came into force.
 	Change carobchange.Change `json:"change"`
-	// Offset is the place of the change in the log. It never goes down.
+	// Offset is the offset of the change in the log, or None for a profile that did
+	// not come from the log. It never decreases.
 	Offset caroboffset.Offset `json:"offset"`
 }
--- a/pkg/carobsnapshot/snapshot.go
+++ b/pkg/carobsnapshot/snapshot.go
@@ -1,4 +1,4 @@
-// Package carobsnapshot holds what all profiles were at one place in the log.
+// Package carobsnapshot holds the state of all profiles at one offset of the log.
 package carobsnapshot
 
 import (
@@ -7,30 +7,31 @@
 	"github.com/carobknot/carobknot/pkg/carobrevision"
 )
 
-// Snapshot is the profiles in force after all records up to an offset. A node
-// that cannot read those records any more starts from it.
+// Snapshot contains the profiles in force after all records up to an offset. A node
+// starts from it if the log no longer keeps those records.
 type Snapshot struct {
-	// Through is the last offset that is folded in. A snapshot in the log stands
-	// behind it; the changes in between are not in the snapshot.
+	// Through is the last offset that the snapshot includes. The record of the
+	// snapshot has a higher offset; changes between the two are not included.
 	Through caroboffset.Offset `json:"through"`
-	// Revisions have different names, and offsets up to Through.
+	// Revisions holds one revision of each profile, with offsets up to Through.
 	Revisions []carobrevision.Revision `json:"revisions"`
 }
 
-// Check tells whether the snapshot can be one.
+// Check returns an Invalid error if an offset or a change is out of bounds, or if
+// there are too many revisions.
 func (s Snapshot) Check() error {
 	if s.Through < 0 {
-		return carobkind.New(carobkind.Invalid, "snapshot: through %d", s.Through)
+		return carobkind.New(carobkind.Invalid, "snapshot: through is %d, must be at least 0", s.Through)
 	}
 	if len(s.Revisions) > carobrevision.Most {
 		return carobkind.New(carobkind.Invalid, "snapshot: more than %d profiles", carobrevision.Most)
 	}
-	for _, rv := range s.Revisions {
-		if err := rv.Change.Check(); err != nil {
+	for _, revision := range s.Revisions {
+		if err := revision.Change.Check(); err != nil {
 			return err
 		}
-		if rv.Offset < 0 || rv.Offset > s.Through {
-			return carobkind.New(carobkind.Invalid, "snapshot: revision %d is not up to %d", rv.Offset, s.Through)
+		if revision.Offset < 0 || revision.Offset > s.Through {
+			return carobkind.New(carobkind.Invalid, "snapshot: revision %d is not between 0 and %d", revision.Offset, s.Through)
 		}
 	}
 	return nil
