--- a/pkg/carobkey/key.go
+++ b/pkg/carobkey/key.go
@@ -1,4 +1,4 @@
-// Package carobkey names the idempotency keys.
+// Package carobkey holds the idempotency keys of callers.
 package carobkey
 
 import (
@@ -6,20 +6,20 @@
 	"github.com/carobknot/carobknot/pkg/carobservice"
 )
 
-// MaxLength is the most bytes of a key.
+// MaxLength is the maximum length of a key, in bytes.
 const MaxLength = 255
 
-// Key is an idempotency key of a caller. Keys of two services differ.
+// Key is an idempotency key. The same text sent to two services makes two keys.
 type Key struct {
 	Service carobservice.Service `json:"service"`
-	// Text is what the caller sent. It is not empty.
+	// Text is the key as the caller sent it: 1 to MaxLength bytes.
 	Text string `json:"text"`
 }
 
 // Check returns an Invalid error if the key is empty or too long.
 func (k Key) Check() error {
 	if k.Text == "" || len(k.Text) > MaxLength {
-		return carobkind.New(carobkind.Invalid, "key: %d bytes are not between 1 and %d", len(k.Text), MaxLength)
+		return carobkind.New(carobkind.Invalid, "key: length of %d bytes is not between 1 and %d", len(k.Text), MaxLength)
 	}
 	return nil
 }
--- a/pkg/carobkind/kind.go
+++ b/pkg/carobkind/kind.go
@@ -1,5 +1,6 @@
-// Package carobkind is the closed list of error kinds, with the table that says
-// what each kind answers. An error crosses a process boundary as its kind.
+// Package carobkind holds the closed list of error kinds and the table with the
+// HTTP status, outcome, retry delay and log level of each kind. Processes send
+// each other the kind of an error, not its text.
 package carobkind
 
 import (
@@ -12,191 +13,206 @@
 	"github.com/carobknot/carobknot/pkg/caroboutcome"
 )
 
-// Kind is the kind of an error. It is an error itself, so that errors.Is and
-// errors.As find it in a chain.
+// Kind is the kind of an error. It implements error, so that errors.Is and
+// errors.As find it in a chain of errors. Its value is part of the wire format
+// and of metrics.
 type Kind string
 
-// The kinds. To add one, add its constant here and its row in the table.
+// A new kind needs a constant here and a row in the map below.
 const (
-	// None is no error.
+	// None means no error.
 	None Kind = ""
-	// Invalid: what came in breaks its own rules.
+	// Invalid means malformed input, or input with a value out of bounds.
 	Invalid Kind = "invalid"
-	// TooLarge: the body of a call passes the limit.
+	// TooLarge means that the body of a call exceeds its limit.
 	TooLarge Kind = "too-large"
-	// HeaderTooLarge: the header of a call passes the limit.
+	// HeaderTooLarge means that the header of a call exceeds its limit.
 	HeaderTooLarge Kind = "header-too-large"
-	// Slow: the caller took too long to send its call.
+	// Slow means that the caller took too long to send its call.
 	Slow Kind = "slow"
-	// Spent: no target ran the call, and its body cannot be sent again.
+	// Spent means that no target ran the call, and that its body was streamed and
+	// cannot be sent again.
 	Spent Kind = "spent"
-	// NotReady: the node has no profile or no view of the targets yet.
+	// NotReady means that the node has no profile or no view of the targets yet.
 	NotReady Kind = "not-ready"
-	// NoRoute: the route table in force has no route for the call.
+	// NoRoute means that the route table in force has no route for the call.
 	NoRoute Kind = "no-route"
-	// Shed: the target says that it did not run the call.
+	// Shed means that the target reported that it did not run the call.
 	Shed Kind = "shed"
-	// Misdirected: another target answered at the address, and ran nothing.
+	// Misdirected means that another target answered at the address, and did
+	// not run the call.
 	Misdirected Kind = "misdirected"
-	// NoTarget: no target of the service is known and ready.
+	// NoTarget means that no target of the service is known and ready.
 	NoTarget Kind = "no-target"
-	// Busy: slots and queues are full.
+	// Busy means that all slots and queues are full.
 	Busy Kind = "busy"
-	// Late: the call could not be started before its deadline.
+	// Late means that the call could not be started before its deadline. See
+	// Expired for a deadline that passes later.
 	Late Kind = "late"
-	// Leaving: the target or the node is shutting down.
+	// Leaving means that the target or the node is shutting down.
 	Leaving Kind = "leaving"
-	// Stale: the message was meant for another incarnation.
+	// Stale means that the message was addressed to another incarnation.
 	Stale Kind = "stale"
-	// Withdrawn: the attempt was fenced before it started.
+	// Withdrawn means that the attempt was fenced before it started.
 	Withdrawn Kind = "withdrawn"
-	// Unreachable: no connection could be opened, so nothing was sent.
+	// Unreachable means that no connection could be opened, so nothing was sent.
 	Unreachable Kind = "unreachable"
-	// Expired: the deadline passed while the call may have been running.
+	// Expired means that the deadline passed while the call may have been running.
 	Expired Kind = "expired"
-	// Cut: the connection broke while the call may have been running.
+	// Cut means that the connection broke while the call may have been running.
 	Cut Kind = "cut"
-	// Cancelled: the caller hung up.
+	// Cancelled means that the caller closed its connection.
 	Cancelled Kind = "cancelled"
-	// Repeated: a call with this key has run, and its answer is not kept.
+	// Repeated means that a call with this key has run, and that its answer is not
+	// stored.
 	Repeated Kind = "repeated"
-	// Unclaimed: the key could not be claimed in the log, so nothing ran.
+	// Unclaimed means that the key could not be claimed in the log, so that the
+	// call did not run.
 	Unclaimed Kind = "unclaimed"
-	// KeyUnknown: a call with this key was started and its end is not known.
+	// KeyUnknown means that another call with this key may have run: its result is
+	// unknown.
 	KeyUnknown Kind = "key-unknown"
-	// Conflict: another change of the profile came first.
+	// Conflict means that another change of the profile was made first.
 	Conflict Kind = "conflict"
-	// LogOut: the platform's log does not answer.
+	// LogOut means that the platform's log is unavailable, so that an append
+	// certainly took no effect.
 	LogOut Kind = "log-out"
-	// Unsure: an append may have taken effect.
+	// Unsure means that an append may or may not have taken effect.
 	Unsure Kind = "unsure"
-	// Internal: a fault of this program.
+	// Internal means a fault of this program.
 	Internal Kind = "internal"
 )
 
-// row is what a kind answers.
-type row struct {
+// properties holds the status, outcome, retry delay and log level of a kind.
+type properties struct {
 	status  int
 	outcome caroboutcome.Outcome
-	retry   time.Duration
-	level   logrus.Level
+	// retry is the delay after which a new call may succeed; 0 if it would not.
+	retry time.Duration
+	level logrus.Level
 }
 
 const (
-	soon  = time.Second
-	later = 5 * time.Second
-	// statusClientClosed is the usual status for a caller that hung up.
+	shortRetry = time.Second
+	longRetry  = 5 * time.Second
+	// statusClientClosed is the customary status for a caller that closed its
+	// connection before the answer, as nginx logs it.
 	statusClientClosed = 499
 )
 
-var table = map[Kind]row{
+var byKind = map[Kind]properties{
 	Invalid:        {http.StatusBadRequest, caroboutcome.NotRun, 0, logrus.InfoLevel},
 	TooLarge:       {http.StatusRequestEntityTooLarge, caroboutcome.NotRun, 0, logrus.InfoLevel},
 	HeaderTooLarge: {http.StatusRequestHeaderFieldsTooLarge, caroboutcome.NotRun, 0, logrus.InfoLevel},
-	Slow:           {http.StatusRequestTimeout, caroboutcome.NotRun, soon, logrus.InfoLevel},
-	Spent:          {http.StatusServiceUnavailable, caroboutcome.NotRun, soon, logrus.InfoLevel},
-	NotReady:       {http.StatusServiceUnavailable, caroboutcome.NotRun, soon, logrus.WarnLevel},
+	Slow:           {http.StatusRequestTimeout, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
+	Spent:          {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
+	NotReady:       {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.WarnLevel},
 	NoRoute:        {http.StatusNotFound, caroboutcome.NotRun, 0, logrus.InfoLevel},
-	Shed:           {http.StatusServiceUnavailable, caroboutcome.NotRun, soon, logrus.InfoLevel},
-	Misdirected:    {http.StatusServiceUnavailable, caroboutcome.NotRun, soon, logrus.WarnLevel},
-	NoTarget:       {http.StatusServiceUnavailable, caroboutcome.NotRun, soon, logrus.WarnLevel},
-	Busy:           {http.StatusServiceUnavailable, caroboutcome.NotRun, soon, logrus.InfoLevel},
-	Late:           {http.StatusGatewayTimeout, caroboutcome.NotRun, soon, logrus.InfoLevel},
-	Leaving:        {http.StatusServiceUnavailable, caroboutcome.NotRun, soon, logrus.InfoLevel},
-	Stale:          {http.StatusServiceUnavailable, caroboutcome.NotRun, soon, logrus.InfoLevel},
-	Withdrawn:      {http.StatusServiceUnavailable, caroboutcome.NotRun, soon, logrus.InfoLevel},
-	Unreachable:    {http.StatusServiceUnavailable, caroboutcome.NotRun, soon, logrus.WarnLevel},
+	Shed:           {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
+	Misdirected:    {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.WarnLevel},
+	NoTarget:       {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.WarnLevel},
+	Busy:           {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
+	Late:           {http.StatusGatewayTimeout, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
+	Leaving:        {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
+	Stale:          {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
+	Withdrawn:      {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
+	Unreachable:    {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.WarnLevel},
 	Expired:        {http.StatusGatewayTimeout, caroboutcome.Unknown, 0, logrus.WarnLevel},
 	Cut:            {http.StatusBadGateway, caroboutcome.Unknown, 0, logrus.WarnLevel},
 	Cancelled:      {statusClientClosed, caroboutcome.Unknown, 0, logrus.InfoLevel},
 	Repeated:       {http.StatusConflict, caroboutcome.Unknown, 0, logrus.InfoLevel},
-	Unclaimed:      {http.StatusServiceUnavailable, caroboutcome.NotRun, later, logrus.WarnLevel},
+	Unclaimed:      {http.StatusServiceUnavailable, caroboutcome.NotRun, longRetry, logrus.WarnLevel},
 	KeyUnknown:     {http.StatusConflict, caroboutcome.Unknown, 0, logrus.WarnLevel},
 	Conflict:       {http.StatusConflict, caroboutcome.NotRun, 0, logrus.InfoLevel},
-	LogOut:         {http.StatusServiceUnavailable, caroboutcome.NotRun, later, logrus.WarnLevel},
+	LogOut:         {http.StatusServiceUnavailable, caroboutcome.NotRun, longRetry, logrus.WarnLevel},
 	Unsure:         {http.StatusBadGateway, caroboutcome.Unknown, 0, logrus.WarnLevel},
 	Internal:       {http.StatusInternalServerError, caroboutcome.Unknown, 0, logrus.ErrorLevel},
 }
 
-// Error returns the kind's name.
+// Error returns the value of the kind.
 func (k Kind) Error() string {
 	return string(k)
 }
 
-// Status returns the HTTP status that answers the kind.
+// Status returns the HTTP status of a response with the kind.
 func (k Kind) Status() int {
-	return k.row().status
+	return k.properties().status
 }
 
-// Outcome returns what the caller is told of its call.
+// Outcome returns the outcome that the caller gets with the kind.
 func (k Kind) Outcome() caroboutcome.Outcome {
-	return k.row().outcome
+	return k.properties().outcome
 }
 
-// Retry returns after how long a new call may help, or zero.
+// Retry returns the delay after which a new call may succeed, or 0 if a new call
+// would not help.
 func (k Kind) Retry() time.Duration {
-	return k.row().retry
+	return k.properties().retry
 }
 
 // Level returns the level at which the kind is logged.
 func (k Kind) Level() logrus.Level {
-	return k.row().level
+	return k.properties().level
 }
 
-// NotRun reports whether the kind says for certain that nothing ran.
+// NotRun reports whether the kind guarantees that the call did not run.
 func (k Kind) NotRun() bool {
-	return k.row().outcome == caroboutcome.NotRun
+	return k.properties().outcome == caroboutcome.NotRun
 }
 
-// Known reports whether the kind stands in the list.
+// Known reports whether the kind is in the list of kinds; None is not.
 func (k Kind) Known() bool {
-	_, ok := table[k]
+	_, ok := byKind[k]
 	return ok
 }
 
-func (k Kind) row() row {
-	r, ok := table[k]
+// properties returns the properties of the kind, or those of Internal if the kind
+// is not in the list.
+func (k Kind) properties() properties {
+	found, ok := byKind[k]
 	if !ok {
-		return table[Internal]
+		return byKind[Internal]
 	}
-	return r
+	return found
 }
 
-// fault marks an error with its kind. Its text is that of its cause.
-type fault struct {
+// kindError is an error with a kind. Its text is the text of its cause.
+type kindError struct {
 	kind  Kind
 	cause error
 }
 
-func (f *fault) Error() string {
+func (f *kindError) Error() string {
 	return f.cause.Error()
 }
 
-func (f *fault) Unwrap() error {
+func (f *kindError) Unwrap() error {
 	return f.cause
 }
 
-func (f *fault) Is(target error) bool {
+func (f *kindError) Is(target error) bool {
 	return target == f.kind //nolint:errorlint // a kind is compared, not a chain
 }
 
-// New returns an error of a kind.
+// New returns an error of a kind with a formatted text.
 func New(k Kind, format string, args ...any) error {
-	return &fault{kind: k, cause: errors.NewWithDepthf(1, format, args...)}
+	return &kindError{kind: k, cause: errors.NewWithDepthf(1, format, args...)}
 }
 
-// Wrap returns err as an error of a kind, with what was being done.
-func Wrap(k Kind, err error, doing string) error {
-	return &fault{kind: k, cause: errors.WrapWithDepth(1, err, doing)}
+// Wrap returns err as an error of a kind. Its text is prefixed with the operation
+// that failed.
+func Wrap(k Kind, err error, operation string) error {
+	return &kindError{kind: k, cause: errors.WrapWithDepth(1, err, operation)}
 }
 
-// Of returns the kind of an error: the outermost one marked on it, Internal if
-// none is, and None for nil.
+// Of returns the kind of an error: the outermost kind in its chain, Internal if
+// there is none, and None for nil. A kind given by New or Wrap precedes a bare
+// Kind.
 func Of(err error) Kind {
 	if err == nil {
 		return None
 	}
-	var f *fault
+	var f *kindError
 	if errors.As(err, &f) {
 		return f.kind
 	}
--- a/pkg/carobword/word.go
+++ b/pkg/carobword/word.go
@@ -1,16 +1,18 @@
-// Package carobword checks the words that name things: services, targets,
-// nodes, profiles, regions and data centres.
+// Package carobword defines the syntax of the names of services, targets, nodes,
+// profiles, regions and data centres.
 package carobword
 
 import "github.com/carobknot/carobknot/pkg/carobkind"
 
-// MaxLength is the longest word, that of a label in a host name.
+// MaxLength is the maximum length of a name, in bytes: that of a label in a host
+// name.
 const MaxLength = 63
 
-// Word is a name of lower-case letters, digits, dots and dashes.
+// Word is a name of lower-case ASCII letters, digits, dots and dashes.
 type Word string
 
-// Check returns an Invalid error that names the field if the word is not one.
+// Check returns an Invalid error that names the field if the name is empty, too
+// long or has any other character.
 func (w Word) Check(field string) error {
 	if w == "" {
 		return carobkind.New(carobkind.Invalid, "%s: name is empty", field)
@@ -18,14 +20,14 @@
 	if len(w) > MaxLength {
 		return carobkind.New(carobkind.Invalid, "%s: name has more than %d bytes", field, MaxLength)
 	}
-	for _, r := range w {
-		if !isWordRune(r) {
+	for _, char := range w {
+		if !isAllowed(char) {
 			return carobkind.New(carobkind.Invalid, "%s: name %q has a character other than a-z, 0-9, '-' and '.'", field, string(w))
 		}
 	}
 	return nil
 }
 
-func isWordRune(r rune) bool {
-	return r >= 'a' && r <= 'z' || r >= '0' && r <= '9' || r == '-' || r == '.'
+func isAllowed(char rune) bool {
+	return char >= 'a' && char <= 'z' || char >= '0' && char <= '9' || char == '-' || char == '.'
 }
