--- a/pkg/caroblimits/limits.go
+++ b/pkg/caroblimits/limits.go
@@ -1,5 +1,4 @@
-// Package caroblimits holds the bounds of a node's state and of what callers
-// may send.
+// Package caroblimits holds the limits of a node's state and of its callers' calls.
 package caroblimits
 
 import (
@@ -10,37 +9,41 @@
 	"github.com/carobknot/carobknot/pkg/carobspan"
 )
 
-// Limits bounds every table of a node and every message to it.
+// Limits bounds the tables of a node, and the connections and calls of callers.
 type Limits struct {
-	// Calls is the most calls that the node is the entry of at once.
+	// Calls is the maximum number of concurrent calls with this node as entry.
 	Calls int `json:"calls"`
-	// Jobs is the most jobs at the node's own targets, queued ones included.
+	// Jobs is the maximum number of jobs at the node's own targets, running and
+	// queued.
 	Jobs int `json:"jobs"`
-	// Targets is the most targets that the node knows.
+	// Targets is the maximum number of targets in the node's tables.
 	Targets int `json:"targets"`
-	// Peers is the most other nodes that the node knows.
+	// Peers is the maximum number of other nodes in the node's tables.
 	Peers int `json:"peers"`
-	// Conns is the most connections that callers may open.
+	// Conns is the maximum number of open connections of callers.
 	Conns int `json:"conns"`
-	// Cores is how many processor cores the node's goroutines use at once.
+	// Cores is the maximum number of processor cores that run the node's goroutines
+	// at once (GOMAXPROCS).
 	Cores int `json:"cores"`
-	// Header is the longest header of a call.
+	// Header is the maximum size of the header of a call.
 	Header carobsize.Size `json:"header"`
-	// Body is the longest body of a call.
+	// Body is the maximum size of the body of a call.
 	Body carobsize.Size `json:"body"`
-	// Kept is the most bytes of bodies that are kept for another attempt, those
-	// of all calls together. Bodies beyond it are streamed.
+	// Kept is the maximum total size of the bodies of all calls that are
+	// buffered for another attempt. A body beyond it is streamed; a front end
+	// that needs whole bodies refuses the call instead.
 	Kept carobsize.Size `json:"kept"`
-	// Head is how long a caller may take to send the header of a call.
+	// Head is the time-out for receiving the header of a call.
 	Head carobspan.Span `json:"head"`
-	// Stall is how long a body may stand still before it counts as cut.
+	// Stall is the time without progress after which the transfer of a body counts
+	// as cut.
 	Stall carobspan.Span `json:"stall"`
-	// Idle is how long a connection of a caller may be unused.
+	// Idle is how long an unused connection of a caller stays open.
 	Idle carobspan.Span `json:"idle"`
 }
 
-// NewLimits returns the defaults, which suit several times the size of the
-// largest deployment known.
+// NewLimits returns the default limits, which suffice for several times the size of
+// the largest known deployment.
 func NewLimits() Limits {
 	return Limits{
 		Calls:   20_000,
@@ -58,9 +61,9 @@
 	}
 }
 
-// Check tells whether all limits are positive.
+// Check returns an Invalid error that names the first limit below 1.
 func (l Limits) Check() error {
-	for _, f := range []struct {
+	for _, limit := range []struct {
 		key   string
 		value int64
 	}{
@@ -77,8 +80,8 @@
 		{"stall", int64(l.Stall)},
 		{"idle", int64(l.Idle)},
 	} {
-		if f.value < 1 {
-			return carobkind.New(carobkind.Invalid, "limits.%s: must be at least 1", f.key)
+		if limit.value < 1 {
+			return carobkind.New(carobkind.Invalid, "limits.%s: must be at least 1", limit.key)
 		}
 	}
 	return nil
--- a/pkg/carobprofile/document_test.go
+++ b/pkg/carobprofile/document_test.go
@@ -11,7 +11,8 @@
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 )
 
-// The page for operators names each key with its default.
+// Guards against a key or default of a profile that the operators' page
+// docs/PROFILES.md does not have.
 func TestPageHasAllKeysAndDefaults(t *testing.T) {
 	page, err := os.ReadFile("../../docs/PROFILES.md")
 	require.NoError(t, err)
@@ -20,7 +21,7 @@
 	var defaults map[string]json.RawMessage
 	require.NoError(t, json.Unmarshal(data, &defaults))
 	for key, value := range defaults {
-		shown := string(value)
+		defaultText := string(value)
 		switch key {
 		case "name":
 			require.Contains(t, string(page), "\n| `name` | none, needed |")
@@ -29,8 +30,8 @@
 			require.Contains(t, string(page), "\n| `base` | the revision in force |")
 			continue
 		case "keep":
-			shown = `"64KiB"`
+			defaultText = `"64KiB"`
 		}
-		require.Contains(t, string(page), fmt.Sprintf("\n| `%s` | `%s` |", key, shown))
+		require.Contains(t, string(page), fmt.Sprintf("\n| `%s` | `%s` |", key, defaultText))
 	}
 }
--- a/pkg/carobprofile/profile.go
+++ b/pkg/carobprofile/profile.go
@@ -1,5 +1,5 @@
-// Package carobprofile holds routing profiles: what operators publish and
-// services pick.
+// Package carobprofile holds routing profiles, which operators publish and services
+// select by name.
 package carobprofile
 
 import (
@@ -15,42 +15,48 @@
 	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
-// Profile says how calls of the services that pick it are routed.
+// Profile holds the routing rules for the calls of the services that select it.
 type Profile struct {
-	// Name is how services pick the profile.
+	// Name is the name by which services select the profile.
 	Name carobword.Word `json:"name"`
-	// Base is the revision that the change was made from.
+	// Base is the revision that this change replaces, or None for a new
+	// profile. The change has no effect if another revision is in force.
 	Base caroboffset.Offset `json:"base"`
-	// Policy names the rule that picks a target.
+	// Policy is the name of the policy that chooses a target.
 	Policy carobword.Word `json:"policy"`
-	// Spread is how many targets of a service a node keeps in view, at least 1.
+	// Spread is the size of the subset of a service's targets that each entry node
+	// uses, at least 1.
 	Spread int `json:"spread"`
-	// Deadline is the time that a call has if its caller names none.
+	// Deadline is the time until the deadline of a call whose caller sets none.
 	Deadline carobspan.Span `json:"deadline"`
-	// Tries is how many attempts a call has before it waits for room, at least 1.
+	// Tries is the number of attempts of a call before it waits for a free slot, at
+	// least 1.
 	Tries int `json:"tries"`
 	// Hedge is the quantile of latency after which a call that may run more than
-	// once is tried a second time; 0 is never.
+	// once gets a second, concurrent attempt; 0 disables hedging.
 	Hedge carobshare.Share `json:"hedge"`
-	// Queue is how many calls may wait before each target, at least 0.
+	// Queue is the maximum number of calls queued for each target, at least 0.
 	Queue int `json:"queue"`
-	// Once says how often a call may run.
+	// Once is the limit on how often a call may run.
 	Once carobonce.Once `json:"once"`
-	// Measure is the age at which a report of load is asked for anew; 0 is never.
+	// Measure is the age of a load report at which the target is probed again; 0
+	// disables it.
 	Measure carobspan.Span `json:"measure"`
-	// Eject is the error rate above that of the other targets at which a target
-	// gets no more calls for a while; 0 is never.
+	// Eject is how far the error rate of a target must exceed that of the other
+	// targets for it to be ejected for a while; 0 disables ejection.
 	Eject carobshare.Share `json:"eject"`
-	// Near is the load of the own data centre's targets above which calls go to
-	// other data centres.
+	// Near is a load, as a share of a target's slots. Calls stay in the entry node's
+	// data centre while one of its targets is loaded below Near, and may go to any
+	// data centre otherwise; 0 disables the preference.
 	Near carobshare.Share `json:"near"`
-	// Keep is the longest body that is kept for another attempt.
+	// Keep is the maximum size of a body that is buffered for another attempt.
 	Keep carobsize.Size `json:"keep"`
-	// Refuse says that a target's 503 proves that the call did not run.
+	// Refuse is true if a response with status 503 from a target means that the
+	// call did not run.
 	Refuse bool `json:"refuse"`
 }
 
-// Bounds of the fields.
+// Upper bounds of the fields.
 const (
 	MaxSpread   = 64
 	MaxTries    = 10
@@ -60,7 +66,7 @@
 	MaxMeasure  = carobspan.Span(time.Minute)
 )
 
-// NewProfile returns a profile with the defaults.
+// NewProfile returns a profile with the default rules.
 func NewProfile(name carobword.Word) Profile {
 	return Profile{
 		Name:     name,
@@ -79,21 +85,22 @@
 	}
 }
 
-// UnmarshalJSON decodes a profile over the defaults and checks it.
+// UnmarshalJSON decodes a profile; absent fields get their defaults. It returns an
+// Invalid error if the text cannot be decoded or a field is out of bounds.
 func (p *Profile) UnmarshalJSON(text []byte) error {
-	type plain Profile
-	pr := plain(NewProfile(""))
-	if err := json.Unmarshal(text, &pr); err != nil {
+	type fields Profile
+	decoded := fields(NewProfile(""))
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "decode profile")
 	}
-	if err := Profile(pr).Check(); err != nil {
+	if err := Profile(decoded).Check(); err != nil {
 		return err
 	}
-	*p = Profile(pr)
+	*p = Profile(decoded)
 	return nil
 }
 
-// Check tells whether all fields are within their bounds.
+// Check returns an Invalid error that names the first field out of bounds.
 func (p Profile) Check() error {
 	if err := p.Name.Check("name"); err != nil {
 		return err
@@ -105,7 +112,7 @@
 	case p.Base < caroboffset.None:
 		return carobkind.New(carobkind.Invalid, "base: %d is not between %d and the newest revision", p.Base, caroboffset.None)
 	case p.Deadline <= 0 || p.Deadline > MaxDeadline:
-		return carobkind.New(carobkind.Invalid, "deadline: %s is not longer than 0s and at most %s", p.Deadline, MaxDeadline)
+		return carobkind.New(carobkind.Invalid, "deadline: %s must be longer than 0s and at most %s", p.Deadline, MaxDeadline)
 	case p.Measure > MaxMeasure:
 		return carobkind.New(carobkind.Invalid, "measure: %s is more than %s", p.Measure, MaxMeasure)
 	case p.Keep < 0 || p.Keep > MaxKeep:
@@ -114,8 +121,9 @@
 	return p.checkCounts()
 }
 
+// checkCounts checks the fields that are numbers of things.
 func (p Profile) checkCounts() error {
-	for _, f := range []struct {
+	for _, field := range []struct {
 		key         string
 		value       int
 		least, most int
@@ -124,8 +132,8 @@
 		{"tries", p.Tries, 1, MaxTries},
 		{"queue", p.Queue, 0, MaxQueue},
 	} {
-		if f.value < f.least || f.value > f.most {
-			return carobkind.New(carobkind.Invalid, "%s: %d is not between %d and %d", f.key, f.value, f.least, f.most)
+		if field.value < field.least || field.value > field.most {
+			return carobkind.New(carobkind.Invalid, "%s: %d is not between %d and %d", field.key, field.value, field.least, field.most)
 		}
 	}
 	return nil
--- a/pkg/carobprofile/profile_test.go
+++ b/pkg/carobprofile/profile_test.go
@@ -10,22 +10,26 @@
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 )
 
-func TestDefaults(t *testing.T) {
-	var pf carobprofile.Profile
-	require.NoError(t, json.Unmarshal([]byte(`{"name": "rota"}`), &pf))
-	require.Equal(t, carobprofile.NewProfile("rota"), pf)
+// Guards against zero values for fields that a published profile leaves out.
+func TestAbsentFieldsGetDefaults(t *testing.T) {
+	var profile carobprofile.Profile
+	require.NoError(t, json.Unmarshal([]byte(`{"name": "rota"}`), &profile))
+	require.Equal(t, carobprofile.NewProfile("rota"), profile)
 }
 
-func TestProfileSurvivesTheLog(t *testing.T) {
-	pf := carobprofile.NewProfile("rota")
-	data, err := json.Marshal(pf)
+// Guards against a field that changes between publishing a profile and reading it
+// from the log.
+func TestProfileRoundTripsThroughJSON(t *testing.T) {
+	profile := carobprofile.NewProfile("rota")
+	data, err := json.Marshal(profile)
 	require.NoError(t, err)
-	var again carobprofile.Profile
-	require.NoError(t, json.Unmarshal(data, &again))
-	require.Equal(t, pf, again)
+	var decoded carobprofile.Profile
+	require.NoError(t, json.Unmarshal(data, &decoded))
+	require.Equal(t, profile, decoded)
 }
 
-func TestBadValuesAreRefused(t *testing.T) {
+// Guards against a profile in the log with values that nodes cannot use.
+func TestInvalidValuesAreRejected(t *testing.T) {
 	for _, field := range []string{
 		`"name": ""`, `"name": "Rota"`, `"name": 1`, `"base": -2`, `"base": "x"`, `"policy": ""`,
 		`"spread": 0`, `"spread": 65`, `"deadline": "0s"`, `"deadline": "2h"`, `"deadline": 5`, `"deadline": "-1s"`,
@@ -34,8 +38,8 @@
 		`"keep": "17MiB"`, `"keep": 5`, `"refuse": "yes"`,
 	} {
 		t.Run(field, func(t *testing.T) {
-			var pf carobprofile.Profile
-			err := json.Unmarshal([]byte(`{"name": "rota", `+field+`}`), &pf)
+			var profile carobprofile.Profile
+			err := json.Unmarshal([]byte(`{"name": "rota", `+field+`}`), &profile)
 			require.ErrorIs(t, err, carobkind.Invalid)
 		})
 	}
