--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -48,7 +48,7 @@
 	Identity(rs *fasthttp.Response) (carobword.Word, int)
 	// Judge reads what an answer says besides: None if it is the target's answer to
 	// the call, or why it is not; and the target's load, or nil.
-	Judge(rs *fasthttp.Response) (carobkind.Kind, *carobpressure.Pressure)
+	Judge(rs *fasthttp.Response) (carobkind.Kind, *carobpressure.TargetLoad)
 }
 
 // Config is how an admitter is made.
--- a/internal/carobadmitter/check.go
+++ b/internal/carobadmitter/check.go
@@ -24,7 +24,7 @@
 }
 
 // ask returns what the target tells of its load, or nil if it does not answer.
-func (a *Admitter) ask(ck carobcheck.Check) *carobpressure.Pressure {
+func (a *Admitter) ask(ck carobcheck.Check) *carobpressure.TargetLoad {
 	an, err := a.health(context.Background(), ck.Address, checkPatience)
 	if err != nil {
 		return nil
@@ -32,5 +32,5 @@
 	if _, pressure := a.config.Dialect.Judge(an.Response); pressure != nil {
 		return pressure
 	}
-	return &carobpressure.Pressure{}
+	return &carobpressure.TargetLoad{}
 }
--- a/internal/carobadmitter/native.go
+++ b/internal/carobadmitter/native.go
@@ -35,6 +35,6 @@
 func (native) Identity(*fasthttp.Response) (carobword.Word, int) { return "", 0 }
 
 // Judge takes every answer for the call's.
-func (native) Judge(*fasthttp.Response) (carobkind.Kind, *carobpressure.Pressure) {
+func (native) Judge(*fasthttp.Response) (carobkind.Kind, *carobpressure.TargetLoad) {
 	return carobkind.None, nil
 }
--- a/internal/carobbench/bench_test.go
+++ b/internal/carobbench/bench_test.go
@@ -21,7 +21,7 @@
 		require.NoError(t, err)
 		var pf carobprofile.Profile
 		require.NoError(t, json.Unmarshal(data, &pf), vr.name)
-		require.True(t, carobrouting.Known(pf.Policy), vr.name)
+		require.True(t, carobrouting.HasPolicy(pf.Policy), vr.name)
 		require.EqualValues(t, 7, pf.Base)
 		names[vr.name] = true
 	}
--- a/internal/carobcommand/check.go
+++ b/internal/carobcommand/check.go
@@ -46,7 +46,7 @@
 	if err := dc.Decode(&pf); err != nil {
 		return pf, false, err
 	}
-	if !carobrouting.Known(pf.Policy) {
+	if !carobrouting.HasPolicy(pf.Policy) {
 		return pf, false, dc.Refuse(carobkind.New(carobkind.Invalid, "policy: there is no policy %q", string(pf.Policy)))
 	}
 	return pf, dc.Has("base"), nil
--- a/internal/carobcommand/emulate.go
+++ b/internal/carobcommand/emulate.go
@@ -40,7 +40,7 @@
 			sc.Profile.Policy = carobword.Word(*policy)
 		}
 		if *checks >= 0 {
-			sc.Measure.Checks = *checks
+			sc.Measure.ChecksPerSecond = *checks
 		}
 		if *queue >= 0 {
 			sc.Profile.Queue = *queue
--- a/internal/carobdemo/parts.go
+++ b/internal/carobdemo/parts.go
@@ -86,7 +86,7 @@
 	st := carobsettings.Settings{
 		Name: carobnodeid.ID(fmt.Sprintf("node%d", i)), Region: "demo", Centre: "loopback",
 		Call: any0, Peer: any0, Admin: any0, Log: log,
-		Measure: carobmeasure.NewMeasure(), Limits: caroblimits.NewLimits(),
+		Measure: carobmeasure.NewProbeLimits(), Limits: caroblimits.NewLimits(),
 	}
 	nd, err := carobnode.NewNode(cx, carobnode.Config{Settings: st, Logger: d.logger})
 	if err != nil {
--- a/internal/carobemulator/emulator.go
+++ b/internal/carobemulator/emulator.go
@@ -39,19 +39,19 @@
 	// places finds nodes by their addresses, and homes by their names.
 	places map[carobaddress.Address]int
 	homes  map[carobnodeid.ID]int
-	routes *carobroutes.Routes
+	routes *carobroutes.RouteTable
 	// sources are when the next call of each kind comes from outside.
-	sources *carobagenda.Agenda[int]
+	sources *carobagenda.Schedule[int]
 	// letters are on their way to nodes; mail has when they arrive.
 	letters *carobtable.Table[uint64, letter]
-	mail    *carobagenda.Agenda[uint64]
+	mail    *carobagenda.Schedule[uint64]
 	// visits are the calls that callers wait for; returns has when callers come back
 	// that were refused.
 	visits  *carobtable.Table[uint64, visit]
-	returns *carobagenda.Agenda[uint64]
+	returns *carobagenda.Schedule[uint64]
 	// jobs run at targets; work has when their next step is due.
 	jobs *carobtable.Table[carobjobid.ID, job]
-	work *carobagenda.Agenda[carobjobid.ID]
+	work *carobagenda.Schedule[carobjobid.ID]
 	// count numbers letters and visits.
 	count     uint64
 	summaries []*carobsummary.Summary
@@ -78,10 +78,10 @@
 	e := &Emulator{
 		scenario: c.Scenario, random: rand.New(rand.NewPCG(c.Seed, stream)), //nolint:gosec // a run must repeat under a seed
 		now: begin, places: map[carobaddress.Address]int{}, homes: map[carobnodeid.ID]int{},
-		sources: carobagenda.NewAgenda[int](),
-		letters: carobtable.NewTable[uint64, letter](carobtable.Config{Limit: rows}), mail: carobagenda.NewAgenda[uint64](),
-		visits: carobtable.NewTable[uint64, visit](carobtable.Config{Limit: rows}), returns: carobagenda.NewAgenda[uint64](),
-		jobs: carobtable.NewTable[carobjobid.ID, job](carobtable.Config{Limit: rows}), work: carobagenda.NewAgenda[carobjobid.ID](),
+		sources: carobagenda.NewSchedule[int](),
+		letters: carobtable.NewTable[uint64, letter](carobtable.Config{Limit: rows}), mail: carobagenda.NewSchedule[uint64](),
+		visits: carobtable.NewTable[uint64, visit](carobtable.Config{Limit: rows}), returns: carobagenda.NewSchedule[uint64](),
+		jobs: carobtable.NewTable[carobjobid.ID, job](carobtable.Config{Limit: rows}), work: carobagenda.NewSchedule[carobjobid.ID](),
 	}
 	var routes []carobroute.Route
 	for i := range e.scenario.Kinds {
@@ -93,7 +93,7 @@
 		}
 	}
 	var err error
-	if e.routes, err = carobroutes.NewRoutes(1, routes); err != nil {
+	if e.routes, err = carobroutes.NewRouteTable(1, routes); err != nil {
 		return nil, err
 	}
 	e.addNodes()
@@ -120,8 +120,8 @@
 
 // next returns the instant at which something is due.
 func (e *Emulator) next() carobinstant.Instant {
-	at := carobinstant.Earlier(e.sources.Next(), e.returns.Next())
-	at = carobinstant.Earlier(at, carobinstant.Earlier(e.mail.Next(), e.work.Next()))
+	at := carobinstant.Earlier(e.sources.NextDue(), e.returns.NextDue())
+	at = carobinstant.Earlier(at, carobinstant.Earlier(e.mail.NextDue(), e.work.NextDue()))
 	for _, n := range e.nodes {
 		at = carobinstant.Earlier(at, n.due)
 	}
@@ -166,8 +166,8 @@
 func route(sc carobscenario.Scenario, i int) carobroute.Route {
 	kd := &sc.Kinds[i]
 	return carobroute.Route{
-		Name: kd.Name, Host: host(i), Prefix: "/", Once: kd.Once, Tries: tries, Timeout: kd.Timeout, Slo: kd.Slo,
-		Rank: kd.Rank, Split: parts(kd.Service),
+		Name: kd.Name, Host: host(i), Prefix: "/", Guarantee: kd.Once, Attempts: tries, Timeout: kd.Timeout, SLO: kd.Slo,
+		Priority: kd.Rank, WeightedServices: parts(kd.Service),
 	}
 }
 
--- a/internal/carobemulator/emulator_test.go
+++ b/internal/carobemulator/emulator_test.go
@@ -57,7 +57,7 @@
 func TestCallersGetMoreWhenJobsWaitForTheirVM(t *testing.T) {
 	for seed := range uint64(3) {
 		blind := noisy(t)
-		blind.Measure.Checks = 0
+		blind.Measure.ChecksPerSecond = 0
 		before, after := play(t, blind, seed), play(t, noisy(t), seed)
 		for _, kind := range []string{"lookup", "payout"} {
 			require.Greater(t, good(after[kind]), good(before[kind])+0.05, "%s, seed %d", kind, seed)
--- a/internal/carobemulator/node.go
+++ b/internal/carobemulator/node.go
@@ -59,8 +59,8 @@
 	status map[carobjobid.ID]int
 }
 
-func parts(service carobservice.Service) []carobpart.Part {
-	return []carobpart.Part{{Service: service, Weight: 1}}
+func parts(service carobservice.Service) []carobpart.WeightedService {
+	return []carobpart.WeightedService{{Service: service, Weight: 1}}
 }
 
 // addNodes starts a node beside each target.
@@ -97,7 +97,7 @@
 		},
 		Seeds: known, Profiles: []carobprofile.Profile{e.scenario.Profile}, Silence: forever, Untraced: true,
 	})
-	n.inbox.Routes = []*carobroutes.Routes{e.routes}
+	n.inbox.Routes = []*carobroutes.RouteTable{e.routes}
 	n.inbox.Announcements = []carobannouncement.Announcement{{
 		Target: n.target.id, Address: peer, Profile: e.scenario.Profile.Name, Slots: slots, Conns: slots,
 		State: carobreadiness.Ready,
--- a/internal/carobemulator/target.go
+++ b/internal/carobemulator/target.go
@@ -56,8 +56,8 @@
 	return 1
 }
 
-func (e *Emulator) pressure(n *node) *carobpressure.Pressure {
-	return &carobpressure.Pressure{Running: n.target.running, Slots: n.target.slots, Slowness: e.slowness(&n.target)}
+func (e *Emulator) pressure(n *node) *carobpressure.TargetLoad {
+	return &carobpressure.TargetLoad{Running: n.target.running, Slots: n.target.slots, Slowness: e.slowness(&n.target)}
 }
 
 // start runs a job.
--- a/internal/carobfollower/follower.go
+++ b/internal/carobfollower/follower.go
@@ -21,7 +21,7 @@
 type source interface {
 	// Routes returns the newest table once there is one that was not returned
 	// before, or nil if there is none for as long as wait.
-	Routes(cx context.Context, wait time.Duration) (*carobroutes.Routes, error)
+	Routes(cx context.Context, wait time.Duration) (*carobroutes.RouteTable, error)
 }
 
 // Config is how a follower is made.
--- a/internal/carobfollower/follower_test.go
+++ b/internal/carobfollower/follower_test.go
@@ -21,10 +21,10 @@
 type source struct {
 	reads   chan time.Duration
 	answers chan error
-	table   *carobroutes.Routes
+	table   *carobroutes.RouteTable
 }
 
-func (s *source) Routes(cx context.Context, wait time.Duration) (*carobroutes.Routes, error) {
+func (s *source) Routes(cx context.Context, wait time.Duration) (*carobroutes.RouteTable, error) {
 	s.reads <- wait
 	select {
 	case err := <-s.answers:
@@ -38,7 +38,7 @@
 }
 
 func TestFollowerReadsWhileItIsWanted(t *testing.T) {
-	table, err := carobroutes.NewRoutes(1, nil)
+	table, err := carobroutes.NewRouteTable(1, nil)
 	require.NoError(t, err)
 	timer, mailbox := carobtimer.NewTimer(), carobmailbox.NewMailbox()
 	go timer.Run(t.Context())
--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -65,12 +65,12 @@
 	Check(rq *fasthttp.Request, address carobaddress.Address)
 	Identity(rs *fasthttp.Response) (carobword.Word, int)
 	Mine(rq *fasthttp.Request, rs *fasthttp.Response) bool
-	Judge(rs *fasthttp.Response) (carobkind.Kind, *carobpressure.Pressure)
+	Judge(rs *fasthttp.Response) (carobkind.Kind, *carobpressure.TargetLoad)
 }
 
 // store is where a platform keeps route tables and lets nodes find each other.
 type store interface {
-	Routes(cx context.Context, wait time.Duration) (*carobroutes.Routes, error)
+	Routes(cx context.Context, wait time.Duration) (*carobroutes.RouteTable, error)
 	Enrol(cx context.Context, node carobnodeid.ID, word []byte) error
 	Words(cx context.Context) ([][]byte, error)
 }
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -29,7 +29,7 @@
 	// Noise is how the VMs' neighbours take their processors.
 	Noise noise `json:"noise"`
 	// Measure, Retries and Profile are what nodes go by.
-	Measure carobmeasure.Measure `json:"measure"`
+	Measure carobmeasure.ProbeLimits `json:"measure"`
 	Retries carobretries.Retries `json:"retries"`
 	Profile carobprofile.Profile `json:"profile"`
 	// Services has at least one.
@@ -90,7 +90,7 @@
 	pf := carobprofile.NewProfile("emulated")
 	pf.Hedge, pf.Near, pf.Policy = 0, 0, "local"
 	return Scenario{
-		Centres: []carobcentre.Centre{centre}, Measure: carobmeasure.NewMeasure(), Retries: carobretries.NewRetries(), Profile: pf,
+		Centres: []carobcentre.Centre{centre}, Measure: carobmeasure.NewProbeLimits(), Retries: carobretries.NewRetries(), Profile: pf,
 	}
 }
 
--- a/internal/carobsettings/settings.go
+++ b/internal/carobsettings/settings.go
@@ -38,7 +38,7 @@
 	Log string `json:"log"`
 	// Seeds are peer addresses of other nodes to begin with. May be empty.
 	Seeds   []carobaddress.Address `json:"seeds"`
-	Measure carobmeasure.Measure   `json:"measure"`
+	Measure carobmeasure.ProbeLimits   `json:"measure"`
 	// Retries bounds what is sent again.
 	Retries carobretries.Retries `json:"retries"`
 	// Silence is how long a target may go without an announcement.
@@ -57,7 +57,7 @@
 // NewSettings returns the defaults.
 func NewSettings() Settings {
 	return Settings{
-		Measure: carobmeasure.NewMeasure(), Retries: carobretries.NewRetries(), Limits: caroblimits.NewLimits(),
+		Measure: carobmeasure.NewProbeLimits(), Retries: carobretries.NewRetries(), Limits: caroblimits.NewLimits(),
 		Silence: carobspan.Span(3 * time.Second), Grace: carobspan.Span(time.Minute),
 	}
 }
@@ -105,8 +105,8 @@
 	if at, err := url.Parse(s.Log); err != nil || at.Scheme != "http" && at.Scheme != "https" || at.Host == "" {
 		return carobkind.New(carobkind.Invalid, "log: %q is not a URL such as \"http://127.0.0.1:7100\"", s.Log)
 	}
-	if s.Measure.Checks < 0 {
-		return carobkind.New(carobkind.Invalid, "measure: checks: %d is below 0", s.Measure.Checks)
+	if s.Measure.ChecksPerSecond < 0 {
+		return carobkind.New(carobkind.Invalid, "measure: checks: %d is below 0", s.Measure.ChecksPerSecond)
 	}
 	return s.Limits.Check()
 }
--- a/internal/carobsettings/settings_test.go
+++ b/internal/carobsettings/settings_test.go
@@ -28,8 +28,8 @@
 	st, err := carobsettings.Parse("node.json", []byte(good))
 	require.NoError(t, err)
 	require.EqualValues(t, "first", st.Name)
-	require.InDelta(t, 1024, float64(st.Measure.Rate), 0)
-	require.InDelta(t, 0.01, float64(st.Measure.Share), 1e-9, "keys that are left out have their defaults")
+	require.InDelta(t, 1024, float64(st.Measure.BytesPerSecond), 0)
+	require.InDelta(t, 0.01, float64(st.Measure.CPUShare), 1e-9, "keys that are left out have their defaults")
 	require.Equal(t, 10, st.Limits.Calls)
 	require.Equal(t, 4000, st.Limits.Peers)
 }
--- a/internal/carobstatus/status.go
+++ b/internal/carobstatus/status.go
@@ -101,10 +101,10 @@
 	for name, rv := range w.Profiles.All() {
 		st.Profiles = append(st.Profiles, profile{Name: name, Offset: rv.Offset, Who: rv.Change.Who})
 	}
-	if bk := w.Buckets.Get(carobprobing.Bytes); bk != nil {
+	if bk := w.Buckets.Get(carobprobing.BytesBucket); bk != nil {
 		st.Measured.Bytes, st.Measured.Denied = bk.Spent, bk.Denied
 	}
-	if bk := w.Buckets.Get(carobprobing.Time); bk != nil {
+	if bk := w.Buckets.Get(carobprobing.CPUTimeBucket); bk != nil {
 		st.Measured.Seconds = bk.Spent
 	}
 	for _, bg := range w.Budgets.All() {
@@ -117,17 +117,17 @@
 }
 
 func describeTarget(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, tg *carobtarget.Target) target {
-	ds := target{ID: id, Node: tg.Node, Profile: tg.Profile, State: tg.State, Slots: tg.Slots}
+	ds := target{ID: id, Node: tg.Node, Profile: tg.Profile, State: tg.Readiness, Slots: tg.Slots}
 	ld := w.Loads.Get(id)
-	ds.Ejected = ld != nil && ld.Ejected != carobinstant.Never
+	ds.Ejected = ld != nil && ld.EjectionEnd != carobinstant.Never
 	if gt := w.Gates.Get(id); gt != nil && w.Owns(tg) {
 		ds.Running, ds.Queued, ds.Latency, ds.Known = gt.Running, gt.Queued, carobspan.Span(gt.Latency), true
 		return ds
 	}
-	if ld == nil || ld.At == carobinstant.Never {
+	if ld == nil || ld.ReportedAt == carobinstant.Never {
 		return ds
 	}
 	ds.Running, ds.Queued, ds.Latency = ld.Report.Running, ld.Report.Queued, ld.Report.Latency
-	ds.Age, ds.Known = carobspan.Span(now.Sub(ld.At)), true
+	ds.Age, ds.Known = carobspan.Span(now.Sub(ld.ReportedAt)), true
 	return ds
 }
--- a/internal/carobtimer/timer.go
+++ b/internal/carobtimer/timer.go
@@ -17,7 +17,7 @@
 	start time.Time
 	mutex sync.Mutex
 	// agenda has the subscriptions that are due some time.
-	agenda *carobagenda.Agenda[*subscription]
+	agenda *carobagenda.Schedule[*subscription]
 	// rung tells the timer's goroutine that another subscription is due first. It holds
 	// one element, so that ringing never blocks.
 	rung chan struct{}
@@ -31,7 +31,7 @@
 // NewTimer returns a timer. It wakes nobody before Run.
 func NewTimer() *Timer {
 	return &Timer{
-		start: time.Now(), agenda: carobagenda.NewAgenda[*subscription](), rung: make(chan struct{}, 1),
+		start: time.Now(), agenda: carobagenda.NewSchedule[*subscription](), rung: make(chan struct{}, 1),
 	}
 }
 
@@ -100,14 +100,14 @@
 	if sb, ok := t.agenda.Pop(t.Now()); ok {
 		return sb.call, carobinstant.Never
 	}
-	return nil, t.agenda.Next()
+	return nil, t.agenda.NextDue()
 }
 
 func (t *Timer) set(sb *subscription, at carobinstant.Instant) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.agenda.Set(sb, at)
-	if first, ok := t.agenda.First(); !ok || first != sb {
+	if first, ok := t.agenda.Peek(); !ok || first != sb {
 		return
 	}
 	select {
--- a/internal/carobtransport/cost_test.go
+++ b/internal/carobtransport/cost_test.go
@@ -82,6 +82,6 @@
 		require.True(t, ok)
 		require.Len(t, in.Messages, 1)
 	}
-	require.Less(t, float64(bytes.Load()), messages*carobprobing.Price(w, target))
-	t.Logf("%d bytes a message, priced at %.0f", bytes.Load()/messages, carobprobing.Price(w, target))
+	require.Less(t, float64(bytes.Load()), messages*carobprobing.MessageBytes(w, target))
+	t.Logf("%d bytes a message, priced at %.0f", bytes.Load()/messages, carobprobing.MessageBytes(w, target))
 }
--- a/pkg/carobadmission/slowness.go
+++ b/pkg/carobadmission/slowness.go
@@ -98,7 +98,7 @@
 // checkTimeout, or if the check budget is spent and there is no slow reading younger
 // than maxReadingGap.
 func mayStart(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target, gt *carobgate.Gate) bool {
-	rate := float64(w.Measure.Checks)
+	rate := float64(w.Measure.ChecksPerSecond)
 	if rate == 0 || gt.QuietUntil != carobinstant.Never && !gt.QuietUntil.Reached(now) {
 		return true
 	}
@@ -115,7 +115,7 @@
 		return due.Reached(now)
 	}
 	gt.Checks.Fill(now, rate, checkBurst*rate)
-	if !gt.Checks.Spend(1) {
+	if !gt.Checks.Take(1) {
 		w.WakeAt(now.Add(maxSlowReadingAge))
 		return !isSlow(gt) || now.Sub(gt.Told) >= maxReadingGap
 	}
@@ -128,7 +128,7 @@
 // refuseMovable refuses the queued jobs that can move to another target while this
 // target's VM is slow, because another target may run them sooner.
 func refuseMovable(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobgate.Gate) {
-	if w.Measure.Checks == 0 || !isSlow(gt) || now.Sub(gt.Told) > maxSlowReadingAge {
+	if w.Measure.ChecksPerSecond == 0 || !isSlow(gt) || now.Sub(gt.Told) > maxSlowReadingAge {
 		return
 	}
 	for _, jb := range w.Jobs.All() {
--- a/pkg/carobadmission/slowness_test.go
+++ b/pkg/carobadmission/slowness_test.go
@@ -18,7 +18,7 @@
 // second ago.
 func newCheckedRig(slots, queue int) *rig {
 	r := newRig(slots, queue)
-	r.world.Measure.Checks = 40
+	r.world.Measure.ChecksPerSecond = 40
 	r.completeCheck(1)
 	r.step(time.Second, carobinbox.Inbox{})
 	return r
@@ -28,7 +28,7 @@
 // many jobs the step started.
 func (r *rig) completeCheck(slowness float64) int {
 	r.step(time.Millisecond, carobinbox.Inbox{Healths: []carobhealth.Health{
-		{Target: target, Pressure: &carobpressure.Pressure{Slots: 12, Slowness: slowness}},
+		{Target: target, Pressure: &carobpressure.TargetLoad{Slots: 12, Slowness: slowness}},
 	}})
 	return len(r.world.Outbox.Starts)
 }
@@ -96,7 +96,7 @@
 		play func(t *testing.T, r *rig)
 	}{
 		{"no checks allowed", func(_ *testing.T, r *rig) {
-			r.world.Measure.Checks = 0
+			r.world.Measure.ChecksPerSecond = 0
 			r.offer(wish(1, usualSlo))
 		}},
 		{"the target reports no slowness", func(_ *testing.T, r *rig) {
@@ -127,7 +127,7 @@
 // Guards against a first job that starts before any slowness reading exists.
 func TestTargetIsCheckedBeforeFirstJob(t *testing.T) {
 	r := newRig(4, 4)
-	r.world.Measure.Checks = 40
+	r.world.Measure.ChecksPerSecond = 40
 	r.offer(wish(1, usualSlo))
 	require.Empty(t, r.world.Outbox.Starts)
 	require.Equal(t, 1, r.completeCheck(1))
--- a/pkg/carobadmission/system.go
+++ b/pkg/carobadmission/system.go
@@ -131,7 +131,7 @@
 		return carobkind.Stale
 	case w.Paused, carobfencing.Fenced(w, of.Job):
 		return carobkind.Withdrawn
-	case w.Stopping, tg.State == carobreadiness.Leaving:
+	case w.Stopping, tg.Readiness == carobreadiness.Leaving:
 		return carobkind.Leaving
 	case of.Patience <= 0:
 		return carobkind.Late
@@ -231,7 +231,7 @@
 		if jb.Started != carobinstant.Never {
 			continue
 		}
-		if tg := w.Targets.Get(jb.Offer.Target); tg == nil || tg.State == carobreadiness.Leaving {
+		if tg := w.Targets.Get(jb.Offer.Target); tg == nil || tg.Readiness == carobreadiness.Leaving {
 			carobfencing.Withdraw(w, jb, carobkind.Leaving)
 			continue
 		}
--- a/pkg/carobadmission/urgency_test.go
+++ b/pkg/carobadmission/urgency_test.go
@@ -44,7 +44,7 @@
 	pf := carobprofile.NewProfile("p")
 	pf.Queue = queue
 	w.Profiles.Put("p", carobrevision.Revision{Change: carobchange.Change{Profile: pf}})
-	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: slots, State: carobreadiness.Ready})
+	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: slots, Readiness: carobreadiness.Ready})
 	w.Gates.Put(target, carobgate.Gate{Slots: slots, Limit: slots})
 	return &rig{world: w, system: carobadmission.NewSystem(), now: carobinstant.Instant(time.Hour)}
 }
@@ -68,7 +68,7 @@
 // finish steps with the end of a job and returns the jobs that the step started.
 func (r *rig) finish(job carobjobid.ID, slowness float64) []carobjobid.ID {
 	r.step(time.Millisecond, carobinbox.Inbox{Finishes: []carobfinish.Finish{
-		{Job: job, Status: 200, Pressure: &carobpressure.Pressure{Slots: 12, Slowness: slowness}},
+		{Job: job, Status: 200, Pressure: &carobpressure.TargetLoad{Slots: 12, Slowness: slowness}},
 	}})
 	var started []carobjobid.ID
 	for _, st := range r.world.Outbox.Starts {
--- a/pkg/carobagenda/agenda.go
+++ b/pkg/carobagenda/agenda.go
@@ -11,19 +11,19 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
-// Agenda has one instant for each key. It belongs to one goroutine.
-type Agenda[K comparable] struct {
+// Schedule has one instant for each key. It belongs to one goroutine.
+type Schedule[K comparable] struct {
 	entries entryHeap[K]
 }
 
-// NewAgenda returns an empty agenda.
-func NewAgenda[K comparable]() *Agenda[K] {
-	return &Agenda[K]{entries: entryHeap[K]{indices: map[K]int{}}}
+// NewSchedule returns an empty agenda.
+func NewSchedule[K comparable]() *Schedule[K] {
+	return &Schedule[K]{entries: entryHeap[K]{indices: map[K]int{}}}
 }
 
 // Set sets or replaces the instant at which a key is due. Never removes the
 // key.
-func (a *Agenda[K]) Set(key K, at carobinstant.Instant) {
+func (a *Schedule[K]) Set(key K, at carobinstant.Instant) {
 	index, ok := a.entries.indices[key]
 	switch {
 	case ok && at == carobinstant.Never:
@@ -36,8 +36,8 @@
 	}
 }
 
-// Next returns the earliest instant, or Never if the agenda is empty.
-func (a *Agenda[K]) Next() carobinstant.Instant {
+// NextDue returns the earliest instant, or Never if the agenda is empty.
+func (a *Schedule[K]) NextDue() carobinstant.Instant {
 	if len(a.entries.list) == 0 {
 		return carobinstant.Never
 	}
@@ -46,17 +46,17 @@
 
 // Pop removes and returns the key with the earliest instant. It returns false
 // if no key is due at now.
-func (a *Agenda[K]) Pop(now carobinstant.Instant) (key K, ok bool) {
-	if !a.Next().Reached(now) {
+func (a *Schedule[K]) Pop(now carobinstant.Instant) (key K, ok bool) {
+	if !a.NextDue().Reached(now) {
 		return key, false
 	}
 	due, _ := heap.Pop(&a.entries).(entry[K])
 	return due.key, true
 }
 
-// First returns the key with the earliest instant, whether due or not. It
+// Peek returns the key with the earliest instant, whether due or not. It
 // returns false if the agenda is empty.
-func (a *Agenda[K]) First() (key K, ok bool) {
+func (a *Schedule[K]) Peek() (key K, ok bool) {
 	if len(a.entries.list) == 0 {
 		return key, false
 	}
@@ -64,7 +64,7 @@
 }
 
 // Len returns the number of keys.
-func (a *Agenda[K]) Len() int {
+func (a *Schedule[K]) Len() int {
 	return len(a.entries.list)
 }
 
--- a/pkg/carobagenda/agenda_test.go
+++ b/pkg/carobagenda/agenda_test.go
@@ -14,7 +14,7 @@
 // comparing an agenda with a map that is searched for the earliest instant.
 func TestAgendaMatchesMapModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		agenda, model := NewAgenda[int](), map[int]carobinstant.Instant{}
+		agenda, model := NewSchedule[int](), map[int]carobinstant.Instant{}
 		r.Repeat(map[string]func(*rapid.T){
 			"set": func(r *rapid.T) {
 				key := rapid.IntRange(0, 9).Draw(r, "key")
@@ -38,7 +38,7 @@
 			},
 			"": func(r *rapid.T) {
 				require.Equal(r, len(model), agenda.Len())
-				require.Equal(r, earliest(model), agenda.Next())
+				require.Equal(r, earliest(model), agenda.NextDue())
 			},
 		})
 	})
--- a/pkg/carobcall/call.go
+++ b/pkg/carobcall/call.go
@@ -104,7 +104,7 @@
 	if c.Route == nil {
 		return 0
 	}
-	return c.Route.Rank
+	return c.Route.Priority
 }
 
 // Key returns the idempotency key that the call must claim before it runs. It is
--- a/pkg/carobdetection/system.go
+++ b/pkg/carobdetection/system.go
@@ -149,7 +149,7 @@
 // relay them, and after a second time-out suspects the node.
 func (s *System) expireHeartbeats(w *carobworld.World, now carobinstant.Instant) {
 	for number, iq := range w.Inquiries.All() {
-		due := iq.Sent.Add(answerTimeout)
+		due := iq.SentAt.Add(answerTimeout)
 		if iq.Relayed {
 			due = due.Add(answerTimeout)
 		}
@@ -159,7 +159,7 @@
 		}
 		pr := w.Peers.Get(iq.Node)
 		switch {
-		case pr == nil || pr.Heard > iq.Sent:
+		case pr == nil || pr.Heard > iq.SentAt:
 			w.Inquiries.Delete(number)
 		case iq.Relayed:
 			w.Inquiries.Delete(number)
@@ -218,7 +218,7 @@
 		return
 	}
 	s.number++
-	w.Inquiries.Put(s.number, carobinquiry.Inquiry{Node: pr.Member.Node, Sent: now})
+	w.Inquiries.Put(s.number, carobinquiry.PendingHeartbeat{Node: pr.Member.Node, SentAt: now})
 	s.sendHeartbeat(w, pr.Member)
 }
 
--- a/pkg/carobdissemination/system.go
+++ b/pkg/carobdissemination/system.go
@@ -85,13 +85,13 @@
 	s.nextRound = now.Add(roundInterval)
 	w.WakeAt(s.nextRound)
 	to := recipients(w)
-	if len(to) == 0 || !s.throttle.Spend(now, 0) {
+	if len(to) == 0 || !s.throttle.Allow(now, 0) {
 		return
 	}
 	members := s.takePending(w, maxRoundSends, roundSize)
 	for _, pr := range to {
 		send(w, pr.Member, members)
-		s.throttle.Spend(now, totalSize(members))
+		s.throttle.Allow(now, totalSize(members))
 	}
 }
 
--- a/pkg/carobdistribution/distribution.go
+++ b/pkg/carobdistribution/distribution.go
@@ -21,15 +21,15 @@
 	halvingWeight = 1000
 )
 
-// Distribution counts durations in buckets that grow by a constant factor, with
+// Histogram counts durations in buckets that grow by a constant factor, with
 // less weight for older ones. The zero value is empty.
-type Distribution struct {
+type Histogram struct {
 	counts [bucketsPerDoubling * doublings]float64
 	weight float64
 }
 
 // Add counts a duration.
-func (d *Distribution) Add(t time.Duration) {
+func (d *Histogram) Add(t time.Duration) {
 	if d.weight >= halvingWeight {
 		for i := range d.counts {
 			d.counts[i] /= 2
@@ -41,13 +41,13 @@
 }
 
 // Weight returns the number of durations, with the older ones counted for less.
-func (d *Distribution) Weight() float64 {
+func (d *Histogram) Weight() float64 {
 	return d.weight
 }
 
 // Quantile returns the duration that the given share of the recent ones does not
 // exceed, rounded up to the bound of its bucket, or 0 if there are none.
-func (d *Distribution) Quantile(share float64) time.Duration {
+func (d *Histogram) Quantile(share float64) time.Duration {
 	if d.weight == 0 {
 		return 0
 	}
--- a/pkg/carobdistribution/distribution_test.go
+++ b/pkg/carobdistribution/distribution_test.go
@@ -10,7 +10,7 @@
 // Guards against quantiles that are off by more than 10 %, or that keep
 // following old durations after the latency has changed.
 func TestQuantilesFollowRecentTimes(t *testing.T) {
-	var d Distribution
+	var d Histogram
 	require.Zero(t, d.Quantile(0.5))
 	for i := 1; i <= 900; i++ {
 		d.Add(time.Duration(i) * time.Millisecond)
--- a/pkg/carobejection/system.go
+++ b/pkg/carobejection/system.go
@@ -55,11 +55,11 @@
 	}
 	for _, load := range world.Loads.All() {
 		switch {
-		case load.Ejected == carobinstant.Never:
-		case load.Ejected.Reached(now):
-			load.Ejected, load.Trial = carobinstant.Never, true
+		case load.EjectionEnd == carobinstant.Never:
+		case load.EjectionEnd.Reached(now):
+			load.EjectionEnd, load.OnTrial = carobinstant.Never, true
 		default:
-			world.WakeAt(load.Ejected)
+			world.WakeAt(load.EjectionEnd)
 		}
 	}
 }
@@ -68,13 +68,13 @@
 // ejected are ignored: their attempts were sent before.
 func evaluate(world *carobworld.World, now carobinstant.Instant, reply carobreply.Reply, load *carobload.Load) {
 	switch {
-	case load.Ejected != carobinstant.Never:
-	case load.Trial && isFailure(reply):
+	case load.EjectionEnd != carobinstant.Never:
+	case load.OnTrial && isFailure(reply):
 		eject(world, now, load)
-	case load.Trial && reply.Kind == carobkind.None:
-		load.Trial, load.Successes, load.Failures, load.Streak = false, 1, 0, 0
+	case load.OnTrial && reply.Kind == carobkind.None:
+		load.OnTrial, load.Successes, load.Failures, load.ConsecutiveFailures = false, 1, 0, 0
 		recordAudit(world, reply.Target, "ejected", "in")
-	case !load.Trial && shouldEject(world, reply.Target, load):
+	case !load.OnTrial && shouldEject(world, reply.Target, load):
 		eject(world, now, load)
 		recordAudit(world, reply.Target, "in", "ejected")
 	}
@@ -103,7 +103,7 @@
 // replies.
 func errorRate(load *carobload.Load) float64 {
 	switch {
-	case load.Streak >= failureStreak:
+	case load.ConsecutiveFailures >= failureStreak:
 		return 1
 	case load.Successes+load.Failures < minReplies:
 		return 0
@@ -138,7 +138,7 @@
 func countUnavailable(world *carobworld.World, group *carobgroup.Group) int {
 	count := 0
 	for _, id := range group.Targets {
-		if load := world.Loads.Get(id); load != nil && (load.Trial || load.Ejected != carobinstant.Never) {
+		if load := world.Loads.Get(id); load != nil && (load.OnTrial || load.EjectionEnd != carobinstant.Never) {
 			count++
 		}
 	}
@@ -147,9 +147,9 @@
 
 // eject ejects a target until now plus a random time.
 func eject(world *carobworld.World, now carobinstant.Instant, load *carobload.Load) {
-	load.Trial = false
-	load.Ejected = now.Add(minEjection + time.Duration(world.Random.Int64N(int64(ejectionJitter))))
-	world.WakeAt(load.Ejected)
+	load.OnTrial = false
+	load.EjectionEnd = now.Add(minEjection + time.Duration(world.Random.Int64N(int64(ejectionJitter))))
+	world.WakeAt(load.EjectionEnd)
 }
 
 // recordAudit records that a target was ejected or readmitted.
--- a/pkg/carobejection/system_test.go
+++ b/pkg/carobejection/system_test.go
@@ -50,7 +50,7 @@
 // few replies or so many that the rest is overloaded.
 func TestEjectsTargetsThatFailMoreThanOthers(t *testing.T) {
 	healthy, failing := carobload.Load{Successes: 10}, carobload.Load{Successes: 1, Failures: 9}
-	ejected := carobload.Load{Ejected: carobinstant.Instant(time.Hour)}
+	ejected := carobload.Load{EjectionEnd: carobinstant.Instant(time.Hour)}
 	for _, tc := range []struct {
 		name  string
 		loads map[string]carobload.Load
@@ -58,7 +58,7 @@
 	}{
 		{"fails more than other targets", map[string]carobload.Load{"a": failing, "b": healthy, "c": healthy}, true},
 		{"fails as often as other targets", map[string]carobload.Load{"a": failing, "b": failing, "c": failing}, false},
-		{"fails several times in a row after many successes", map[string]carobload.Load{"a": {Successes: 90, Failures: 4, Streak: 4}, "b": healthy}, true},
+		{"fails several times in a row after many successes", map[string]carobload.Load{"a": {Successes: 90, Failures: 4, ConsecutiveFailures: 4}, "b": healthy}, true},
 		{"too few replies", map[string]carobload.Load{"a": {Failures: 2}, "b": healthy, "c": healthy}, false},
 		{"half are ejected already", map[string]carobload.Load{"a": failing, "b": healthy, "c": ejected}, false},
 		{"the only target", map[string]carobload.Load{"a": failing}, false},
@@ -67,7 +67,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			world := newWorld(tc.loads)
 			tickWithReply(world, 1, http.StatusInternalServerError)
-			require.Equal(t, tc.want, world.Loads.Get(target("a")).Ejected != carobinstant.Never)
+			require.Equal(t, tc.want, world.Loads.Get(target("a")).EjectionEnd != carobinstant.Never)
 		})
 	}
 }
@@ -87,14 +87,14 @@
 			world := newWorld(map[string]carobload.Load{"a": {Failures: 9}, "b": {Successes: 10}})
 			tickWithReply(world, 1, http.StatusInternalServerError)
 			load := world.Loads.Get(target("a"))
-			require.NotEqual(t, carobinstant.Never, load.Ejected)
-			require.Equal(t, load.Ejected, world.Wake())
+			require.NotEqual(t, carobinstant.Never, load.EjectionEnd)
+			require.Equal(t, load.EjectionEnd, world.Wake())
 			world.Begin(carobinbox.Inbox{})
-			NewSystem().Run(world, load.Ejected)
-			require.True(t, load.Trial)
-			tickWithReply(world, load.Ejected+1, tc.status)
-			require.False(t, load.Trial)
-			require.Equal(t, tc.returns, load.Ejected == carobinstant.Never)
+			NewSystem().Run(world, load.EjectionEnd)
+			require.True(t, load.OnTrial)
+			tickWithReply(world, load.EjectionEnd+1, tc.status)
+			require.False(t, load.OnTrial)
+			require.Equal(t, tc.returns, load.EjectionEnd == carobinstant.Never)
 		})
 	}
 }
@@ -102,8 +102,8 @@
 // Guards against readmitting a target that has only refused, which proves
 // nothing of its health.
 func TestRefusalDoesNotEndTrial(t *testing.T) {
-	world := newWorld(map[string]carobload.Load{"a": {Trial: true}, "b": {Successes: 10}})
+	world := newWorld(map[string]carobload.Load{"a": {OnTrial: true}, "b": {Successes: 10}})
 	world.Begin(carobinbox.Inbox{Replies: []carobreply.Reply{{Target: target("a"), Kind: carobkind.Busy}}})
 	NewSystem().Run(world, 1)
-	require.True(t, world.Loads.Get(target("a")).Trial)
+	require.True(t, world.Loads.Get(target("a")).OnTrial)
 }
--- a/pkg/carobentry/rig_test.go
+++ b/pkg/carobentry/rig_test.go
@@ -62,7 +62,7 @@
 	for _, name := range []string{"a", "b", "c", "d"} {
 		id := carobtargetid.ID{Service: service, Name: carobword.Word(name)}
 		node := carobnodeid.ID("node-" + name)
-		world.Targets.Put(id, carobtarget.Target{ID: id, Node: node, Profile: "p", Slots: 4, State: carobreadiness.Ready})
+		world.Targets.Put(id, carobtarget.Target{ID: id, Node: node, Profile: "p", Slots: 4, Readiness: carobreadiness.Ready})
 		world.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Incarnation: targetIncarnation, Peer: "peer"}})
 		group.Targets = append(group.Targets, id)
 	}
--- a/pkg/carobentry/route.go
+++ b/pkg/carobentry/route.go
@@ -17,7 +17,7 @@
 	}
 	route := world.Routes.Match(arrival.Host, arrival.Path)
 	if route != nil {
-		arrival.Service = route.Split[pickPart(world, route.Split)].Service
+		arrival.Service = route.WeightedServices[pickPart(world, route.WeightedServices)].Service
 	}
 	return route
 }
@@ -25,7 +25,7 @@
 // pickPart returns the index of a random part of a route, weighted by the parts'
 // weights. The load of a part does not count, because the weights are the shares
 // of calls that the operator set.
-func pickPart(world *carobworld.World, split []carobpart.Part) int {
+func pickPart(world *carobworld.World, split []carobpart.WeightedService) int {
 	if len(split) == 1 {
 		return 0
 	}
--- a/pkg/carobentry/route_test.go
+++ b/pkg/carobentry/route_test.go
@@ -22,14 +22,14 @@
 const slo = 200 * time.Millisecond
 
 // setRoute sets a route table with one route, by default to the rig's service.
-func (r *rig) setRoute(once carobonce.Once, split ...carobpart.Part) {
+func (r *rig) setRoute(once carobonce.Once, split ...carobpart.WeightedService) {
 	r.t.Helper()
 	if len(split) == 0 {
-		split = []carobpart.Part{{Service: service, Weight: 1}}
+		split = []carobpart.WeightedService{{Service: service, Weight: 1}}
 	}
-	routes, err := carobroutes.NewRoutes(1, []carobroute.Route{{
-		Name: "r", Host: "a.example", Prefix: "/one/", Once: once, Tries: 2,
-		Timeout: carobspan.Span(400 * time.Millisecond), Slo: carobspan.Span(slo), Split: split,
+	routes, err := carobroutes.NewRouteTable(1, []carobroute.Route{{
+		Name: "r", Host: "a.example", Prefix: "/one/", Guarantee: once, Attempts: 2,
+		Timeout: carobspan.Span(400 * time.Millisecond), SLO: carobspan.Span(slo), WeightedServices: split,
 	}})
 	require.NoError(r.t, err)
 	r.world.Routes = routes
@@ -75,7 +75,7 @@
 // the split.
 func TestSplitKeepsShareOfPartWithoutTargets(t *testing.T) {
 	r := newRig(t, carobonce.Call)
-	r.setRoute(carobonce.No, carobpart.Part{Service: service, Weight: 80}, carobpart.Part{Service: "elsewhere", Weight: 20})
+	r.setRoute(carobonce.No, carobpart.WeightedService{Service: service, Weight: 80}, carobpart.WeightedService{Service: "elsewhere", Weight: 20})
 	const calls = 2000
 	sentHere := 0
 	for i := range calls {
@@ -183,7 +183,7 @@
 	r := newRig(t, carobonce.Call)
 	r.setRoute(carobonce.Call)
 	for _, tg := range r.world.Targets.All() {
-		tg.State = carobreadiness.Leaving
+		tg.Readiness = carobreadiness.Leaving
 	}
 	r.arriveAt("/one/x")
 	arrivedAt := r.now
--- a/pkg/carobentry/system.go
+++ b/pkg/carobentry/system.go
@@ -133,8 +133,8 @@
 		Arrival: arrival, Profile: profile, Route: route, Came: now,
 		Deadline: now.Add(timeoutOf(arrival, profile, route)), Last: carobkind.NoTarget,
 	}
-	if route != nil && route.Slo > 0 {
-		call.Slo = now.Add(route.Slo.Duration())
+	if route != nil && route.SLO > 0 {
+		call.Slo = now.Add(route.SLO.Duration())
 	}
 	if call.Key() != (carobkey.Key{}) {
 		call.Stage = carobstage.Claiming
@@ -179,7 +179,7 @@
 	group := world.Groups.Get(service)
 	return group != nil && lo.SomeBy(group.Targets, func(id carobtargetid.ID) bool {
 		target := world.Targets.Get(id)
-		return target != nil && !world.Owns(target) && target.State == carobreadiness.Ready
+		return target != nil && !world.Owns(target) && target.Readiness == carobreadiness.Ready
 	})
 }
 
--- a/pkg/carobfencing/system_test.go
+++ b/pkg/carobfencing/system_test.go
@@ -48,7 +48,7 @@
 	limits := caroblimits.NewLimits()
 	limits.Jobs, limits.Peers = jobs, 1
 	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "here", Incarnation: nodeIncarnation}, Limits: limits})
-	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, State: carobreadiness.Ready})
+	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
 	w.Gates.Put(target, carobgate.Gate{Limit: 1})
 	rv := carobrevision.Revision{}
 	rv.Change.Profile = carobprofile.NewProfile("p")
--- a/pkg/carobfinish/finish.go
+++ b/pkg/carobfinish/finish.go
@@ -15,5 +15,5 @@
 	// Status is the HTTP status of the target's response; 0 if there was none.
 	Status int
 	// Pressure is the load that the target reported; nil if the response had none.
-	Pressure *carobpressure.Pressure
+	Pressure *carobpressure.TargetLoad
 }
--- a/pkg/carobfollowing/system_test.go
+++ b/pkg/carobfollowing/system_test.go
@@ -52,7 +52,7 @@
 				Self: carobmember.Member{Node: "m", Centre: "x"}, Limits: caroblimits.NewLimits(),
 			})
 			if !c.noRoutes {
-				rs, err := carobroutes.NewRoutes(1, nil)
+				rs, err := carobroutes.NewRouteTable(1, nil)
 				require.NoError(t, err)
 				w.Routes = rs
 			}
--- a/pkg/carobgate/gate.go
+++ b/pkg/carobgate/gate.go
@@ -42,7 +42,7 @@
 	// without an answer or without a reading; Never before the first.
 	QuietUntil carobinstant.Instant
 	// Checks is the token bucket that limits the rate of health checks.
-	Checks carobbucket.Bucket
+	Checks carobbucket.TokenBucket
 	// Awaited is when the newest nested call arrived, that is, a call for which another
 	// job waits; Never before the first.
 	Awaited carobinstant.Instant
--- a/pkg/carobgroup/group.go
+++ b/pkg/carobgroup/group.go
@@ -13,7 +13,7 @@
 	Profile carobword.Word
 	// Targets are sorted by name.
 	Targets []carobtargetid.ID
-	// View is the subset of Targets that this node sends to; empty if it sends
+	// Subset is the subset of Targets that this node sends to; empty if it sends
 	// to all.
-	View []carobtargetid.ID
+	Subset []carobtargetid.ID
 }
--- a/pkg/carobhealth/health.go
+++ b/pkg/carobhealth/health.go
@@ -10,5 +10,5 @@
 type Health struct {
 	Target carobtargetid.ID
 	// Pressure is the load that the target reported; nil if it did not answer.
-	Pressure *carobpressure.Pressure
+	Pressure *carobpressure.TargetLoad
 }
--- a/pkg/carobhedging/system.go
+++ b/pkg/carobhedging/system.go
@@ -38,12 +38,12 @@
 type System struct {
 	// pending has the calls that may be hedged, by the time of the next
 	// request.
-	pending *carobagenda.Agenda[carobcallid.ID]
+	pending *carobagenda.Schedule[carobcallid.ID]
 }
 
 // NewSystem returns a System without pending hedges.
 func NewSystem() *System {
-	return &System{pending: carobagenda.NewAgenda[carobcallid.ID]()}
+	return &System{pending: carobagenda.NewSchedule[carobcallid.ID]()}
 }
 
 // Run records the latencies of answered calls and requests the hedges that are
@@ -62,7 +62,7 @@
 		}
 		s.requestHedge(world, now, id)
 	}
-	if next := s.pending.Next(); next != carobinstant.Never {
+	if next := s.pending.NextDue(); next != carobinstant.Never {
 		world.WakeAt(next)
 	}
 }
@@ -82,7 +82,7 @@
 	}
 	for i := range call.Attempts {
 		if at := &call.Attempts[i]; i == reply.Job.Attempt-1 || !at.Over {
-			pace.Latency.Add(now.Sub(at.Sent))
+			pace.Histogram.Add(now.Sub(at.Sent))
 		}
 	}
 }
@@ -94,7 +94,7 @@
 	if pace == nil {
 		return
 	}
-	if !mayHedge(call) || pace.Latency.Weight() < minSamples {
+	if !mayHedge(call) || pace.Histogram.Weight() < minSamples {
 		return
 	}
 	s.pending.Set(send.Job.Call, now.Add(delay(call, pace)))
@@ -127,8 +127,8 @@
 }
 
 // delay returns the age of an attempt at which the call is hedged.
-func delay(call *carobcall.Call, pace *carobpace.Pace) time.Duration {
-	return max(pace.Latency.Quantile(float64(call.Profile.Hedge)), minDelay)
+func delay(call *carobcall.Call, pace *carobpace.Latency) time.Duration {
+	return max(pace.Histogram.Quantile(float64(call.Profile.Hedge)), minDelay)
 }
 
 // newestIsOpen reports whether the newest attempt has no reply yet.
@@ -138,9 +138,9 @@
 
 // paceOf returns the row of a service and adds it if it is missing. It returns
 // nil if the row is missing and the table is full.
-func paceOf(world *carobworld.World, service carobservice.Service) *carobpace.Pace {
+func paceOf(world *carobworld.World, service carobservice.Service) *carobpace.Latency {
 	if pace := world.Paces.Get(service); pace != nil {
 		return pace
 	}
-	return world.Paces.Put(service, carobpace.Pace{})
+	return world.Paces.Put(service, carobpace.Latency{})
 }
--- a/pkg/carobhedging/system_test.go
+++ b/pkg/carobhedging/system_test.go
@@ -30,7 +30,7 @@
 	profile.Once = carobonce.No
 	pace := paceOf(world, "lookups")
 	for range 1000 {
-		pace.Latency.Add(10 * time.Millisecond)
+		pace.Histogram.Add(10 * time.Millisecond)
 	}
 	id := carobcallid.ID{Node: "n", Sequence: 1}
 	call := world.Calls.Put(id, carobcall.Call{
--- a/pkg/carobinbox/inbox.go
+++ b/pkg/carobinbox/inbox.go
@@ -32,7 +32,7 @@
 	// Marks are the bounds of the log streams that Records were read from.
 	Marks []carobmark.Mark
 	// Routes are the route tables read from the store.
-	Routes []*carobroutes.Routes
+	Routes []*carobroutes.RouteTable
 	// Blind has a value for each change of whether the store can be read, true if it
 	// cannot, the newest last.
 	Blind []bool
--- a/pkg/carobinquiry/inquiry.go
+++ b/pkg/carobinquiry/inquiry.go
@@ -6,11 +6,11 @@
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 )
 
-// Inquiry is a probe of a peer that has not answered yet.
-type Inquiry struct {
+// PendingHeartbeat is a probe of a peer that has not answered yet.
+type PendingHeartbeat struct {
 	Node carobnodeid.ID
-	// Sent is when the probe was sent.
-	Sent carobinstant.Instant
+	// SentAt is when the probe was sent.
+	SentAt carobinstant.Instant
 	// Relayed says that other nodes were requested to probe the peer too.
 	Relayed bool
 }
--- a/pkg/caroblife/life.go
+++ b/pkg/caroblife/life.go
@@ -7,9 +7,9 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Life is one instance of a target, from its start to its end. The registry
+// Instance is one instance of a target, from its start to its end. The registry
 // uses it to ignore announcements that were overtaken by newer ones.
-type Life struct {
+type Instance struct {
 	Target carobtargetid.ID
 	// Incarnation counts the starts of the target; it never decreases at one
 	// address. It is 0 for targets that do not announce it; every announcement
@@ -18,17 +18,17 @@
 	// Sequence is the number of the newest announcement; it never decreases
 	// within an incarnation. 0 if the target does not number them.
 	Sequence uint64
-	// Left says that the target has withdrawn: later announcements of this
+	// Withdrawn says that the target has withdrawn: later announcements of this
 	// incarnation are ignored.
-	Left bool
+	Withdrawn bool
 }
 
-// Older reports whether an announcement is out of date: it is of an earlier
+// Outdated reports whether an announcement is out of date: it is of an earlier
 // incarnation, or of this one after the target withdrew or with a number that
 // is not above Sequence.
-func (l *Life) Older(incarnation carobincarnation.Incarnation, sequence uint64) bool {
+func (l *Instance) Outdated(incarnation carobincarnation.Incarnation, sequence uint64) bool {
 	if incarnation != l.Incarnation {
 		return incarnation < l.Incarnation
 	}
-	return incarnation > 0 && (l.Left || sequence > 0 && sequence <= l.Sequence)
+	return incarnation > 0 && (l.Withdrawn || sequence > 0 && sequence <= l.Sequence)
 }
--- a/pkg/carobload/load.go
+++ b/pkg/carobload/load.go
@@ -13,36 +13,36 @@
 	// Report is the newest report. It is already out of date by the network
 	// delay when it is received.
 	Report carobreport.Report
-	// At is when Report was received; Never before the first.
-	At carobinstant.Instant
-	// Looked is when the target was last a candidate for a call; Never if it
+	// ReportedAt is when Report was received; Never before the first.
+	ReportedAt carobinstant.Instant
+	// LastCandidateAt is when the target was last a candidate for a call; Never if it
 	// was not.
-	Looked carobinstant.Instant
-	// Asked is when the last probe was sent; Never if none was.
-	Asked carobinstant.Instant
-	// Sent counts the attempts that this node sent since Report was received,
+	LastCandidateAt carobinstant.Instant
+	// ProbedAt is when the last probe was sent; Never if none was.
+	ProbedAt carobinstant.Instant
+	// SentSinceReport counts the attempts that this node sent since Report was received,
 	// less those that got a reply without a report; at least 0.
-	Sent int
-	// Open counts the attempts of this node that have no reply yet; at least 0.
-	Open int
-	// Turn is the number of the newest attempt sent to the target, counted over
+	SentSinceReport int
+	// OpenAttempts counts the attempts of this node that have no reply yet; at least 0.
+	OpenAttempts int
+	// LastSendNumber is the number of the newest attempt sent to the target, counted over
 	// all targets.
-	Turn uint64
+	LastSendNumber uint64
 	// Latency is the estimated time from sending to the reply, network
 	// included.
 	Latency time.Duration
 	// Successes and Failures decay with time; together they give the error
 	// rate.
 	Successes, Failures float64
-	// Streak counts the failures since the last success.
-	Streak int
-	// Counted is the time up to which the decay of Successes and Failures is
+	// ConsecutiveFailures counts the failures since the last success.
+	ConsecutiveFailures int
+	// DecayedAt is the time up to which the decay of Successes and Failures is
 	// applied.
-	Counted carobinstant.Instant
-	// Ejected is when the ejection of the target expires; Never if it is not
+	DecayedAt carobinstant.Instant
+	// EjectionEnd is when the ejection of the target expires; Never if it is not
 	// ejected.
-	Ejected carobinstant.Instant
-	// Trial says that the ejection has expired, and the target receives one
+	EjectionEnd carobinstant.Instant
+	// OnTrial says that the ejection has expired, and the target receives one
 	// call at a time until a reply decides whether it is ejected again.
-	Trial bool
+	OnTrial bool
 }
--- a/pkg/carobmember/member.go
+++ b/pkg/carobmember/member.go
@@ -90,8 +90,8 @@
 	if err := tg.Profile.Check("profile"); err != nil {
 		return err
 	}
-	if tg.Slots < 1 || tg.Conns < 1 {
+	if tg.Slots < 1 || tg.Connections < 1 {
 		return carobkind.New(carobkind.Invalid, "target %s: slots and conns must be at least 1", tg.ID)
 	}
-	return tg.State.Check()
+	return tg.Readiness.Check()
 }
--- a/pkg/carobmembership/system.go
+++ b/pkg/carobmembership/system.go
@@ -135,7 +135,7 @@
 func addTarget(w *carobworld.World, mb carobmember.Member, tg carobtarget.Target) {
 	tg.Node = mb.Node
 	if mb.Leaving {
-		tg.State = carobreadiness.Leaving
+		tg.Readiness = carobreadiness.Leaving
 	}
 	if existing := w.Targets.Get(tg.ID); existing != nil && w.Owns(existing) {
 		return
--- a/pkg/carobmessage/message.go
+++ b/pkg/carobmessage/message.go
@@ -53,7 +53,7 @@
 
 	// RouteFetch requests the route table, and Routes carries it.
 	RouteFetch *carobroutefetch.Fetch `json:"routefetch,omitempty"`
-	Routes     *carobroutes.Routes    `json:"routes,omitempty"`
+	Routes     *carobroutes.RouteTable    `json:"routes,omitempty"`
 
 	// Calls and claims.
 
--- a/pkg/carobpace/pace.go
+++ b/pkg/carobpace/pace.go
@@ -3,10 +3,10 @@
 
 import "github.com/carobknot/carobknot/pkg/carobdistribution"
 
-// Pace is how fast the targets of one service answer this node.
-type Pace struct {
-	// Latency is the distribution over the attempts, from sending to the head
+// Latency is how fast the targets of one service answer this node.
+type Latency struct {
+	// Histogram is the distribution over the attempts, from sending to the head
 	// of the response. A cancelled attempt counts with the time until it was
 	// cancelled.
-	Latency carobdistribution.Distribution
+	Histogram carobdistribution.Histogram
 }
--- a/pkg/carobpart/part.go
+++ b/pkg/carobpart/part.go
@@ -3,8 +3,8 @@
 
 import "github.com/carobknot/carobknot/pkg/carobservice"
 
-// Part is a service that receives a share of a route's calls.
-type Part struct {
+// WeightedService is a service that receives a share of a route's calls.
+type WeightedService struct {
 	Service carobservice.Service `json:"service"`
 	// Weight is at least 0. The share is the weight divided by the sum of all
 	// weights of the route.
--- a/pkg/carobpause/system_test.go
+++ b/pkg/carobpause/system_test.go
@@ -83,7 +83,7 @@
 	w := carobworld.NewWorld(carobworld.Config{
 		Self: carobmember.Member{Node: "here", Incarnation: 7}, Limits: caroblimits.NewLimits(),
 	})
-	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, State: carobreadiness.Ready})
+	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
 	w.Gates.Put(target, carobgate.Gate{Limit: 1})
 	rv := carobrevision.Revision{}
 	rv.Change.Profile = carobprofile.NewProfile("p")
--- a/pkg/carobpressure/pressure.go
+++ b/pkg/carobpressure/pressure.go
@@ -1,12 +1,12 @@
 // Package carobpressure holds the load that a target reports of itself.
 package carobpressure
 
-// Pressure is a target's own measurement of its load. It is as recent as the
+// TargetLoad is a target's own measurement of its load. It is as recent as the
 // response that it was attached to.
-type Pressure struct {
-	// Running and Waiting count the calls at the target, of all callers; at
+type TargetLoad struct {
+	// Running and Queued count the calls at the target, of all callers; at
 	// least 0.
-	Running, Waiting int
+	Running, Queued int
 	// Slots is the number of calls that the target runs at once; 0 if not
 	// reported.
 	Slots int
--- a/pkg/carobprobing/system.go
+++ b/pkg/carobprobing/system.go
@@ -21,10 +21,10 @@
 
 // Keys of the measuring budget in World.Buckets.
 const (
-	// Bytes is the bucket of the bytes sent for measuring.
-	Bytes carobword.Word = "bytes"
-	// Time is the bucket of the processor time spent on measuring, in seconds.
-	Time carobword.Word = "time"
+	// BytesBucket is the bucket of the bytes sent for measuring.
+	BytesBucket carobword.Word = "bytes"
+	// CPUTimeBucket is the bucket of the processor time spent on measuring, in seconds.
+	CPUTimeBucket carobword.Word = "time"
 )
 
 const (
@@ -108,7 +108,7 @@
 // storeReport replaces the report of a target whose load is tracked.
 func storeReport(world *carobworld.World, now carobinstant.Instant, report *carobreport.Report) {
 	if load := world.Loads.Get(report.Target); load != nil {
-		load.Report, load.At, load.Sent = *report, now, 0
+		load.Report, load.ReportedAt, load.SentSinceReport = *report, now, 0
 	}
 }
 
@@ -119,11 +119,11 @@
 	var chosen *carobload.Load
 	inUse := false
 	for id, load := range world.Loads.All() {
-		if load.Looked == carobinstant.Never || now.Sub(load.Looked) > inUsePeriod {
+		if load.LastCandidateAt == carobinstant.Never || now.Sub(load.LastCandidateAt) > inUsePeriod {
 			continue
 		}
 		inUse = true
-		if needsProbe(world, now, id, load) && (chosen == nil || load.At < chosen.At) {
+		if needsProbe(world, now, id, load) && (chosen == nil || load.ReportedAt < chosen.ReportedAt) {
 			oldest, chosen = id, load
 		}
 	}
@@ -137,10 +137,10 @@
 // and no probe is pending.
 func needsProbe(world *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, load *carobload.Load) bool {
 	profile := world.ProfileOf(id.Service)
-	if profile == nil || profile.Measure <= 0 || now.Sub(load.At) < profile.Measure.Duration() {
+	if profile == nil || profile.Measure <= 0 || now.Sub(load.ReportedAt) < profile.Measure.Duration() {
 		return false
 	}
-	return load.Asked == carobinstant.Never || now.Sub(load.Asked) > probeTimeout || load.At > load.Asked
+	return load.ProbedAt == carobinstant.Never || now.Sub(load.ProbedAt) > probeTimeout || load.ReportedAt > load.ProbedAt
 }
 
 // sendProbe probes the target of another node if the budget allows it.
@@ -153,25 +153,25 @@
 	if peer == nil || !spendBudget(world, now, id) {
 		return
 	}
-	load.Asked = now
+	load.ProbedAt = now
 	world.Tell(carobmessage.Message{To: peer.Member.Peer, Poll: &carobpoll.Poll{Target: id}})
 }
 
 // spendBudget takes the cost of one message from both buckets, or from neither
 // if one of them has too little.
 func spendBudget(world *carobworld.World, now carobinstant.Instant, id carobtargetid.ID) bool {
-	bytes, seconds := bucketOf(world, Bytes), bucketOf(world, Time)
+	bytes, seconds := bucketOf(world, BytesBucket), bucketOf(world, CPUTimeBucket)
 	if bytes == nil || seconds == nil {
 		return false
 	}
-	price := Price(world, id)
-	refill(bytes, now, float64(world.Measure.Rate), price)
-	refill(seconds, now, float64(world.Measure.Share), cpuPerMessage.Seconds())
+	price := MessageBytes(world, id)
+	refill(bytes, now, float64(world.Measure.BytesPerSecond), price)
+	refill(seconds, now, float64(world.Measure.CPUShare), cpuPerMessage.Seconds())
 	if bytes.Tokens < price || seconds.Tokens < cpuPerMessage.Seconds() {
 		bytes.Denied++
 		return false
 	}
-	return bytes.Spend(price) && seconds.Spend(cpuPerMessage.Seconds())
+	return bytes.Take(price) && seconds.Take(cpuPerMessage.Seconds())
 }
 
 // refill refills a bucket that holds at most one message. The price of that
@@ -179,24 +179,24 @@
 // rate below two messages a second is halved instead, which keeps longer
 // periods below the cap. If the rate is below one message a second, the bucket
 // stays empty.
-func refill(bucket *carobbucket.Bucket, now carobinstant.Instant, rate, price float64) {
+func refill(bucket *carobbucket.TokenBucket, now carobinstant.Instant, rate, price float64) {
 	if rate < price {
 		return
 	}
 	bucket.Fill(now, max(rate-price, rate/2), price)
 }
 
-// Price returns the bytes that a probe of a target, or the report that answers
+// MessageBytes returns the bytes that a probe of a target, or the report that answers
 // it, takes from the budget.
-func Price(world *carobworld.World, id carobtargetid.ID) float64 {
+func MessageBytes(world *carobworld.World, id carobtargetid.ID) float64 {
 	return float64(messageOverhead + len(world.Self.Node) + len(world.Self.Peer) + len(id.Service) + len(id.Name))
 }
 
 // bucketOf returns a bucket and adds it if it is missing, or returns nil if the
 // table is full.
-func bucketOf(world *carobworld.World, name carobword.Word) *carobbucket.Bucket {
+func bucketOf(world *carobworld.World, name carobword.Word) *carobbucket.TokenBucket {
 	if bucket := world.Buckets.Get(name); bucket != nil {
 		return bucket
 	}
-	return world.Buckets.Put(name, carobbucket.Bucket{})
+	return world.Buckets.Put(name, carobbucket.TokenBucket{})
 }
--- a/pkg/carobprobing/system_test.go
+++ b/pkg/carobprobing/system_test.go
@@ -35,7 +35,7 @@
 func newWorld(rate carobrate.Rate) *carobworld.World {
 	world := carobworld.NewWorld(carobworld.Config{
 		Self: carobmember.Member{Node: "one", Peer: "127.0.0.1:1"}, Limits: caroblimits.NewLimits(),
-		Measure: carobmeasure.Measure{Rate: rate, Share: 0.01},
+		Measure: carobmeasure.ProbeLimits{BytesPerSecond: rate, CPUShare: 0.01},
 	})
 	world.Profiles.Put("p", carobrevision.Revision{Change: carobchange.Change{Profile: carobprofile.NewProfile("p")}})
 	world.Groups.Put("lookups", carobgroup.Group{Profile: "p", Targets: []carobtargetid.ID{other}})
@@ -56,7 +56,7 @@
 func TestProbesTargetsInUseWithOldReports(t *testing.T) {
 	second := carobinstant.Instant(time.Second)
 	s, world := NewSystem(), newWorld(2048)
-	load := world.Loads.Put(other, carobload.Load{Looked: second, At: second})
+	load := world.Loads.Put(other, carobload.Load{LastCandidateAt: second, ReportedAt: second})
 	require.Empty(t, tick(s, world, second))
 	require.NotEqual(t, carobinstant.Never, world.Wake())
 	sent := tick(s, world, second.Add(200*time.Millisecond))
@@ -93,10 +93,10 @@
 		now, sent := start, 0
 		for range rapid.IntRange(1, 200).Draw(t, "ticks") {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(200*time.Millisecond)).Draw(t, "pause")))
-			world.Loads.Put(other, carobload.Load{Looked: now, At: 1})
+			world.Loads.Put(other, carobload.Load{LastCandidateAt: now, ReportedAt: 1})
 			sent += len(tick(s, world, now))
 		}
-		price := Price(world, other)
+		price := MessageBytes(world, other)
 		require.LessOrEqual(t, float64(sent)*price, price+rate*now.Sub(start).Seconds())
 		require.LessOrEqual(t, float64(sent)*cpuPerMessage.Seconds(), cpuPerMessage.Seconds()+0.01*now.Sub(start).Seconds())
 	})
--- a/pkg/carobreconciliation/system.go
+++ b/pkg/carobreconciliation/system.go
@@ -80,7 +80,7 @@
 	w.Random.Shuffle(len(different), func(i, j int) { different[i], different[j] = different[j], different[i] })
 	for _, partition := range different[:min(maxPartitions, len(different))] {
 		rows := versions(w, partition)
-		if !s.throttle.Spend(now, rowSize*len(rows)) {
+		if !s.throttle.Allow(now, rowSize*len(rows)) {
 			return
 		}
 		w.Tell(carobmessage.Message{To: ms.Back, Digest: &carobdigest.Digest{Part: partition, Rows: rows}})
@@ -160,7 +160,7 @@
 	var members []carobmember.Member
 	size := 0
 	flush := func() bool {
-		if len(members) == 0 || !s.throttle.Spend(now, size) {
+		if len(members) == 0 || !s.throttle.Allow(now, size) {
 			return false
 		}
 		w.Tell(carobmessage.Message{To: to, Gossip: &carobgossip.Gossip{Members: members, Asked: true}})
--- a/pkg/carobregistry/system.go
+++ b/pkg/carobregistry/system.go
@@ -68,21 +68,21 @@
 		return lf != nil && an.Incarnation > 0 && an.Incarnation < lf.Incarnation
 	}
 	lf := w.Lives.Get(an.Address)
-	return lf != nil && lf.Older(an.Incarnation, an.Sequence)
+	return lf != nil && lf.Outdated(an.Incarnation, an.Sequence)
 }
 
 // handleLeave removes a target that has withdrawn itself, and records that later
 // announcements of the same incarnation are to be ignored.
 func handleLeave(w *carobworld.World, an carobannouncement.Announcement) {
 	if lf := newestLife(w, an.Target); lf != nil {
-		lf.Left, an.Target = true, lf.Target
+		lf.Withdrawn, an.Target = true, lf.Target
 	}
 	removeTarget(w, an)
 }
 
 // newestLife returns the record of a target's newest incarnation, or nil. The service
 // of id may be empty, because a target may withdraw without naming its service.
-func newestLife(w *carobworld.World, id carobtargetid.ID) *caroblife.Life {
+func newestLife(w *carobworld.World, id carobtargetid.ID) *caroblife.Instance {
 	for _, lf := range w.Lives.All() {
 		if lf.Target.Name == id.Name && (id.Service == "" || lf.Target.Service == id.Service) {
 			return lf
@@ -105,7 +105,7 @@
 			gt.Since = now
 		}
 	}
-	w.Lives.Put(an.Address, caroblife.Life{Target: an.Target, Incarnation: an.Incarnation, Sequence: an.Sequence})
+	w.Lives.Put(an.Address, caroblife.Instance{Target: an.Target, Incarnation: an.Incarnation, Sequence: an.Sequence})
 }
 
 // handleAnnouncement adds or updates the target of an announcement and its gate.
@@ -113,14 +113,14 @@
 	recordLife(w, now, an)
 	next := carobtarget.Target{
 		ID: an.Target, Node: w.Self.Node, Address: an.Address, Profile: an.Profile,
-		Slots: an.Slots, Conns: an.Conns, State: an.State, Heard: now,
+		Slots: an.Slots, Connections: an.Conns, Readiness: an.State, AnnouncedAt: now,
 	}
 	before, changed := "none", true
 	if old := w.Targets.Get(an.Target); old != nil {
-		next.Heard = old.Heard
-		before, changed = string(old.State), *old != next
+		next.AnnouncedAt = old.AnnouncedAt
+		before, changed = string(old.Readiness), *old != next
 	}
-	next.Heard = now
+	next.AnnouncedAt = now
 	if w.Targets.Put(an.Target, next) == nil {
 		return
 	}
@@ -143,7 +143,7 @@
 	if tg == nil || !w.Owns(tg) {
 		return
 	}
-	auditChange(w, an.Target, string(tg.State), "withdrawn")
+	auditChange(w, an.Target, string(tg.Readiness), "withdrawn")
 	w.Targets.Delete(an.Target)
 	markTargetsChanged(w)
 }
@@ -151,17 +151,17 @@
 // checkTimeout marks a target without recent announcements as leaving, and removes it
 // after removalDelay.
 func (s *System) checkTimeout(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target) {
-	due := tg.Heard.Add(s.announcementTimeout)
+	due := tg.AnnouncedAt.Add(s.announcementTimeout)
 	if !due.Reached(now) {
 		w.WakeAt(due)
 		return
 	}
-	if tg.State != carobreadiness.Leaving {
-		auditChange(w, tg.ID, string(tg.State), "silent")
-		tg.State = carobreadiness.Leaving
+	if tg.Readiness != carobreadiness.Leaving {
+		auditChange(w, tg.ID, string(tg.Readiness), "silent")
+		tg.Readiness = carobreadiness.Leaving
 		markTargetsChanged(w)
 	}
-	if tg.Heard.Add(removalDelay).Reached(now) {
+	if tg.AnnouncedAt.Add(removalDelay).Reached(now) {
 		removeTarget(w, carobannouncement.Announcement{Target: tg.ID})
 	}
 }
--- a/pkg/carobregistry/system_test.go
+++ b/pkg/carobregistry/system_test.go
@@ -42,7 +42,7 @@
 // state returns the readiness of a target; empty if the target is unknown.
 func (r *rig) state(name carobword.Word) carobreadiness.Readiness {
 	if tg := r.world.Targets.Get(carobtargetid.ID{Service: "lookups", Name: name}); tg != nil {
-		return tg.State
+		return tg.Readiness
 	}
 	return ""
 }
--- a/pkg/carobring/ring.go
+++ b/pkg/carobring/ring.go
@@ -8,9 +8,9 @@
 	Limit int
 }
 
-// Ring keeps rows by key and evicts the oldest one when a new one is added to a
+// EvictingMap keeps rows by key and evicts the oldest one when a new one is added to a
 // full ring. It belongs to one goroutine.
-type Ring[K comparable, R any] struct {
+type EvictingMap[K comparable, R any] struct {
 	// limit is the maximum of len(rows).
 	limit int
 	// order[first:] has each key of rows once, the oldest first.
@@ -19,13 +19,13 @@
 	rows  map[K]R
 }
 
-// NewRing returns an empty ring.
-func NewRing[K comparable, R any](c Config) *Ring[K, R] {
-	return &Ring[K, R]{limit: c.Limit, rows: map[K]R{}}
+// NewEvictingMap returns an empty ring.
+func NewEvictingMap[K comparable, R any](c Config) *EvictingMap[K, R] {
+	return &EvictingMap[K, R]{limit: c.Limit, rows: map[K]R{}}
 }
 
 // Get returns the row of a key, and whether there is one.
-func (r *Ring[K, R]) Get(key K) (R, bool) {
+func (r *EvictingMap[K, R]) Get(key K) (R, bool) {
 	row, ok := r.rows[key]
 	return row, ok
 }
@@ -33,7 +33,7 @@
 // Put adds or replaces the row of a key. A replaced row keeps its age. Put
 // returns the evicted key and row, and whether a row was evicted; without a
 // positive limit that is the row that was passed.
-func (r *Ring[K, R]) Put(key K, row R) (K, R, bool) {
+func (r *EvictingMap[K, R]) Put(key K, row R) (K, R, bool) {
 	var oldest K
 	var evicted R
 	if _, ok := r.rows[key]; ok {
@@ -53,14 +53,14 @@
 }
 
 // Len returns the number of rows.
-func (r *Ring[K, R]) Len() int {
+func (r *EvictingMap[K, R]) Len() int {
 	return len(r.rows)
 }
 
 // removeOldest removes and returns the oldest row. The removed keys are cut
 // from order only once there are limit of them, so that the cost of the copy is
 // spread over many calls.
-func (r *Ring[K, R]) removeOldest() (K, R) {
+func (r *EvictingMap[K, R]) removeOldest() (K, R) {
 	oldest := r.order[r.first]
 	row := r.rows[oldest]
 	delete(r.rows, oldest)
--- a/pkg/carobring/ring_test.go
+++ b/pkg/carobring/ring_test.go
@@ -12,7 +12,7 @@
 // the oldest, or evicts one when a row is replaced.
 func TestFullRingEvictsOldestRow(t *testing.T) {
 	const limit = 3
-	r := carobring.NewRing[int, string](carobring.Config{Limit: limit})
+	r := carobring.NewEvictingMap[int, string](carobring.Config{Limit: limit})
 	for key := range 10 * limit {
 		evicted, row, full := r.Put(key, "row")
 		require.Equal(t, key >= limit, full)
--- a/pkg/carobroute/route.go
+++ b/pkg/carobroute/route.go
@@ -21,19 +21,19 @@
 	Host string `json:"host"`
 	// Prefix is the path prefix of the calls. It begins and ends with a slash.
 	Prefix string `json:"prefix"`
-	// Once says how often a call may run.
-	Once carobonce.Once `json:"once"`
-	// Tries is the maximum number of targets that a call may run on, at least 1.
-	Tries int `json:"tries"`
+	// Guarantee says how often a call may run.
+	Guarantee carobonce.Once `json:"once"`
+	// Attempts is the maximum number of targets that a call may run on, at least 1.
+	Attempts int `json:"tries"`
 	// Timeout limits the time until a call's final response; 0 is the caller's
 	// deadline.
 	Timeout carobspan.Span `json:"timeout"`
-	// Slo is the latency that callers expect; 0 if none is set.
-	Slo carobspan.Span `json:"slo"`
-	// Rank is the priority, 0 the highest.
-	Rank int `json:"rank"`
-	// Split has at least one part.
-	Split []carobpart.Part `json:"split"`
+	// SLO is the latency that callers expect; 0 if none is set.
+	SLO carobspan.Span `json:"slo"`
+	// Priority is the priority, 0 the highest.
+	Priority int `json:"rank"`
+	// WeightedServices has at least one part.
+	WeightedServices []carobpart.WeightedService `json:"split"`
 }
 
 // Check returns an error of kind Invalid if a field is out of bounds.
@@ -43,12 +43,12 @@
 		return carobkind.New(carobkind.Invalid, "route %s: no host", r.Name)
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
 		return carobkind.New(carobkind.Invalid, "route %s: prefix %q does not begin and end with a slash", r.Name, r.Prefix)
-	case r.Tries < 1 || r.Tries > carobprofile.MaxTries:
-		return carobkind.New(carobkind.Invalid, "route %s: tries: %d is not between 1 and %d", r.Name, r.Tries, carobprofile.MaxTries)
-	case len(r.Split) == 0:
+	case r.Attempts < 1 || r.Attempts > carobprofile.MaxTries:
+		return carobkind.New(carobkind.Invalid, "route %s: tries: %d is not between 1 and %d", r.Name, r.Attempts, carobprofile.MaxTries)
+	case len(r.WeightedServices) == 0:
 		return carobkind.New(carobkind.Invalid, "route %s: no service", r.Name)
 	}
-	for _, part := range r.Split {
+	for _, part := range r.WeightedServices {
 		if err := part.Service.Check(); err != nil {
 			return err
 		}
@@ -61,7 +61,7 @@
 
 // Apply returns the profile with those fields replaced that the route sets.
 func (r *Route) Apply(profile carobprofile.Profile) carobprofile.Profile {
-	profile.Once, profile.Tries = r.Once, r.Tries
+	profile.Once, profile.Tries = r.Guarantee, r.Attempts
 	if r.Timeout > 0 {
 		profile.Deadline = r.Timeout
 	}
--- a/pkg/carobroutes/routes.go
+++ b/pkg/carobroutes/routes.go
@@ -13,9 +13,9 @@
 	"github.com/carobknot/carobknot/pkg/carobrouteversion"
 )
 
-// Routes is one version of the route table. It is immutable once indexed, so
+// RouteTable is one version of the route table. It is immutable once indexed, so
 // that goroutines may share it.
-type Routes struct {
+type RouteTable struct {
 	Version carobrouteversion.Version `json:"version"`
 	// Routes may be in any order. No two have the same host and prefix.
 	Routes []carobroute.Route `json:"routes"`
@@ -24,13 +24,13 @@
 	byHost map[string][]*carobroute.Route
 }
 
-// Most is the maximum number of routes in a table.
-const Most = 20_000
+// MaxRoutes is the maximum number of routes in a table.
+const MaxRoutes = 20_000
 
-// NewRoutes returns a table that is checked and indexed, or an error of kind
+// NewRouteTable returns a table that is checked and indexed, or an error of kind
 // Invalid.
-func NewRoutes(version carobrouteversion.Version, routes []carobroute.Route) (*Routes, error) {
-	table := &Routes{Version: version, Routes: routes}
+func NewRouteTable(version carobrouteversion.Version, routes []carobroute.Route) (*RouteTable, error) {
+	table := &RouteTable{Version: version, Routes: routes}
 	if err := table.index(); err != nil {
 		return nil, err
 	}
@@ -39,20 +39,20 @@
 
 // UnmarshalJSON decodes, checks and indexes a table. Its errors are of kind
 // Invalid.
-func (r *Routes) UnmarshalJSON(text []byte) error {
-	type plain Routes
+func (r *RouteTable) UnmarshalJSON(text []byte) error {
+	type plain RouteTable
 	var table plain
 	if err := json.Unmarshal(text, &table); err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "decode routes")
 	}
-	*r = Routes(table)
+	*r = RouteTable(table)
 	return r.index()
 }
 
 // Check checks and indexes a table that was decoded by another codec than JSON,
 // such as one received from a peer. It does nothing if the table is indexed
 // already. Its errors are of kind Invalid.
-func (r *Routes) Check() error {
+func (r *RouteTable) Check() error {
 	if r.byHost != nil {
 		return nil
 	}
@@ -60,9 +60,9 @@
 }
 
 // index checks all routes and fills byHost.
-func (r *Routes) index() error {
-	if r.Version == carobrouteversion.None || len(r.Routes) > Most {
-		return carobkind.New(carobkind.Invalid, "routes: no version, or more than %d routes", Most)
+func (r *RouteTable) index() error {
+	if r.Version == carobrouteversion.None || len(r.Routes) > MaxRoutes {
+		return carobkind.New(carobkind.Invalid, "routes: no version, or more than %d routes", MaxRoutes)
 	}
 	byHost := map[string][]*carobroute.Route{}
 	for i := range r.Routes {
@@ -81,7 +81,7 @@
 
 // Match returns the route of the host with the longest prefix of the path, or
 // nil. The port of the host and the query of the path are ignored.
-func (r *Routes) Match(host, path string) *carobroute.Route {
+func (r *RouteTable) Match(host, path string) *carobroute.Route {
 	if name, _, found := strings.Cut(host, ":"); found {
 		host = name
 	}
--- a/pkg/carobroutes/routes_test.go
+++ b/pkg/carobroutes/routes_test.go
@@ -14,15 +14,15 @@
 
 func newRoute(host, prefix string) carobroute.Route {
 	return carobroute.Route{
-		Name: "r", Host: host, Prefix: prefix, Once: carobonce.No, Tries: 2,
-		Split: []carobpart.Part{{Service: "lookups", Weight: 1}},
+		Name: "r", Host: host, Prefix: prefix, Guarantee: carobonce.No, Attempts: 2,
+		WeightedServices: []carobpart.WeightedService{{Service: "lookups", Weight: 1}},
 	}
 }
 
 // Guards against calls that follow a shorter prefix, or that are not matched
 // because of a port or a query.
 func TestLongestPrefixWins(t *testing.T) {
-	table, err := carobroutes.NewRoutes(7, []carobroute.Route{
+	table, err := carobroutes.NewRouteTable(7, []carobroute.Route{
 		newRoute("a.example", "/one/"), newRoute("a.example", "/one/two/"), newRoute("b.example", "/"),
 	})
 	require.NoError(t, err)
@@ -56,29 +56,29 @@
 	}{
 		{"no host", func(route *carobroute.Route) { route.Host = "" }},
 		{"prefix without slash", func(route *carobroute.Route) { route.Prefix = "/one" }},
-		{"no attempts allowed", func(route *carobroute.Route) { route.Tries = 0 }},
-		{"no service", func(route *carobroute.Route) { route.Split = nil }},
-		{"negative weight", func(route *carobroute.Route) { route.Split[0].Weight = -1 }},
-		{"invalid service", func(route *carobroute.Route) { route.Split[0].Service = "A B" }},
+		{"no attempts allowed", func(route *carobroute.Route) { route.Attempts = 0 }},
+		{"no service", func(route *carobroute.Route) { route.WeightedServices = nil }},
+		{"negative weight", func(route *carobroute.Route) { route.WeightedServices[0].Weight = -1 }},
+		{"invalid service", func(route *carobroute.Route) { route.WeightedServices[0].Service = "A B" }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			route := newRoute("a.example", "/one/")
 			c.change(&route)
-			_, err := carobroutes.NewRoutes(7, []carobroute.Route{route})
+			_, err := carobroutes.NewRouteTable(7, []carobroute.Route{route})
 			require.Error(t, err)
 		})
 	}
-	_, err := carobroutes.NewRoutes(0, nil)
+	_, err := carobroutes.NewRouteTable(0, nil)
 	require.Error(t, err, "a table needs a version")
 }
 
 // Guards against a decoded table without an index, in which no route matches.
 func TestTableIsUsableAfterJSONRoundTrip(t *testing.T) {
-	table, err := carobroutes.NewRoutes(7, []carobroute.Route{newRoute("a.example", "/one/")})
+	table, err := carobroutes.NewRouteTable(7, []carobroute.Route{newRoute("a.example", "/one/")})
 	require.NoError(t, err)
 	text, err := json.Marshal(table)
 	require.NoError(t, err)
-	var decoded carobroutes.Routes
+	var decoded carobroutes.RouteTable
 	require.NoError(t, json.Unmarshal(text, &decoded))
 	require.Equal(t, table.Routes, decoded.Routes)
 	require.NotNil(t, decoded.Match("a.example", "/one/x"))
@@ -89,7 +89,7 @@
 func FuzzRoutes(f *testing.F) {
 	f.Add([]byte(`{"version":7,"routes":[{"name":"r","host":"a","prefix":"/","once":"no","tries":1,"split":[{"service":"s","weight":1}]}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var table carobroutes.Routes
+		var table carobroutes.RouteTable
 		if json.Unmarshal(text, &table) != nil {
 			return
 		}
--- a/pkg/carobroutesync/system.go
+++ b/pkg/carobroutesync/system.go
@@ -60,7 +60,7 @@
 }
 
 // apply applies a table and reports true if it is newer than the one in force.
-func apply(w *carobworld.World, rs *carobroutes.Routes, from string) bool {
+func apply(w *carobworld.World, rs *carobroutes.RouteTable, from string) bool {
 	if rs.Version <= w.RoutesVersion() {
 		return false
 	}
--- a/pkg/carobrouting/estimate.go
+++ b/pkg/carobrouting/estimate.go
@@ -26,7 +26,7 @@
 	for i := range candidates {
 		cd := &candidates[i]
 		meanReported += cd.reportedCalls / float64(len(candidates))
-		meanOpen += float64(cd.load.Open) / float64(len(candidates))
+		meanOpen += float64(cd.load.OpenAttempts) / float64(len(candidates))
 	}
 	for i := range candidates {
 		cd := &candidates[i]
@@ -34,7 +34,7 @@
 		if cd.latency > 0 {
 			reportWeight = math.Exp(-float64(cd.reportAge) / float64(cd.latency))
 		}
-		fallback := meanReported + float64(cd.load.Open) - meanOpen
+		fallback := meanReported + float64(cd.load.OpenAttempts) - meanOpen
 		cd.inFlight = max(0, reportWeight*cd.reportedCalls+(1-reportWeight)*fallback)
 		if cd.latency > lowest {
 			cd.latency = lowest + time.Duration(float64(cd.latency-lowest)*math.Exp(-float64(cd.reportAge)/float64(latencyDecay)))
--- a/pkg/carobrouting/estimate_test.go
+++ b/pkg/carobrouting/estimate_test.go
@@ -16,7 +16,7 @@
 		candidates := newCandidates([]float64{12, 2, 4}, []time.Duration{200 * ms, 20 * ms, 20 * ms})
 		for i := range candidates {
 			candidates[i].reportAge = age
-			candidates[i].load.Open = i
+			candidates[i].load.OpenAttempts = i
 		}
 		return candidates
 	}
--- a/pkg/carobrouting/policies.go
+++ b/pkg/carobrouting/policies.go
@@ -33,8 +33,8 @@
 	return expected{}
 }
 
-// Known reports whether a policy of that name exists.
-func Known(name carobword.Word) bool {
+// HasPolicy reports whether a policy of that name exists.
+func HasPolicy(name carobword.Word) bool {
 	_, ok := policies[name]
 	return ok
 }
--- a/pkg/carobrouting/policies_test.go
+++ b/pkg/carobrouting/policies_test.go
@@ -17,7 +17,7 @@
 	for i := range candidates {
 		candidates[i] = candidate{
 			slots: 12, inFlight: inFlight[i], reportedCalls: inFlight[i], latency: latencies[i],
-			load: &carobload.Load{Open: int(inFlight[i]), Turn: uint64(i)},
+			load: &carobload.Load{OpenAttempts: int(inFlight[i]), LastSendNumber: uint64(i)},
 		}
 	}
 	return candidates
@@ -59,6 +59,6 @@
 		})
 	}
 	require.Equal(t, 0, policyOf("twochoices").pick(rand.New(rand.NewPCG(1, 1)), newCandidates([]float64{5}, similar[:1])))
-	require.True(t, Known("expected"))
-	require.False(t, Known("nosuch"))
+	require.True(t, HasPolicy("expected"))
+	require.False(t, HasPolicy("nosuch"))
 }
--- a/pkg/carobrouting/policy_leastown.go
+++ b/pkg/carobrouting/policy_leastown.go
@@ -7,5 +7,5 @@
 type leastOwn struct{}
 
 func (leastOwn) pick(rng *rand.Rand, candidates []candidate) int {
-	return pickLowest(rng, candidates, func(cd *candidate) float64 { return float64(cd.load.Open) / float64(cd.slots) })
+	return pickLowest(rng, candidates, func(cd *candidate) float64 { return float64(cd.load.OpenAttempts) / float64(cd.slots) })
 }
--- a/pkg/carobrouting/policy_roundrobin.go
+++ b/pkg/carobrouting/policy_roundrobin.go
@@ -6,5 +6,5 @@
 type roundRobin struct{}
 
 func (roundRobin) pick(rng *rand.Rand, candidates []candidate) int {
-	return pickLowest(rng, candidates, func(cd *candidate) float64 { return float64(cd.load.Turn) })
+	return pickLowest(rng, candidates, func(cd *candidate) float64 { return float64(cd.load.LastSendNumber) })
 }
--- a/pkg/carobrouting/replies.go
+++ b/pkg/carobrouting/replies.go
@@ -24,11 +24,11 @@
 	if load == nil {
 		return
 	}
-	load.Open = max(0, load.Open-1)
+	load.OpenAttempts = max(0, load.OpenAttempts-1)
 	if reply.Report != nil {
-		load.Report, load.At, load.Sent = *reply.Report, now, 0
+		load.Report, load.ReportedAt, load.SentSinceReport = *reply.Report, now, 0
 	} else {
-		load.Sent = max(0, load.Sent-1)
+		load.SentSinceReport = max(0, load.SentSinceReport-1)
 	}
 	recordOutcome(load, now, reply, supersededByAnswer(world, reply))
 }
@@ -49,20 +49,20 @@
 	switch {
 	case reply.Kind == carobkind.None && reply.Status < http.StatusInternalServerError:
 		load.Successes++
-		load.Streak = 0
+		load.ConsecutiveFailures = 0
 	case superseded, reply.Kind == carobkind.None, reply.Kind == carobkind.Cut, reply.Kind == carobkind.Unreachable:
 		load.Failures++
-		load.Streak++
+		load.ConsecutiveFailures++
 	}
 }
 
 // decayOutcomes applies the decay up to now to the counts of successes and
 // failures.
 func decayOutcomes(load *carobload.Load, now carobinstant.Instant) {
-	keep := math.Exp(-float64(now.Sub(load.Counted)) / float64(outcomeDecay))
+	keep := math.Exp(-float64(now.Sub(load.DecayedAt)) / float64(outcomeDecay))
 	load.Successes *= keep
 	load.Failures *= keep
-	load.Counted = now
+	load.DecayedAt = now
 }
 
 // loadOf returns the row of a target and adds it if it is missing. It returns
--- a/pkg/carobrouting/subset.go
+++ b/pkg/carobrouting/subset.go
@@ -21,10 +21,10 @@
 	if len(group.Targets) <= size {
 		return group.Targets
 	}
-	if len(group.View) != size {
-		group.View = rankTargets(world, group.Targets)[:size]
+	if len(group.Subset) != size {
+		group.Subset = rankTargets(world, group.Targets)[:size]
 	}
-	return group.View
+	return group.Subset
 }
 
 // rankTargets returns the targets in the order in which they join the subset.
--- a/pkg/carobrouting/system.go
+++ b/pkg/carobrouting/system.go
@@ -137,7 +137,7 @@
 // trial with an open attempt.
 func (s *System) addCandidate(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, id carobtargetid.ID) {
 	target := world.Targets.Get(id)
-	if target == nil || target.State != carobreadiness.Ready || world.Stopping && world.Owns(target) {
+	if target == nil || target.Readiness != carobreadiness.Ready || world.Stopping && world.Owns(target) {
 		return
 	}
 	added := candidate{targetID: id, nodeID: target.Node, slots: max(target.Slots, 1), incarnation: world.Self.Incarnation, sameCentre: true}
@@ -153,8 +153,8 @@
 	if added.load = loadOf(world, id); added.load == nil || isUnavailable(added.load) {
 		return
 	}
-	added.load.Looked = now
-	added.reportedAt = added.load.At
+	added.load.LastCandidateAt = now
+	added.reportedAt = added.load.ReportedAt
 	setReportedLoad(world, now, target, &added)
 	s.candidates = append(s.candidates, added)
 }
@@ -182,7 +182,7 @@
 // isUnavailable reports whether a target is ejected, or under trial with an
 // open attempt.
 func isUnavailable(load *carobload.Load) bool {
-	return load.Ejected != carobinstant.Never || load.Trial && load.Open > 0
+	return load.EjectionEnd != carobinstant.Never || load.OnTrial && load.OpenAttempts > 0
 }
 
 // setReportedLoad sets the load of a candidate. This node's own target has a
@@ -194,8 +194,8 @@
 		return
 	}
 	report := &added.load.Report
-	added.reportedCalls = float64(report.Running + report.Queued + added.load.Sent)
-	added.reportAge = now.Sub(added.load.At)
+	added.reportedCalls = float64(report.Running + report.Queued + added.load.SentSinceReport)
+	added.reportAge = now.Sub(added.load.ReportedAt)
 	added.latency = report.Latency.Duration()
 }
 
@@ -216,9 +216,9 @@
 		Target: chosen.targetID, Node: chosen.nodeID, Incarnation: chosen.incarnation, Sent: now,
 	})
 	s.turn++
-	chosen.load.Sent++
-	chosen.load.Open++
-	chosen.load.Turn = s.turn
+	chosen.load.SentSinceReport++
+	chosen.load.OpenAttempts++
+	chosen.load.LastSendNumber = s.turn
 	world.Decide(carobdecision.Decision{
 		Part: "route", Text: "attempt sent", Request: call.Arrival.Request, Call: call.Arrival.Call,
 		Attempt: len(call.Attempts), Target: chosen.targetID,
--- a/pkg/carobrouting/waiting_test.go
+++ b/pkg/carobrouting/waiting_test.go
@@ -29,7 +29,7 @@
 	group := carobgroup.Group{}
 	for i := range targets {
 		id := carobtargetid.ID{Service: "lookups", Name: carobword.Word(rune('a' + i))}
-		world.Targets.Put(id, carobtarget.Target{ID: id, Node: "self", Slots: 1, State: state})
+		world.Targets.Put(id, carobtarget.Target{ID: id, Node: "self", Slots: 1, Readiness: state})
 		group.Targets = append(group.Targets, id)
 	}
 	world.Groups.Put("lookups", group)
@@ -50,7 +50,7 @@
 	s.Run(world, 1)
 	require.Empty(t, world.Outbox.Sends)
 	for _, target := range world.Targets.All() {
-		target.State = carobreadiness.Ready
+		target.Readiness = carobreadiness.Ready
 	}
 	world.Begin(carobinbox.Inbox{})
 	s.Run(world, 2)
--- a/pkg/carobshutdown/system_test.go
+++ b/pkg/carobshutdown/system_test.go
@@ -81,7 +81,7 @@
 	}})
 	now := carobinstant.Instant(time.Hour)
 	core.World().Targets.Put(target, carobtarget.Target{
-		ID: target, Node: "here", Slots: 4, State: carobreadiness.Ready, Heard: now,
+		ID: target, Node: "here", Slots: 4, Readiness: carobreadiness.Ready, AnnouncedAt: now,
 	})
 	of := caroboffer.Offer{
 		Job:    carobjobid.ID{Call: carobcallid.ID{Node: "entry", Sequence: 1}, Attempt: 1},
--- a/pkg/carobtarget/target.go
+++ b/pkg/carobtarget/target.go
@@ -24,10 +24,10 @@
 	Profile carobword.Word `json:"profile"`
 	// Slots is the number of calls that the target runs at once, at least 1.
 	Slots int `json:"slots"`
-	// Conns is the number of connections that the target accepts, at least 1.
-	Conns int `json:"conns"`
-	// State says whether the target accepts new work.
-	State carobreadiness.Readiness `json:"state"`
-	// Heard is when the newest announcement was received; Never on other nodes.
-	Heard carobinstant.Instant `json:"-"`
+	// Connections is the number of connections that the target accepts, at least 1.
+	Connections int `json:"conns"`
+	// Readiness says whether the target accepts new work.
+	Readiness carobreadiness.Readiness `json:"state"`
+	// AnnouncedAt is when the newest announcement was received; Never on other nodes.
+	AnnouncedAt carobinstant.Instant `json:"-"`
 }
--- a/pkg/carobthrottle/throttle.go
+++ b/pkg/carobthrottle/throttle.go
@@ -21,7 +21,7 @@
 // the period, plus the one amount that overdraws the bucket.
 type Throttle struct {
 	config Config
-	bucket carobbucket.Bucket
+	bucket carobbucket.TokenBucket
 }
 
 // NewThrottle returns a throttle with a full burst.
@@ -29,9 +29,9 @@
 	return &Throttle{config: c}
 }
 
-// Spend reports whether an amount may be sent at now, and deducts it. It
+// Allow reports whether an amount may be sent at now, and deducts it. It
 // refuses while earlier amounts have used up the limit.
-func (t *Throttle) Spend(now carobinstant.Instant, amount int) bool {
+func (t *Throttle) Allow(now carobinstant.Instant, amount int) bool {
 	t.bucket.Fill(now, float64(t.config.Rate), float64(t.config.Burst))
 	return t.bucket.Overdraw(float64(amount))
 }
--- a/pkg/carobthrottle/throttle_test.go
+++ b/pkg/carobthrottle/throttle_test.go
@@ -24,7 +24,7 @@
 		for range rapid.IntRange(1, 60).Draw(r, "amounts") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(r, "gap")) * time.Millisecond)
 			amount := rapid.IntRange(1, largest).Draw(r, "amount")
-			if th.Spend(now, amount) {
+			if th.Allow(now, amount) {
 				spends = append(spends, spend{at: now, amount: amount})
 			}
 		}
--- a/pkg/carobworld/world.go
+++ b/pkg/carobworld/world.go
@@ -57,7 +57,7 @@
 	// Self is this node's description of itself.
 	Self    carobmember.Member
 	Limits  caroblimits.Limits
-	Measure carobmeasure.Measure
+	Measure carobmeasure.ProbeLimits
 	Retries carobretries.Retries
 	// Seed is the seed of the random number generator.
 	Seed uint64
@@ -70,7 +70,7 @@
 	// gossiped.
 	Self    carobmember.Member
 	Limits  caroblimits.Limits
-	Measure carobmeasure.Measure
+	Measure carobmeasure.ProbeLimits
 	Retries carobretries.Retries
 	// Random is the only random number generator that systems use, so that a run is
 	// reproducible from its seed.
@@ -85,7 +85,7 @@
 	// Targets has all known targets, including the node's own.
 	Targets *carobtable.Table[carobtargetid.ID, carobtarget.Target]
 	// Lives has the newest incarnation of a target at each address on the VM.
-	Lives *carobtable.Table[carobaddress.Address, caroblife.Life]
+	Lives *carobtable.Table[carobaddress.Address, caroblife.Instance]
 	// TargetsChanged is true while Groups is out of date with respect to Targets.
 	TargetsChanged bool
 	// Groups has the targets by service, derived from Targets.
@@ -101,7 +101,7 @@
 	// A node may no longer be at its address.
 	Hints *carobtable.Table[carobnodeid.ID, carobaddress.Address]
 	// Inquiries has the heartbeats that have not been answered, by their number.
-	Inquiries *carobtable.Table[uint64, carobinquiry.Inquiry]
+	Inquiries *carobtable.Table[uint64, carobinquiry.PendingHeartbeat]
 	// Farewell is true once this node has announced to other nodes that it leaves.
 	Farewell bool
 
@@ -110,9 +110,9 @@
 	// Loads has the load of targets as this node sees it as an entry.
 	Loads *carobtable.Table[carobtargetid.ID, carobload.Load]
 	// Buckets has the token buckets that limit the cost of measuring.
-	Buckets *carobtable.Table[carobword.Word, carobbucket.Bucket]
+	Buckets *carobtable.Table[carobword.Word, carobbucket.TokenBucket]
 	// Paces has the latency statistics of each service.
-	Paces *carobtable.Table[carobservice.Service, carobpace.Pace]
+	Paces *carobtable.Table[carobservice.Service, carobpace.Latency]
 
 	// Calls, admission and claims.
 
@@ -123,12 +123,12 @@
 	// Jobs has the jobs at the node's own targets.
 	Jobs *carobtable.Table[carobjobid.ID, carobjob.Job]
 	// Ended has the most recent jobs that were started and have ended.
-	Ended *carobring.Ring[carobjobid.ID, carobfinish.Finish]
+	Ended *carobring.EvictingMap[carobjobid.ID, carobfinish.Finish]
 	// Tombstones has the most recent fenced jobs: those that must never run.
-	Tombstones *carobring.Ring[carobjobid.ID, struct{}]
+	Tombstones *carobring.EvictingMap[carobjobid.ID, struct{}]
 	// Watermarks has, for each entry node, bounds that stand for the rows evicted from
 	// Ended and Tombstones.
-	Watermarks *carobring.Ring[carobnodeid.ID, carobwatermark.Watermark]
+	Watermarks *carobring.EvictingMap[carobnodeid.ID, carobwatermark.Watermark]
 	// Forgotten and Barred stand for evicted watermarks. Forgotten is the highest
 	// incarnation of an evicted watermark, and Barred the highest of one that covered
 	// tombstones. Neither ever decreases.
@@ -149,7 +149,7 @@
 
 	// Routes is the route table in force; nil if none is known. Its version never
 	// decreases.
-	Routes *carobroutes.Routes
+	Routes *carobroutes.RouteTable
 	// Behind is true after a start until the node has read the log, which may hold newer
 	// profiles. Until then no profile from the log is in force.
 	Behind bool
@@ -213,16 +213,16 @@
 		Measure:     c.Measure,
 		Random:      rand.New(rand.NewPCG(c.Seed, randomStream)), //nolint:gosec // runs must be reproducible from a seed
 		Targets:     carobtable.NewTable[carobtargetid.ID, carobtarget.Target](carobtable.Config{Limit: c.Limits.Targets}),
-		Lives:       carobtable.NewTable[carobaddress.Address, caroblife.Life](carobtable.Config{Limit: carobmember.MostTargets}),
+		Lives:       carobtable.NewTable[carobaddress.Address, caroblife.Instance](carobtable.Config{Limit: carobmember.MostTargets}),
 		Retries:     c.Retries,
 		Groups:      carobtable.NewTable[carobservice.Service, carobgroup.Group](carobtable.Config{Limit: c.Limits.Targets}),
-		Buckets:     carobtable.NewTable[carobword.Word, carobbucket.Bucket](carobtable.Config{Limit: measureBuckets}),
-		Paces:       carobtable.NewTable[carobservice.Service, carobpace.Pace](carobtable.Config{Limit: c.Limits.Targets}),
+		Buckets:     carobtable.NewTable[carobword.Word, carobbucket.TokenBucket](carobtable.Config{Limit: measureBuckets}),
+		Paces:       carobtable.NewTable[carobservice.Service, carobpace.Latency](carobtable.Config{Limit: c.Limits.Targets}),
 		Loads:       carobtable.NewTable[carobtargetid.ID, carobload.Load](carobtable.Config{Limit: c.Limits.Targets}),
 		Gates:       carobtable.NewTable[carobtargetid.ID, carobgate.Gate](carobtable.Config{Limit: c.Limits.Targets}),
 		News:        carobtable.NewTable[carobnodeid.ID, struct{}](carobtable.Config{Limit: c.Limits.Peers}),
 		Hints:       carobtable.NewTable[carobnodeid.ID, carobaddress.Address](carobtable.Config{Limit: c.Limits.Peers}),
-		Inquiries:   carobtable.NewTable[uint64, carobinquiry.Inquiry](carobtable.Config{Limit: maxUnansweredHeartbeats}),
+		Inquiries:   carobtable.NewTable[uint64, carobinquiry.PendingHeartbeat](carobtable.Config{Limit: maxUnansweredHeartbeats}),
 		Peers:       carobtable.NewTable[carobnodeid.ID, carobpeer.Peer](carobtable.Config{Limit: c.Limits.Peers}),
 		CallTraces:  carobtable.NewTable[carobcallid.ID, carobtrace.Trace](carobtable.Config{Limit: 2 * c.Limits.Calls}),
 		JobTraces:   carobtable.NewTable[carobjobid.ID, carobtrace.Trace](carobtable.Config{Limit: 2 * c.Limits.Jobs}),
@@ -320,7 +320,7 @@
 }
 
 // NoteRoutes records in the audit trail that a newer route table came from a source.
-func (w *World) NoteRoutes(from string, rs *carobroutes.Routes) {
+func (w *World) NoteRoutes(from string, rs *carobroutes.RouteTable) {
 	w.Note("routes", from, "route table",
 		strconv.FormatUint(uint64(w.RoutesVersion()), 10), strconv.FormatUint(uint64(rs.Version), 10))
 }
--- a/test/capacity/membership_test.go
+++ b/test/capacity/membership_test.go
@@ -184,7 +184,7 @@
 	id := carobtargetid.ID{Service: "service-0", Name: "node-17"}
 	c.announce(leaver, "service-0", carobreadiness.Leaving)
 	took := c.runUntil(10*time.Second, func() bool {
-		return c.all(func(n *node) bool { return n.core.World().Targets.Get(id).State == carobreadiness.Leaving })
+		return c.all(func(n *node) bool { return n.core.World().Targets.Get(id).Readiness == carobreadiness.Leaving })
 	})
 	require.Less(t, took, 3*time.Second)
 }
@@ -199,7 +199,7 @@
 		c.run(100 * time.Millisecond)
 		c.announce(c.nodes[i], string(id.Service), carobreadiness.Leaving)
 		took := c.runUntil(10*time.Second, func() bool {
-			return c.all(func(n *node) bool { return n.core.World().Targets.Get(id).State == carobreadiness.Leaving })
+			return c.all(func(n *node) bool { return n.core.World().Targets.Get(id).Readiness == carobreadiness.Leaving })
 		})
 		require.Less(t, took, 3*time.Second)
 	}
@@ -224,9 +224,9 @@
 	c.gather(3)
 	c.heartbeat(5 * time.Second)
 	id := carobtargetid.ID{Service: "service-1", Name: "node-1"}
-	require.Equal(t, carobreadiness.Ready, c.nodes[1].core.World().Targets.Get(id).State)
+	require.Equal(t, carobreadiness.Ready, c.nodes[1].core.World().Targets.Get(id).Readiness)
 	c.run(6 * time.Second)
-	require.True(t, c.all(func(n *node) bool { return n.core.World().Targets.Get(id).State == carobreadiness.Leaving }))
+	require.True(t, c.all(func(n *node) bool { return n.core.World().Targets.Get(id).Readiness == carobreadiness.Leaving }))
 }
 
 func TestGracefulShutdownSaysGoodbye(t *testing.T) {
--- a/test/fuzz/checks_test.go
+++ b/test/fuzz/checks_test.go
@@ -32,7 +32,7 @@
 	case tg.down || s.chance(lostCheck):
 		wait = s.jitter(retryPause)
 	default:
-		hl.Pressure = &carobpressure.Pressure{Slots: 2, Slowness: 1}
+		hl.Pressure = &carobpressure.TargetLoad{Slots: 2, Slowness: 1}
 		if s.chance(slowVM) {
 			hl.Pressure.Slowness = 5
 		}
--- a/test/fuzz/decoders_test.go
+++ b/test/fuzz/decoders_test.go
@@ -144,7 +144,7 @@
 	base := carobmessage.Message{From: "n1", Incarnation: 7, Back: "10.0.0.1:7"}
 	gossip, supply := base, base
 	gossip.Gossip = &carobgossip.Gossip{Members: []carobmember.Member{{Node: "n2", Region: "r", Centre: "c", Peer: "10.0.0.2:7", Targets: []carobtarget.Target{
-		{ID: carobtargetid.ID{Service: "a", Name: "b"}, Node: "n2", Profile: "a", Slots: 1, Conns: 1, State: carobreadiness.Ready},
+		{ID: carobtargetid.ID{Service: "a", Name: "b"}, Node: "n2", Profile: "a", Slots: 1, Connections: 1, Readiness: carobreadiness.Ready},
 	}}}}
 	supply.Supply = &carobsupply.Supply{Snapshot: &carobsnapshot.Snapshot{Through: 3}}
 	for _, ms := range []carobmessage.Message{base, gossip, supply, everything()} {
--- a/test/fuzz/mutations_test.go
+++ b/test/fuzz/mutations_test.go
@@ -163,7 +163,7 @@
 			if gs := in.Messages[i].Gossip; gs != nil {
 				for j := range gs.Members {
 					for k := range gs.Members[j].Targets {
-						gs.Members[j].Targets[k].State = carobreadiness.Ready
+						gs.Members[j].Targets[k].Readiness = carobreadiness.Ready
 					}
 				}
 			}
--- a/test/fuzz/node_test.go
+++ b/test/fuzz/node_test.go
@@ -103,9 +103,9 @@
 			Region: "bavaria", Centre: "west", Peer: peerAddress(place),
 		},
 	}
-	measure := carobmeasure.NewMeasure()
+	measure := carobmeasure.NewProbeLimits()
 	if s.plan.checked {
-		measure.Checks = checks
+		measure.ChecksPerSecond = checks
 	}
 	n.core = carobcore.NewCore(carobcore.Config{
 		World: carobworld.Config{Self: n.self, Limits: caroblimits.NewLimits(), Measure: measure, Seed: s.random.Uint64()},
@@ -258,7 +258,7 @@
 	}
 	for _, ms := range out.Messages {
 		if bytes := measuring(n.s, ms); bytes > 0 {
-			o.measured(string(n.self.Node), bytes, now, float64(n.core.World().Measure.Rate))
+			o.measured(string(n.self.Node), bytes, now, float64(n.core.World().Measure.BytesPerSecond))
 		}
 	}
 }
