--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -97,7 +97,7 @@
 	for _, rp := range out.Reports {
 		a.reports.Store(rp.Target, &rp)
 	}
-	for _, ck := range out.Checks {
+	for _, ck := range out.HealthChecks {
 		go a.check(ck)
 	}
 	for _, rf := range out.Refusals {
@@ -148,7 +148,7 @@
 func (a *Admitter) run(cx context.Context, st *carobstart.Start, rq *fasthttp.Request, target carobtargetid.ID) (*carobanswer.Answer, error) {
 	carobheader.CleanRequest(&rq.Header)
 	a.config.Dialect.Ask(rq, st, target)
-	an, err := a.config.Targets.Do(cx, st.Address, rq, st.Once != carobonce.No)
+	an, err := a.config.Targets.Do(cx, st.Address, rq, st.Once != carobonce.Idempotent)
 	if err != nil {
 		a.finish(carobfinish.Finish{Job: st.Job, Kind: carobkind.Of(err)})
 		return nil, err
--- a/internal/carobadmitter/check.go
+++ b/internal/carobadmitter/check.go
@@ -20,7 +20,7 @@
 // check asks a target how it is, and tells what came of it.
 func (a *Admitter) check(ck carobcheck.Check) {
 	hl := carobhealth.Health{Target: ck.Target, Pressure: a.ask(ck)}
-	a.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Healths = append(in.Healths, hl) })
+	a.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.CheckResults = append(in.CheckResults, hl) })
 }
 
 // ask returns what the target tells of its load, or nil if it does not answer.
--- a/internal/carobclaimlog/claimlog.go
+++ b/internal/carobclaimlog/claimlog.go
@@ -44,13 +44,13 @@
 
 // Carry starts what the control goroutine decided.
 func (c *ClaimLog) Carry(out *caroboutbox.Outbox) {
-	for _, fl := range out.Follows {
+	for _, fl := range out.Subscriptions {
 		c.stop(fl.Stream)
 		if fl.On {
 			c.follow(fl.Stream)
 		}
 	}
-	for _, cm := range out.Commits {
+	for _, cm := range out.AppendRequests {
 		go c.commit(cm)
 	}
 }
@@ -75,5 +75,5 @@
 func (c *ClaimLog) commit(cm carobcommit.Commit) {
 	_, err := c.config.Log.Append(c.context, cm.Stream, cm.Data)
 	cd := carobcommitted.Committed{Stream: cm.Stream, Number: cm.Number, Kind: carobkind.Of(err)}
-	c.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Committed = append(in.Committed, cd) })
+	c.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.AppendResults = append(in.AppendResults, cd) })
 }
--- a/internal/carobcommand/profiles.go
+++ b/internal/carobcommand/profiles.go
@@ -108,7 +108,7 @@
 }
 
 func base(offset caroboffset.Offset) string {
-	if offset == caroboffset.None {
+	if offset == caroboffset.BeforeFirst {
 		return "none"
 	}
 	return fmt.Sprint(offset)
--- a/internal/carobcontrol/control.go
+++ b/internal/carobcontrol/control.go
@@ -85,7 +85,7 @@
 }
 
 func (c *Control) tick(in carobinbox.Inbox) {
-	out := c.config.Core.Step(c.config.Timer.Now(), in)
+	out := c.config.Core.Tick(c.config.Timer.Now(), in)
 	for _, o := range c.outlets {
 		o.Carry(out)
 	}
--- a/internal/carobdemo/ask.go
+++ b/internal/carobdemo/ask.go
@@ -63,7 +63,7 @@
 		if err := json.Unmarshal(data, &runs); err != nil {
 			return 0, carobkind.Wrap(carobkind.Invalid, err, "decode runs")
 		}
-		if tg.once == carobonce.No {
+		if tg.once == carobonce.Idempotent {
 			continue
 		}
 		for _, n := range runs.Calls {
--- a/internal/carobdemo/demo.go
+++ b/internal/carobdemo/demo.go
@@ -45,15 +45,15 @@
 // service is one of the demo's services.
 type service struct {
 	name carobservice.Service
-	once carobonce.Once
+	once carobonce.Guarantee
 	rate float64
 	// keys is the share of calls with an idempotency key.
 	keys carobshare.Share
 }
 
 var services = []service{
-	{name: "lookups", once: carobonce.No, rate: 300},
-	{name: "payouts", once: carobonce.Key, rate: 60, keys: 1},
+	{name: "lookups", once: carobonce.Idempotent, rate: 300},
+	{name: "payouts", once: carobonce.OncePerKey, rate: 60, keys: 1},
 }
 
 const (
--- a/internal/carobdemo/parts.go
+++ b/internal/carobdemo/parts.go
@@ -36,7 +36,7 @@
 // runningTarget is a target and where it answers.
 type runningTarget struct {
 	id      carobtargetid.ID
-	once    carobonce.Once
+	once    carobonce.Guarantee
 	address carobaddress.Address
 }
 
@@ -103,7 +103,7 @@
 		return err
 	}
 	bh := carobbehaviour.NewBehaviour()
-	bh.Latency, bh.Shape = carobspan.Span(latency), carobbehaviour.LogNormal
+	bh.Latency, bh.Shape = carobspan.Duration(latency), carobbehaviour.LogNormal
 	id := carobtargetid.ID{Service: sv.name, Name: carobword.Word(fmt.Sprintf("t%d", i))}
 	tg := carobstandtarget.NewTarget(carobstandtarget.Config{
 		ID: id, Profile: carobword.Word(sv.name), Slots: slots, Conns: slots * slots, Behaviour: bh,
--- a/internal/carobemulator/caller.go
+++ b/internal/carobemulator/caller.go
@@ -63,7 +63,7 @@
 	n := e.nodes[v.place]
 	v.call = carobcallid.ID{Node: n.self.Node, Incarnation: n.self.Incarnation, Sequence: id<<attemptBits | n.calls%(1<<attemptBits)}
 	n.calls++
-	ar := carobarrival.Arrival{Call: v.call, Host: host(v.kind), Path: "/", Patience: v.deadline.Sub(e.now)}
+	ar := carobarrival.Arrival{Call: v.call, Host: host(v.kind), Path: "/", Timeout: v.deadline.Sub(e.now)}
 	e.post(v.place, 0, func(in *carobinbox.Inbox) { in.Arrivals = append(in.Arrivals, ar) })
 }
 
@@ -102,12 +102,12 @@
 
 // again has a caller come back if it may, and reports whether it does.
 func (e *Emulator) again(id uint64, v *visit, cn carobconclusion.Conclusion, status int) bool {
-	safe := e.scenario.Kinds[v.kind].Once == carobonce.No
+	safe := e.scenario.Kinds[v.kind].Once == carobonce.Idempotent
 	left := v.deadline.Sub(e.now)
 	if v.retries == 0 || left <= 0 || status == http.StatusOK || !safe && (cn.Kind == carobkind.None || !cn.Kind.NotRun()) {
 		return false
 	}
-	after := cn.After
+	after := cn.RetryAfter
 	if after == 0 {
 		after = cn.Kind.Retry()
 	}
--- a/internal/carobemulator/node.go
+++ b/internal/carobemulator/node.go
@@ -82,22 +82,22 @@
 	n := &node{
 		place: place, due: e.now, open: map[carobjobid.ID]int{}, status: map[carobjobid.ID]int{},
 		self: carobmember.Member{
-			Node: carobnodeid.ID(fmt.Sprintf("n%d", place)), Incarnation: 1, Region: "here", Centre: centre, Peer: peer,
+			Node: carobnodeid.ID(fmt.Sprintf("n%d", place)), Incarnation: 1, Region: "here", Centre: centre, PeerAddress: peer,
 		},
 		target: target{id: carobtargetid.ID{Service: service, Name: carobword.Word(fmt.Sprintf("t%d", place))}, slots: slots},
 	}
 	var known []carobaddress.Address
 	for _, other := range e.nodes[:min(seeds, place)] {
-		known = append(known, other.self.Peer)
+		known = append(known, other.self.PeerAddress)
 	}
 	n.core = carobcore.NewCore(carobcore.Config{
 		World: carobworld.Config{
-			Self: n.self, Limits: caroblimits.NewLimits(), Measure: e.scenario.Measure, Retries: e.scenario.Retries,
+			Self: n.self, Limits: caroblimits.NewLimits(), ProbeLimits: e.scenario.Measure, RetryLimits: e.scenario.Retries,
 			Seed: e.random.Uint64(),
 		},
-		Seeds: known, Profiles: []carobprofile.Profile{e.scenario.Profile}, Silence: forever, Untraced: true,
+		Seeds: known, Profiles: []carobprofile.Profile{e.scenario.Profile}, AnnouncementTimeout: forever, NoTracePropagation: true,
 	})
-	n.inbox.Routes = []*carobroutes.RouteTable{e.routes}
+	n.inbox.RouteTables = []*carobroutes.RouteTable{e.routes}
 	n.inbox.Announcements = []carobannouncement.Announcement{{
 		Target: n.target.id, Address: peer, Profile: e.scenario.Profile.Name, Slots: slots, Conns: slots,
 		State: carobreadiness.Ready,
@@ -114,7 +114,7 @@
 		}
 		in := n.inbox
 		n.inbox = carobinbox.Inbox{}
-		out := n.core.Step(e.now, in)
+		out := n.core.Tick(e.now, in)
 		n.due = n.core.Wake()
 		if n.due.Reached(e.now) {
 			n.due = e.now.Add(1)
@@ -142,9 +142,9 @@
 	for _, st := range out.Starts {
 		e.start(n, st)
 	}
-	for range out.Checks {
+	for range out.HealthChecks {
 		hl := carobhealth.Health{Target: n.target.id, Pressure: e.pressure(n)}
-		e.post(n.place, checkTime, func(in *carobinbox.Inbox) { in.Healths = append(in.Healths, hl) })
+		e.post(n.place, checkTime, func(in *carobinbox.Inbox) { in.CheckResults = append(in.CheckResults, hl) })
 	}
 	for _, id := range out.Cancels {
 		e.cancel(n, id)
@@ -157,11 +157,11 @@
 // send takes an attempt to the target's node.
 func (e *Emulator) send(n *node, sd carobsend.Send) {
 	to := n.place
-	if sd.Peer != "" {
-		to = e.places[sd.Peer]
+	if sd.PeerAddress != "" {
+		to = e.places[sd.PeerAddress]
 	}
 	n.open[sd.Job] = to
-	of := caroboffer.Offer{Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, Patience: sd.Patience, Wish: sd.Wish}
+	of := caroboffer.Offer{Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, Patience: sd.TimeLeft, Wish: sd.Requirements}
 	e.post(to, e.hop(n.place, to), func(in *carobinbox.Inbox) { in.Offers = append(in.Offers, of) })
 }
 
--- a/internal/carobentrance/arrival.go
+++ b/internal/carobentrance/arrival.go
@@ -24,12 +24,12 @@
 	if err := carobheader.Check(hd); err != nil {
 		return ar, err
 	}
-	ar.Key, ar.Trace = string(hd.Peek(carobheader.Key)), string(hd.Peek(carobheader.Trace))
+	ar.Key, ar.Traceparent = string(hd.Peek(carobheader.Key)), string(hd.Peek(carobheader.Trace))
 	var err error
 	if ar.Service, err = parseService(string(hd.Host())); err != nil {
 		return ar, err
 	}
-	ar.Patience, err = parsePatience(string(hd.Peek(carobheader.Deadline)))
+	ar.Timeout, err = parsePatience(string(hd.Peek(carobheader.Deadline)))
 	return ar, err
 }
 
--- a/internal/carobentrance/caller.go
+++ b/internal/carobentrance/caller.go
@@ -22,7 +22,7 @@
 }
 
 // Answer passes an answer on, and keeps a copy if the call has a key.
-func (c *caller) Answer(an *carobanswer.Answer, abandon func(), over func(kind carobkind.Kind, kept *carobkept.Kept)) {
+func (c *caller) Answer(an *carobanswer.Answer, abandon func(), over func(kind carobkind.Kind, kept *carobkept.StoredAnswer)) {
 	carobheader.CleanResponse(&an.Response.Header)
 	an.Response.Header.CopyTo(&c.ctx.Response.Header)
 	c.ctx.Response.Header.Set(carobheader.Outcome, string(caroboutcome.Answered))
@@ -44,7 +44,7 @@
 }
 
 // Repeat passes on the answer to an earlier call.
-func (c *caller) Repeat(kept *carobkept.Kept) {
+func (c *caller) Repeat(kept *carobkept.StoredAnswer) {
 	deliverKept(c.ctx, c.call, kept)
 }
 
--- a/internal/carobentrance/entrance.go
+++ b/internal/carobentrance/entrance.go
@@ -120,10 +120,10 @@
 		e.reject(rc, call, err)
 		return
 	}
-	if ar.Patience > 0 {
+	if ar.Timeout > 0 {
 		// What is left of the caller's patience once its body is here. Zero
 		// would mean that it gave none.
-		ar.Patience = max(1, ar.Patience-e.config.Timer.Now().Sub(came))
+		ar.Timeout = max(1, ar.Timeout-e.config.Timer.Now().Sub(came))
 	}
 	ar.Streamed = upload.Streamed()
 	defer e.config.Watch.Add(rc.Conn(), func() { e.exchanges.HangUp(call) })()
--- a/internal/carobentrance/kept.go
+++ b/internal/carobentrance/kept.go
@@ -14,7 +14,7 @@
 )
 
 // deliverKept gives a caller the answer to an earlier call with its key.
-func deliverKept(rc *fasthttp.RequestCtx, call carobcallid.ID, kp *carobkept.Kept) {
+func deliverKept(rc *fasthttp.RequestCtx, call carobcallid.ID, kp *carobkept.StoredAnswer) {
 	rc.Response.SetStatusCode(kp.Status)
 	rc.Response.Header.SetContentType(kp.Type)
 	rc.Response.Header.Set(carobheader.Outcome, string(caroboutcome.Answered))
@@ -50,9 +50,9 @@
 }
 
 // kept returns the copy, which is whole once the answer was passed on whole.
-func (c *copier) kept() *carobkept.Kept {
+func (c *copier) kept() *carobkept.StoredAnswer {
 	if c == nil {
 		return nil
 	}
-	return &carobkept.Kept{Status: c.status, Type: c.kind, Body: c.copied.Bytes()}
+	return &carobkept.StoredAnswer{Status: c.status, Type: c.kind, Body: c.copied.Bytes()}
 }
--- a/internal/carobexchange/exchange.go
+++ b/internal/carobexchange/exchange.go
@@ -60,9 +60,9 @@
 // conclude tells the caller how its call ended. Attempts that the control
 // goroutine does not want any more were cancelled by earlier orders.
 func (x *exchange) conclude(cn carobconclusion.Conclusion) {
-	if cn.Kept != nil {
+	if cn.StoredAnswer != nil {
 		x.upload.Release()
-		x.caller.Repeat(cn.Kept)
+		x.caller.Repeat(cn.StoredAnswer)
 		return
 	}
 	if cn.Kind == carobkind.None {
@@ -80,7 +80,7 @@
 	case cn.Kind.NotRun():
 		detail = "no target ran the call"
 	}
-	x.caller.Refuse(cn.Kind, cn.After, detail)
+	x.caller.Refuse(cn.Kind, cn.RetryAfter, detail)
 }
 
 func (x *exchange) send(sd carobsend.Send) {
@@ -150,11 +150,11 @@
 	an := at.answer
 	x.mutex.Unlock()
 	job := carobjobid.ID{Call: x.call, Attempt: number}
-	x.caller.Answer(an, at.cancel, func(kind carobkind.Kind, kept *carobkept.Kept) {
+	x.caller.Answer(an, at.cancel, func(kind carobkind.Kind, kept *carobkept.StoredAnswer) {
 		at.cancel()
 		x.upload.Release()
 		x.exchanges.config.Mailbox.Post(func(in *carobinbox.Inbox) {
-			in.Deliveries = append(in.Deliveries, carobdelivery.Delivery{Job: job, Kind: kind, Kept: kept})
+			in.Deliveries = append(in.Deliveries, carobdelivery.Delivery{Job: job, Kind: kind, StoredAnswer: kept})
 		})
 	})
 }
--- a/internal/carobexchange/exchanges.go
+++ b/internal/carobexchange/exchanges.go
@@ -34,9 +34,9 @@
 type caller interface {
 	// Answer passes an answer on. abandon gives the answer up; over is called once
 	// the answer was passed on or given up.
-	Answer(an *carobanswer.Answer, abandon func(), over func(kind carobkind.Kind, kept *carobkept.Kept))
+	Answer(an *carobanswer.Answer, abandon func(), over func(kind carobkind.Kind, kept *carobkept.StoredAnswer))
 	// Repeat passes on the answer to an earlier call with the same key.
-	Repeat(kept *carobkept.Kept)
+	Repeat(kept *carobkept.StoredAnswer)
 	// Refuse tells an error. A caller may try again after a time, unless it is 0.
 	Refuse(kind carobkind.Kind, after time.Duration, detail string)
 }
@@ -96,5 +96,5 @@
 
 // HangUp gives up a call whose caller is gone.
 func (e *Exchanges) HangUp(call carobcallid.ID) {
-	e.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Hangups = append(in.Hangups, call) })
+	e.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Disconnects = append(in.Disconnects, call) })
 }
--- a/internal/carobfault/fault.go
+++ b/internal/carobfault/fault.go
@@ -14,7 +14,7 @@
 	// Deaf refuses reads with status 503, and appends go on.
 	Deaf bool `json:"deaf"`
 	// Slow is how much longer every request takes.
-	Slow carobspan.Span `json:"slow"`
+	Slow carobspan.Duration `json:"slow"`
 	// Lose is how many appends take effect and are answered with status 504; it
 	// counts down.
 	Lose int `json:"lose"`
--- a/internal/carobfollower/follower.go
+++ b/internal/carobfollower/follower.go
@@ -67,11 +67,11 @@
 func (f *Follower) Carry(out *caroboutbox.Outbox) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.hold = out.Hold
-	if f.following == out.Following {
+	f.hold = out.LongPollTimeout
+	if f.following == out.ReadingStore {
 		return
 	}
-	f.following = out.Following
+	f.following = out.ReadingStore
 	if !f.following && f.stop != nil {
 		f.stop()
 	}
@@ -134,7 +134,7 @@
 	}
 	f.judge(err)
 	if rs != nil {
-		f.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Routes = append(in.Routes, rs) })
+		f.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.RouteTables = append(in.RouteTables, rs) })
 	}
 	if err != nil {
 		_ = f.config.Timer.Wait(cx, min(firstPause<<min(f.failures, 4), lastPause))
@@ -163,5 +163,5 @@
 	} else {
 		f.config.Logger.Info("store: route tables are read again")
 	}
-	f.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Blind = append(in.Blind, blind) })
+	f.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.StoreUnreadable = append(in.StoreUnreadable, blind) })
 }
--- a/internal/carobfollower/follower_test.go
+++ b/internal/carobfollower/follower_test.go
@@ -49,13 +49,13 @@
 	})
 	go f.Run(t.Context())
 	const hold = time.Second
-	f.Carry(&caroboutbox.Outbox{Following: true, Hold: hold})
+	f.Carry(&caroboutbox.Outbox{ReadingStore: true, LongPollTimeout: hold})
 	held := <-sc.reads
 	require.GreaterOrEqual(t, held, hold/2, "a follower waits for what is new")
 	require.LessOrEqual(t, held, hold*3/2, "but not for long")
 	sc.answers <- nil
 	require.True(t, mailbox.Await(t.Context()))
-	require.Len(t, mailbox.Take().Routes, 1)
+	require.Len(t, mailbox.Take().RouteTables, 1)
 
 	// Failures in a row make it blind, and an answer makes it see again.
 	for range 2 {
@@ -63,16 +63,16 @@
 		sc.answers <- errors.New("refused")
 	}
 	require.True(t, mailbox.Await(t.Context()))
-	require.Equal(t, []bool{true}, mailbox.Take().Blind)
+	require.Equal(t, []bool{true}, mailbox.Take().StoreUnreadable)
 	require.Contains(t, lines.LastEntry().Message, "cannot be read")
 	<-sc.reads
 	sc.answers <- nil
 	require.True(t, mailbox.Await(t.Context()))
-	require.Equal(t, []bool{false}, mailbox.Take().Blind)
+	require.Equal(t, []bool{false}, mailbox.Take().StoreUnreadable)
 
 	// A read that is not wanted any more ends, and no other begins.
 	<-sc.reads
 	f.Carry(&caroboutbox.Outbox{})
-	f.Carry(&caroboutbox.Outbox{Following: true})
+	f.Carry(&caroboutbox.Outbox{ReadingStore: true})
 	<-sc.reads
 }
--- a/internal/carobheader/offer.go
+++ b/internal/carobheader/offer.go
@@ -31,14 +31,14 @@
 	number := func(n int64) string { return strconv.FormatInt(n, base) }
 	text := strings.Join([]string{
 		sd.Job.Call.String(), number(int64(sd.Job.Attempt)), sd.Target.String(),
-		strconv.FormatUint(uint64(sd.Incarnation), base), number(sd.Patience.Microseconds()),
-		number(int64(sd.Wish.Rank)), number(sd.Wish.Slo.Microseconds()), number(sd.Wish.Whole.Microseconds()),
-		string(sd.Wish.Once), strconv.FormatBool(sd.Wish.Movable)[:1],
+		strconv.FormatUint(uint64(sd.Incarnation), base), number(sd.TimeLeft.Microseconds()),
+		number(int64(sd.Requirements.Priority)), number(sd.Requirements.SLOTimeLeft.Microseconds()), number(sd.Requirements.SLO.Microseconds()),
+		string(sd.Requirements.Guarantee), strconv.FormatBool(sd.Requirements.Movable)[:1],
 	}, " ")
-	if sd.Wish.Request == "" {
+	if sd.Requirements.Request == "" {
 		return text
 	}
-	return text + " " + string(sd.Wish.Request)
+	return text + " " + string(sd.Requirements.Request)
 }
 
 // ParseOffer reads what FormatOffer writes.
@@ -75,9 +75,9 @@
 	of.Job = carobjobid.ID{Call: call, Attempt: int(numbers[0])}
 	of.Incarnation = carobincarnation.Incarnation(incarnation)
 	of.Patience = micros(numbers[1])
-	of.Wish = carobwish.Wish{
-		Rank: int(numbers[2]), Slo: micros(numbers[3]), Whole: micros(numbers[4]),
-		Once: carobonce.Once(fields[8]), Movable: movable,
+	of.Wish = carobwish.Requirements{
+		Priority: int(numbers[2]), SLOTimeLeft: micros(numbers[3]), SLO: micros(numbers[4]),
+		Guarantee: carobonce.Guarantee(fields[8]), Movable: movable,
 	}
 	if len(fields) > offerFields {
 		of.Wish.Request = carobrequestid.ID(fields[offerFields])
--- a/internal/carobheader/offer_test.go
+++ b/internal/carobheader/offer_test.go
@@ -20,9 +20,9 @@
 func sample(request carobrequestid.ID) carobsend.Send {
 	return carobsend.Send{
 		Job:    carobjobid.ID{Call: carobcallid.ID{Node: "there", Incarnation: 1 << 60, Sequence: 77}, Attempt: 3},
-		Target: carobtargetid.ID{Service: "lookups", Name: "i-1"}, Incarnation: 1 << 61, Patience: 1500 * time.Millisecond,
-		Wish: carobwish.Wish{
-			Rank: 2, Slo: -3 * time.Millisecond, Whole: 400 * time.Millisecond, Once: carobonce.No, Movable: true, Request: request,
+		Target: carobtargetid.ID{Service: "lookups", Name: "i-1"}, Incarnation: 1 << 61, TimeLeft: 1500 * time.Millisecond,
+		Requirements: carobwish.Requirements{
+			Priority: 2, SLOTimeLeft: -3 * time.Millisecond, SLO: 400 * time.Millisecond, Guarantee: carobonce.Idempotent, Movable: true, Request: request,
 		},
 	}
 }
@@ -38,8 +38,8 @@
 		require.Equal(t, sd.Job, of.Job)
 		require.Equal(t, sd.Target, of.Target)
 		require.Equal(t, sd.Incarnation, of.Incarnation)
-		require.Equal(t, sd.Patience, of.Patience)
-		require.Equal(t, sd.Wish, of.Wish)
+		require.Equal(t, sd.TimeLeft, of.Patience)
+		require.Equal(t, sd.Requirements, of.Wish)
 	}
 }
 
--- a/internal/carobheader/report.go
+++ b/internal/carobheader/report.go
@@ -38,6 +38,6 @@
 	}
 	return &carobreport.Report{
 		Target: target, Running: values[0], Queued: values[1], Slots: values[2],
-		Latency: carobspan.Span(time.Duration(values[3])),
+		Latency: carobspan.Duration(time.Duration(values[3])),
 	}
 }
--- a/internal/carobingress/ingress.go
+++ b/internal/carobingress/ingress.go
@@ -136,14 +136,14 @@
 }
 
 // Answer passes an answer on.
-func (c *caller) Answer(an *carobanswer.Answer, abandon func(), over func(kind carobkind.Kind, kept *carobkept.Kept)) {
+func (c *caller) Answer(an *carobanswer.Answer, abandon func(), over func(kind carobkind.Kind, kept *carobkept.StoredAnswer)) {
 	c.visit.Notify(abandon)
 	carobheader.CleanResponse(&an.Response.Header)
 	over(c.visit.Pass(an), nil)
 }
 
 // Repeat does not happen: no dialect has keys.
-func (c *caller) Repeat(*carobkept.Kept) {
+func (c *caller) Repeat(*carobkept.StoredAnswer) {
 	c.Refuse(carobkind.Repeated, 0, "the answer is not kept")
 }
 
--- a/internal/carobledger/ledger.go
+++ b/internal/carobledger/ledger.go
@@ -58,7 +58,7 @@
 		if len(pg.Records) == 0 {
 			return nil
 		}
-		l.world.Begin(carobinbox.Inbox{Records: pg.Records})
+		l.world.BeginTick(carobinbox.Inbox{Records: pg.Records})
 		l.fold.Run(l.world, 1)
 		l.History = append(l.History, l.world.Outbox.ChangeResults...)
 	}
@@ -85,7 +85,7 @@
 	if rv := l.world.Profiles.Get(name); rv != nil {
 		return rv.Offset
 	}
-	return caroboffset.None
+	return caroboffset.BeforeFirst
 }
 
 // Find returns what became of a change, by its ID. A change that was appended
--- a/internal/carobmeter/meter.go
+++ b/internal/carobmeter/meter.go
@@ -81,7 +81,7 @@
 	}
 	m.add("attempts", len(out.Sends))
 	m.add("starts", len(out.Starts))
-	m.add("checks", len(out.Checks))
+	m.add("checks", len(out.HealthChecks))
 	m.add("cancels", len(out.Cancels))
 	m.add("messages", len(out.Messages))
 	m.add("audits", len(out.Audits))
--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -169,7 +169,7 @@
 func (n *Node) Ready(cx context.Context) bool {
 	ready := false
 	err := do.MustInvoke[*carobcontrol.Control](n.injector).Ask(cx, func(w *carobworld.World) {
-		ready = w.Routes != nil && !n.leaving.Load()
+		ready = w.RouteTable != nil && !n.leaving.Load()
 	})
 	return err == nil && ready
 }
@@ -280,7 +280,7 @@
 	defer done()
 	callers := do.MustInvoke[front](n.injector)
 	ending := do.MustInvoke[*carobtimer.Timer](n.injector).Now().Add(n.config.Settings.Grace.Duration())
-	mailbox.Post(func(in *carobinbox.Inbox) { in.Ending = ending })
+	mailbox.Post(func(in *carobinbox.Inbox) { in.ShutdownDeadline = ending })
 	callers.Drain()
 	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(last, n.config.Settings.Stay.Duration())
 	mailbox.Post(func(in *carobinbox.Inbox) { in.Stop = true })
@@ -294,7 +294,7 @@
 	defer closed()
 	if last.Err() != nil {
 		logger.Warn("node: calls still in flight get their last answer")
-		mailbox.Post(func(in *carobinbox.Inbox) { in.End = true })
+		mailbox.Post(func(in *carobinbox.Inbox) { in.Exit = true })
 		_ = callers.Shutdown(closing)
 	}
 	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(last, goodbye)
--- a/internal/carobnode/wire.go
+++ b/internal/carobnode/wire.go
@@ -34,15 +34,15 @@
 		born := do.MustInvoke[*carobtimer.Timer](i).Wall()
 		return carobmember.Member{
 			Node: st.Name, Incarnation: carobincarnation.Incarnation(born.UnixNano()), //nolint:gosec // the year is past 1970
-			Region: st.Region, Centre: st.Centre, Peer: cmp.Or(st.Public, n.Peer()),
+			Region: st.Region, Centre: st.Centre, PeerAddress: cmp.Or(st.Public, n.Peer()),
 		}, nil
 	})
 	do.Provide(i, func(i do.Injector) (*carobcore.Core, error) {
 		self := do.MustInvoke[carobmember.Member](i)
 		return carobcore.NewCore(carobcore.Config{
-			World: carobworld.Config{Self: self, Limits: st.Limits, Measure: st.Measure, Retries: st.Retries, Seed: uint64(self.Incarnation)},
-			Seeds: st.Seeds, Profiles: st.Profiles, Silence: st.Silence.Duration(),
-			Untraced: n.config.Dialect != nil,
+			World: carobworld.Config{Self: self, Limits: st.Limits, ProbeLimits: st.Measure, RetryLimits: st.Retries, Seed: uint64(self.Incarnation)},
+			Seeds: st.Seeds, Profiles: st.Profiles, AnnouncementTimeout: st.Silence.Duration(),
+			NoTracePropagation: n.config.Dialect != nil,
 		}), nil
 	})
 	do.Provide(i, func(i do.Injector) (*carobeventlog.EventLog, error) {
--- a/internal/carobrelay/relay.go
+++ b/internal/carobrelay/relay.go
@@ -49,14 +49,14 @@
 // Do carries an attempt and returns the head of the answer, or an error of the
 // kind that the target's node told. The report may come with either.
 func (r *Relay) Do(cx context.Context, sd carobsend.Send, rq *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error) {
-	if sd.Trace != "" {
-		rq.Header.Set(carobheader.Trace, sd.Trace)
+	if sd.Traceparent != "" {
+		rq.Header.Set(carobheader.Trace, sd.Traceparent)
 	}
-	if sd.Peer == "" {
+	if sd.PeerAddress == "" {
 		return r.own(cx, sd, rq)
 	}
 	rq.Header.Set(carobheader.Offer, carobheader.FormatOffer(sd))
-	an, err := r.config.Peers.Do(cx, sd.Peer, rq, sd.Once != carobonce.No)
+	an, err := r.config.Peers.Do(cx, sd.PeerAddress, rq, sd.Guarantee != carobonce.Idempotent)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -78,7 +78,7 @@
 
 func (r *Relay) own(cx context.Context, sd carobsend.Send, rq *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error) {
 	of := caroboffer.Offer{
-		Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, Patience: sd.Patience, Wish: sd.Wish,
+		Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, Patience: sd.TimeLeft, Wish: sd.Requirements,
 		Key: string(rq.Header.Peek(carobheader.Key)), Trace: string(rq.Header.Peek(carobheader.Trace)),
 	}
 	an, err := r.config.Own.Do(cx, of, rq)
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -24,13 +24,13 @@
 	Centres []carobcentre.Centre `json:"centres"`
 	// Hop is how long a message takes to another VM, and Far to one in another data
 	// centre.
-	Hop carobspan.Span `json:"hop"`
-	Far carobspan.Span `json:"far"`
+	Hop carobspan.Duration `json:"hop"`
+	Far carobspan.Duration `json:"far"`
 	// Noise is how the VMs' neighbours take their processors.
 	Noise noise `json:"noise"`
 	// Measure, Retries and Profile are what nodes go by.
 	Measure carobmeasure.ProbeLimits `json:"measure"`
-	Retries carobretries.Retries `json:"retries"`
+	Retries carobretries.RetryLimits `json:"retries"`
 	Profile carobprofile.Profile `json:"profile"`
 	// Services has at least one.
 	Services []service `json:"services"`
@@ -44,8 +44,8 @@
 	// no noise.
 	Factor float64 `json:"factor"`
 	// Every is the mean time between two slow moments, and Lasting their mean length.
-	Every   carobspan.Span `json:"every"`
-	Lasting carobspan.Span `json:"lasting"`
+	Every   carobspan.Duration `json:"every"`
+	Lasting carobspan.Duration `json:"lasting"`
 }
 
 // service is a service and its targets.
@@ -65,14 +65,14 @@
 	Rate float64 `json:"rate"`
 	// Work is the mean time that a target takes, and Spread its standard deviation as a
 	// part of it.
-	Work   carobspan.Span   `json:"work"`
+	Work   carobspan.Duration   `json:"work"`
 	Spread carobshare.Share `json:"spread"`
 	// Slo, Timeout and Deadline are what callers want, the longest that the operator lets
 	// them wait, and when they give up.
-	Slo      carobspan.Span `json:"slo"`
-	Timeout  carobspan.Span `json:"timeout"`
-	Deadline carobspan.Span `json:"deadline"`
-	Once     carobonce.Once `json:"once"`
+	Slo      carobspan.Duration `json:"slo"`
+	Timeout  carobspan.Duration `json:"timeout"`
+	Deadline carobspan.Duration `json:"deadline"`
+	Once     carobonce.Guarantee `json:"once"`
 	// Rank is the priority, 0 the highest.
 	Rank int `json:"rank"`
 	// Retries is how often a caller comes back.
@@ -90,7 +90,7 @@
 	pf := carobprofile.NewProfile("emulated")
 	pf.Hedge, pf.Near, pf.Policy = 0, 0, "local"
 	return Scenario{
-		Centres: []carobcentre.Centre{centre}, Measure: carobmeasure.NewProbeLimits(), Retries: carobretries.NewRetries(), Profile: pf,
+		Centres: []carobcentre.Centre{centre}, Measure: carobmeasure.NewProbeLimits(), Retries: carobretries.NewRetryLimits(), Profile: pf,
 	}
 }
 
--- a/internal/carobsettings/settings.go
+++ b/internal/carobsettings/settings.go
@@ -40,13 +40,13 @@
 	Seeds   []carobaddress.Address `json:"seeds"`
 	Measure carobmeasure.ProbeLimits   `json:"measure"`
 	// Retries bounds what is sent again.
-	Retries carobretries.Retries `json:"retries"`
+	Retries carobretries.RetryLimits `json:"retries"`
 	// Silence is how long a target may go without an announcement.
-	Silence carobspan.Span `json:"silence"`
+	Silence carobspan.Duration `json:"silence"`
 	// Grace is how long a graceful shutdown waits for what is in flight, and Stay
 	// how long it goes on taking calls at least: callers may not know yet.
-	Grace carobspan.Span `json:"grace"`
-	Stay  carobspan.Span `json:"stay"`
+	Grace carobspan.Duration `json:"grace"`
+	Stay  carobspan.Duration `json:"stay"`
 	// Lines is how many lines a second are logged of decisions that went well.
 	Lines int `json:"lines"`
 	// Profiles are in force without having been published. May be empty.
@@ -57,8 +57,8 @@
 // NewSettings returns the defaults.
 func NewSettings() Settings {
 	return Settings{
-		Measure: carobmeasure.NewProbeLimits(), Retries: carobretries.NewRetries(), Limits: caroblimits.NewLimits(),
-		Silence: carobspan.Span(3 * time.Second), Grace: carobspan.Span(time.Minute),
+		Measure: carobmeasure.NewProbeLimits(), Retries: carobretries.NewRetryLimits(), Limits: caroblimits.NewLimits(),
+		Silence: carobspan.Duration(3 * time.Second), Grace: carobspan.Duration(time.Minute),
 	}
 }
 
--- a/internal/carobstandtarget/target_test.go
+++ b/internal/carobstandtarget/target_test.go
@@ -144,8 +144,8 @@
 
 func TestTimesFollowFromTheSeed(t *testing.T) {
 	bh := carobbehaviour.NewBehaviour()
-	bh.Latency = carobspan.Span(10 * time.Millisecond)
-	bh.Gap = carobspan.Span(200 * time.Millisecond)
+	bh.Latency = carobspan.Duration(10 * time.Millisecond)
+	bh.Gap = carobspan.Duration(200 * time.Millisecond)
 	for _, shape := range []string{carobbehaviour.LogNormal, carobbehaviour.Pareto} {
 		bh.Shape = shape
 		first, second := newClock(5, 1), newClock(5, 1)
--- a/internal/carobstatus/status.go
+++ b/internal/carobstatus/status.go
@@ -59,9 +59,9 @@
 	Slots   int                      `json:"slots"`
 	Running int                      `json:"running"`
 	Queued  int                      `json:"queued"`
-	Latency carobspan.Span           `json:"latency"`
+	Latency carobspan.Duration           `json:"latency"`
 	// Age is that of the report; 0 for own targets.
-	Age carobspan.Span `json:"age"`
+	Age carobspan.Duration `json:"age"`
 	// Known is false while there is no report.
 	Known   bool `json:"known"`
 	Ejected bool `json:"ejected"`
@@ -73,7 +73,7 @@
 	Centre      carobcentre.Centre           `json:"centre"`
 	Leaving     bool                         `json:"leaving"`
 	// Age is the time since the node's newest word came.
-	Age carobspan.Span `json:"age"`
+	Age carobspan.Duration `json:"age"`
 }
 
 type profile struct {
@@ -95,7 +95,7 @@
 	for id, pr := range w.Peers.All() {
 		st.Peers = append(st.Peers, peer{
 			Node: id, Incarnation: pr.Member.Incarnation, Centre: pr.Member.Centre,
-			Leaving: pr.Member.Leaving, Age: carobspan.Span(now.Sub(pr.Heard)),
+			Leaving: pr.Member.Leaving, Age: carobspan.Duration(now.Sub(pr.LastContactAt)),
 		})
 	}
 	for name, rv := range w.Profiles.All() {
@@ -107,7 +107,7 @@
 	if bk := w.Buckets.Get(carobprobing.CPUTimeBucket); bk != nil {
 		st.Measured.Seconds = bk.Spent
 	}
-	for _, bg := range w.Budgets.All() {
+	for _, bg := range w.RetryBudgets.All() {
 		st.Measured.Hedges += bg.Spent
 	}
 	slices.SortFunc(st.Targets, func(a, b target) int { return cmp.Compare(a.ID.String(), b.ID.String()) })
@@ -120,14 +120,14 @@
 	ds := target{ID: id, Node: tg.Node, Profile: tg.Profile, State: tg.Readiness, Slots: tg.Slots}
 	ld := w.Loads.Get(id)
 	ds.Ejected = ld != nil && ld.EjectionEnd != carobinstant.Never
-	if gt := w.Gates.Get(id); gt != nil && w.Owns(tg) {
-		ds.Running, ds.Queued, ds.Latency, ds.Known = gt.Running, gt.Queued, carobspan.Span(gt.Latency), true
+	if gt := w.AdmissionStates.Get(id); gt != nil && w.Owns(tg) {
+		ds.Running, ds.Queued, ds.Latency, ds.Known = gt.Running, gt.Queued, carobspan.Duration(gt.Latency), true
 		return ds
 	}
 	if ld == nil || ld.ReportedAt == carobinstant.Never {
 		return ds
 	}
 	ds.Running, ds.Queued, ds.Latency = ld.Report.Running, ld.Report.Queued, ld.Report.Latency
-	ds.Age, ds.Known = carobspan.Span(now.Sub(ld.ReportedAt)), true
+	ds.Age, ds.Known = carobspan.Duration(now.Sub(ld.ReportedAt)), true
 	return ds
 }
--- a/internal/carobstatus/write.go
+++ b/internal/carobstatus/write.go
@@ -39,7 +39,7 @@
 }
 
 // short writes a span without digits that nobody reads.
-func short(s carobspan.Span) string {
+func short(s carobspan.Duration) string {
 	d := s.Duration()
 	if d > time.Second {
 		return d.Round(time.Millisecond).String()
--- a/internal/carobtransport/cost_test.go
+++ b/internal/carobtransport/cost_test.go
@@ -64,15 +64,15 @@
 
 	target := carobtargetid.ID{Service: "declarations", Name: "target-17"}
 	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{
-		Node: "node-in-a-data-centre-17", Peer: "192.168.100.100:65535", Incarnation: 1 << 60,
+		Node: "node-in-a-data-centre-17", PeerAddress: "192.168.100.100:65535", Incarnation: 1 << 60,
 	}})
 	const messages = 40
 	for i := range messages {
 		ms := carobmessage.Message{
-			To: carobaddress.Address(ls.Addr().String()), From: w.Self.Node, Incarnation: w.Self.Incarnation, Back: w.Self.Peer,
+			To: carobaddress.Address(ls.Addr().String()), From: w.Self.Node, Incarnation: w.Self.Incarnation, ReplyTo: w.Self.PeerAddress,
 		}
 		if i%2 == 0 {
-			ms.Poll = &carobpoll.Poll{Target: target}
+			ms.LoadProbe = &carobpoll.Poll{Target: target}
 		} else {
 			ms.Report = &carobreport.Report{Target: target, Running: 1 << 20, Queued: 1 << 20, Slots: 1 << 20, Latency: 1<<62 + 1}
 		}
--- a/internal/carobtransport/messages_test.go
+++ b/internal/carobtransport/messages_test.go
@@ -43,7 +43,7 @@
 }
 
 func fetch(from *end, to carobaddress.Address) carobmessage.Message {
-	return carobmessage.Message{To: to, From: "first", Back: from.address, Fetch: &carobfetch.Fetch{From: 3}}
+	return carobmessage.Message{To: to, From: "first", ReplyTo: from.address, Fetch: &carobfetch.Fetch{From: 3}}
 }
 
 func (e *end) take(t *testing.T) []carobmessage.Message {
@@ -62,7 +62,7 @@
 	got := b.take(t)
 	require.Len(t, got, 2)
 	require.EqualValues(t, 3, got[0].Fetch.From)
-	require.Equal(t, a.address, got[0].Back)
+	require.Equal(t, a.address, got[0].ReplyTo)
 }
 
 func TestShutdownSendsWhatIsLeft(t *testing.T) {
@@ -77,9 +77,9 @@
 	bad := fetch(a, b.address)
 	bad.Fetch = &carobfetch.Fetch{From: -1}
 	unnamed := fetch(a, b.address)
-	unnamed.Back = ""
+	unnamed.ReplyTo = ""
 	crowd := fetch(a, b.address)
-	crowd.Gossip = &carobgossip.Gossip{Members: make([]carobmember.Member, carobgossip.Most+1)}
+	crowd.Gossip = &carobgossip.Gossip{Members: make([]carobmember.Member, carobgossip.MaxMembers+1)}
 	a.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{bad, fetch(a, b.address)}})
 	require.Len(t, b.take(t), 1, "the good one gets through")
 	require.EqualValues(t, 1, b.transport.Broken())
@@ -121,7 +121,7 @@
 func FuzzUnmarshal(f *testing.F) {
 	codec, err := carobcodec.NewCodec()
 	require.NoError(f, err)
-	seed, err := codec.Marshal(&carobbatch.Batch{Messages: []carobmessage.Message{{From: "first", Back: "127.0.0.1:1", Fetch: &carobfetch.Fetch{From: 1}}}})
+	seed, err := codec.Marshal(&carobbatch.Batch{Messages: []carobmessage.Message{{From: "first", ReplyTo: "127.0.0.1:1", Fetch: &carobfetch.Fetch{From: 1}}}})
 	require.NoError(f, err)
 	f.Add(seed)
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/pkg/carobadmission/slowness.go
+++ b/pkg/carobadmission/slowness.go
@@ -49,7 +49,7 @@
 
 // handleHealth records the result of a health check and updates the job limit.
 func handleHealth(w *carobworld.World, now carobinstant.Instant, hl carobhealth.Health) {
-	gt := w.Gates.Get(hl.Target)
+	gt := w.AdmissionStates.Get(hl.Target)
 	if gt == nil {
 		return
 	}
@@ -98,7 +98,7 @@
 // checkTimeout, or if the check budget is spent and there is no slow reading younger
 // than maxReadingGap.
 func mayStart(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target, gt *carobgate.Gate) bool {
-	rate := float64(w.Measure.ChecksPerSecond)
+	rate := float64(w.ProbeLimits.ChecksPerSecond)
 	if rate == 0 || gt.QuietUntil != carobinstant.Never && !gt.QuietUntil.Reached(now) {
 		return true
 	}
@@ -120,7 +120,7 @@
 		return !isSlow(gt) || now.Sub(gt.Told) >= maxReadingGap
 	}
 	gt.Asked = now
-	w.Outbox.Checks = append(w.Outbox.Checks, carobcheck.Check{Target: tg.ID, Address: tg.Address})
+	w.Outbox.HealthChecks = append(w.Outbox.HealthChecks, carobcheck.Check{Target: tg.ID, Address: tg.Address})
 	w.WakeAt(now.Add(checkTimeout))
 	return false
 }
@@ -128,7 +128,7 @@
 // refuseMovable refuses the queued jobs that can move to another target while this
 // target's VM is slow, because another target may run them sooner.
 func refuseMovable(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobgate.Gate) {
-	if w.Measure.ChecksPerSecond == 0 || !isSlow(gt) || now.Sub(gt.Told) > maxSlowReadingAge {
+	if w.ProbeLimits.ChecksPerSecond == 0 || !isSlow(gt) || now.Sub(gt.Told) > maxSlowReadingAge {
 		return
 	}
 	for _, jb := range w.Jobs.All() {
--- a/pkg/carobadmission/slowness_test.go
+++ b/pkg/carobadmission/slowness_test.go
@@ -18,7 +18,7 @@
 // second ago.
 func newCheckedRig(slots, queue int) *rig {
 	r := newRig(slots, queue)
-	r.world.Measure.ChecksPerSecond = 40
+	r.world.ProbeLimits.ChecksPerSecond = 40
 	r.completeCheck(1)
 	r.step(time.Second, carobinbox.Inbox{})
 	return r
@@ -27,7 +27,7 @@
 // completeCheck steps with a health check result of the given slowness and returns how
 // many jobs the step started.
 func (r *rig) completeCheck(slowness float64) int {
-	r.step(time.Millisecond, carobinbox.Inbox{Healths: []carobhealth.Health{
+	r.step(time.Millisecond, carobinbox.Inbox{CheckResults: []carobhealth.Health{
 		{Target: target, Pressure: &carobpressure.TargetLoad{Slots: 12, Slowness: slowness}},
 	}})
 	return len(r.world.Outbox.Starts)
@@ -46,13 +46,13 @@
 	r := newCheckedRig(4, 4)
 	r.offer(wish(1, usualSlo))
 	require.Empty(t, r.world.Outbox.Starts, "the last reading is a second old")
-	require.Len(t, r.world.Outbox.Checks, 1)
+	require.Len(t, r.world.Outbox.HealthChecks, 1)
 	r.offer(wish(1, usualSlo))
-	require.Empty(t, r.world.Outbox.Checks, "one check serves all queued jobs")
+	require.Empty(t, r.world.Outbox.HealthChecks, "one check serves all queued jobs")
 	require.Equal(t, 2, r.completeCheck(1))
 	r.offer(wish(1, usualSlo))
 	require.Len(t, r.world.Outbox.Starts, 1, "the reading is recent")
-	require.Empty(t, r.world.Outbox.Checks)
+	require.Empty(t, r.world.Outbox.HealthChecks)
 }
 
 // Guards against a job that starts while the VM is slow and stays slow to its end.
@@ -62,7 +62,7 @@
 	for range 3 {
 		require.Zero(t, r.completeCheck(5))
 		r.stepToWake(t)
-		require.Len(t, r.world.Outbox.Checks, 1, "a new check follows once the reading is outdated")
+		require.Len(t, r.world.Outbox.HealthChecks, 1, "a new check follows once the reading is outdated")
 	}
 	require.Equal(t, 1, r.completeCheck(1))
 }
@@ -96,7 +96,7 @@
 		play func(t *testing.T, r *rig)
 	}{
 		{"no checks allowed", func(_ *testing.T, r *rig) {
-			r.world.Measure.ChecksPerSecond = 0
+			r.world.ProbeLimits.ChecksPerSecond = 0
 			r.offer(wish(1, usualSlo))
 		}},
 		{"the target reports no slowness", func(_ *testing.T, r *rig) {
@@ -104,11 +104,11 @@
 			require.Equal(t, 1, r.completeCheck(0))
 			r.step(time.Second, carobinbox.Inbox{})
 			r.offer(wish(1, usualSlo))
-			require.Empty(t, r.world.Outbox.Checks, "no further check during the backoff")
+			require.Empty(t, r.world.Outbox.HealthChecks, "no further check during the backoff")
 		}},
 		{"the check fails", func(_ *testing.T, r *rig) {
 			r.offer(wish(1, usualSlo))
-			r.step(time.Millisecond, carobinbox.Inbox{Healths: []carobhealth.Health{{Target: target}}})
+			r.step(time.Millisecond, carobinbox.Inbox{CheckResults: []carobhealth.Health{{Target: target}}})
 		}},
 		{"the check takes long", func(t *testing.T, r *rig) {
 			t.Helper()
@@ -127,7 +127,7 @@
 // Guards against a first job that starts before any slowness reading exists.
 func TestTargetIsCheckedBeforeFirstJob(t *testing.T) {
 	r := newRig(4, 4)
-	r.world.Measure.ChecksPerSecond = 40
+	r.world.ProbeLimits.ChecksPerSecond = 40
 	r.offer(wish(1, usualSlo))
 	require.Empty(t, r.world.Outbox.Starts)
 	require.Equal(t, 1, r.completeCheck(1))
@@ -149,8 +149,8 @@
 	checks, start := 0, r.now
 	for r.now.Sub(start) < 10*time.Second {
 		r.offer(wish(1, usualSlo))
-		checks += len(r.world.Outbox.Checks)
-		if len(r.world.Outbox.Checks) > 0 {
+		checks += len(r.world.Outbox.HealthChecks)
+		if len(r.world.Outbox.HealthChecks) > 0 {
 			r.completeCheck(1)
 		}
 		r.step(11*time.Millisecond, carobinbox.Inbox{})
--- a/pkg/carobadmission/system.go
+++ b/pkg/carobadmission/system.go
@@ -41,7 +41,7 @@
 	if w.Paused {
 		withdrawQueued(w)
 	}
-	for _, hl := range w.Inbox.Healths {
+	for _, hl := range w.Inbox.CheckResults {
 		handleHealth(w, now, hl)
 	}
 	for _, of := range w.Inbox.Offers {
@@ -51,7 +51,7 @@
 		handleFinish(w, now, fn)
 	}
 	expireQueued(w, now)
-	for id, gt := range w.Gates.All() {
+	for id, gt := range w.AdmissionStates.All() {
 		if gt.Queued > 0 {
 			refuseMovable(w, now, id, gt)
 			startQueued(w, now, id, gt)
@@ -82,7 +82,7 @@
 		refuse(w, of, kind)
 		return
 	}
-	gt := w.Gates.Get(of.Target)
+	gt := w.AdmissionStates.Get(of.Target)
 	if gt == nil || w.Jobs.Full() {
 		refuse(w, of, carobkind.Busy)
 		return
@@ -106,7 +106,7 @@
 
 // shed refuses a queued job with kind Busy and records the reason as a decision.
 func shed(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, gt *carobgate.Gate, reason string) {
-	w.Decide(carobdecision.Decision{
+	w.RecordDecision(carobdecision.Decision{
 		Part: "admit", Text: reason, Request: jb.Offer.Wish.Request, Call: jb.Offer.Job.Call,
 		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Kind: carobkind.Busy, Inputs: decisionInputs(gt, now, jb.Came),
 	})
@@ -119,7 +119,7 @@
 	if w.Jobs.Get(job) != nil {
 		return true
 	}
-	_, ok := w.Ended.Get(job)
+	_, ok := w.EndedJobs.Get(job)
 	return ok
 }
 
@@ -135,7 +135,7 @@
 		return carobkind.Leaving
 	case of.Patience <= 0:
 		return carobkind.Late
-	case of.Wish.Once != carobonce.No && w.Ending.Before(now.Add(of.Patience)):
+	case of.Wish.Guarantee != carobonce.Idempotent && w.ShutdownDeadline.Before(now.Add(of.Patience)):
 		// If the node ended before the response, the entry node could not find out
 		// whether the job ran.
 		return carobkind.Leaving
@@ -158,13 +158,13 @@
 func startJob(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, tg *carobtarget.Target, gt *carobgate.Gate) {
 	jb.Started = now
 	gt.Running++
-	w.Decide(carobdecision.Decision{
+	w.RecordDecision(carobdecision.Decision{
 		Part: "admit", Text: "job started", Request: jb.Offer.Wish.Request, Call: jb.Offer.Job.Call,
 		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Inputs: decisionInputs(gt, now, jb.Came),
 	})
 	w.Outbox.Starts = append(w.Outbox.Starts, carobstart.Start{
 		Job: jb.Offer.Job, Address: tg.Address, Patience: jb.Deadline.Sub(now),
-		Once: jb.Offer.Wish.Once,
+		Once: jb.Offer.Wish.Guarantee,
 	})
 }
 
@@ -175,7 +175,7 @@
 	if jb == nil {
 		return
 	}
-	gt := w.Gates.Get(jb.Offer.Target)
+	gt := w.AdmissionStates.Get(jb.Offer.Target)
 	if jb.Started == carobinstant.Never {
 		carobfencing.Withdraw(w, jb, carobkind.Withdrawn)
 		return
@@ -261,7 +261,7 @@
 // refuse refuses an offer that was not enqueued.
 func refuse(w *carobworld.World, of caroboffer.Offer, kind carobkind.Kind) {
 	w.Outbox.Refusals = append(w.Outbox.Refusals, carobrefusal.Refusal{Job: of.Job, Kind: kind})
-	w.Decide(carobdecision.Decision{
+	w.RecordDecision(carobdecision.Decision{
 		Part: "admit", Text: "job refused", Request: of.Wish.Request, Call: of.Job.Call,
 		Attempt: of.Job.Attempt, Target: of.Target, Kind: kind,
 	})
@@ -280,13 +280,13 @@
 
 // publishReports adds a report to the outbox for each target whose load changed.
 func publishReports(w *carobworld.World) {
-	for id, gt := range w.Gates.All() {
+	for id, gt := range w.AdmissionStates.All() {
 		if !gt.Changed {
 			continue
 		}
 		gt.Changed = false
 		w.Outbox.Reports = append(w.Outbox.Reports, carobreport.Report{
-			Target: id, Running: gt.Running, Queued: gt.Queued, Slots: gt.Limit, Latency: carobspan.Span(gt.Latency),
+			Target: id, Running: gt.Running, Queued: gt.Queued, Slots: gt.Limit, Latency: carobspan.Duration(gt.Latency),
 		})
 	}
 }
--- a/pkg/carobadmission/urgency.go
+++ b/pkg/carobadmission/urgency.go
@@ -52,7 +52,7 @@
 	return cmp.Or(
 		cmp.Compare(boolToInt(isLate(now, a)), boolToInt(isLate(now, b))),
 		cmp.Compare(boolToInt(!isNested(a)), boolToInt(!isNested(b))),
-		cmp.Compare(a.Offer.Wish.Rank, b.Offer.Wish.Rank),
+		cmp.Compare(a.Offer.Wish.Priority, b.Offer.Wish.Priority),
 		cmp.Compare(dueAt(a), dueAt(b)),
 		cmp.Compare(a.Came, b.Came),
 	)
@@ -61,22 +61,22 @@
 // isLate reports whether the job has missed its SLO. Nested calls and calls without an
 // SLO are never late.
 func isLate(now carobinstant.Instant, jb *carobjob.Job) bool {
-	return jb.Offer.Wish.Whole > 0 && !isNested(jb) && dueAt(jb).Reached(now)
+	return jb.Offer.Wish.SLO > 0 && !isNested(jb) && dueAt(jb).Reached(now)
 }
 
 // dueAt returns when the response is due by the caller's SLO, or the deadline if the
 // call has no SLO.
 func dueAt(jb *carobjob.Job) carobinstant.Instant {
-	if jb.Offer.Wish.Whole == 0 {
+	if jb.Offer.Wish.SLO == 0 {
 		return jb.Deadline
 	}
-	return jb.Came.Add(jb.Offer.Wish.Slo)
+	return jb.Came.Add(jb.Offer.Wish.SLOTimeLeft)
 }
 
 // isNested reports whether another job waits for this call. Nested calls are identified
 // by their SLO, which is shorter than that of any external caller.
 func isNested(jb *carobjob.Job) bool {
-	return jb.Offer.Wish.Whole > 0 && jb.Offer.Wish.Whole <= maxNestedSlo
+	return jb.Offer.Wish.SLO > 0 && jb.Offer.Wish.SLO <= maxNestedSlo
 }
 
 func boolToInt(b bool) int {
--- a/pkg/carobadmission/urgency_test.go
+++ b/pkg/carobadmission/urgency_test.go
@@ -45,18 +45,18 @@
 	pf.Queue = queue
 	w.Profiles.Put("p", carobrevision.Revision{Change: carobchange.Change{Profile: pf}})
 	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: slots, Readiness: carobreadiness.Ready})
-	w.Gates.Put(target, carobgate.Gate{Slots: slots, Limit: slots})
+	w.AdmissionStates.Put(target, carobgate.Gate{Slots: slots, Limit: slots})
 	return &rig{world: w, system: carobadmission.NewSystem(), now: carobinstant.Instant(time.Hour)}
 }
 
 func (r *rig) step(d time.Duration, in carobinbox.Inbox) {
 	r.now = r.now.Add(d)
-	r.world.Begin(in)
+	r.world.BeginTick(in)
 	r.system.Run(r.world, r.now)
 }
 
 // offer steps with the offer of a new job and returns the job's ID.
-func (r *rig) offer(ws carobwish.Wish) carobjobid.ID {
+func (r *rig) offer(ws carobwish.Requirements) carobjobid.ID {
 	r.next++
 	job := carobjobid.ID{Call: carobcallid.ID{Node: "there", Incarnation: 1, Sequence: r.next}, Attempt: 1}
 	r.step(time.Millisecond, carobinbox.Inbox{Offers: []caroboffer.Offer{
@@ -78,8 +78,8 @@
 }
 
 // wish returns a wish of the given rank whose SLO has just begun.
-func wish(rank int, slo time.Duration) carobwish.Wish {
-	return carobwish.Wish{Rank: rank, Slo: slo, Whole: slo}
+func wish(rank int, slo time.Duration) carobwish.Requirements {
+	return carobwish.Requirements{Priority: rank, SLOTimeLeft: slo, SLO: slo}
 }
 
 // Guards against a queue that starts jobs in another order than by urgency.
@@ -87,15 +87,15 @@
 	const usual = 500 * time.Millisecond
 	for _, c := range []struct {
 		name          string
-		first, second carobwish.Wish
+		first, second carobwish.Requirements
 		secondFirst   bool
 	}{
 		{"rank", wish(2, usual), wish(1, usual), true},
 		{"rank, in order of arrival", wish(1, usual), wish(2, usual), false},
 		{"nested call", wish(1, usual), wish(2, 120*time.Millisecond), true},
 		{"due sooner", wish(1, time.Second), wish(1, usual), true},
-		{"nested call past its SLO", wish(1, usual), carobwish.Wish{Rank: 2, Slo: -1, Whole: 120 * time.Millisecond}, true},
-		{"call past its SLO", carobwish.Wish{Rank: 1, Slo: -1, Whole: usual}, wish(2, usual), true},
+		{"nested call past its SLO", wish(1, usual), carobwish.Requirements{Priority: 2, SLOTimeLeft: -1, SLO: 120 * time.Millisecond}, true},
+		{"call past its SLO", carobwish.Requirements{Priority: 1, SLOTimeLeft: -1, SLO: usual}, wish(2, usual), true},
 		{"equal", wish(1, usual), wish(1, usual), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 	}
 	require.Len(t, r.finish(jobs[0], 1), 1, "at the usual speed a free slot is filled")
 	require.Empty(t, r.finish(jobs[1], 5), "on a slow VM a free slot stays empty")
-	require.Less(t, r.world.Gates.Get(target).Limit, 10)
+	require.Less(t, r.world.AdmissionStates.Get(target).Limit, 10)
 	r.step(time.Second, carobinbox.Inbox{})
 	require.Len(t, r.finish(jobs[2], 1), 2, "at the usual speed both free slots are filled")
 }
@@ -144,18 +144,18 @@
 func TestEndingNodeRefusesOnceCallsPastItsEnd(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		once     carobonce.Once
+		once     carobonce.Guarantee
 		untilEnd time.Duration
 		accepted bool
 	}{
-		{"ends after the deadline", carobonce.Call, 11 * time.Second, true},
-		{"ends before the deadline", carobonce.Call, 9 * time.Second, false},
-		{"ends before the deadline, call may run again elsewhere", carobonce.No, 9 * time.Second, true},
+		{"ends after the deadline", carobonce.OncePerCall, 11 * time.Second, true},
+		{"ends before the deadline", carobonce.OncePerCall, 9 * time.Second, false},
+		{"ends before the deadline, call may run again elsewhere", carobonce.Idempotent, 9 * time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(1, 4)
-			r.step(0, carobinbox.Inbox{Ending: r.now.Add(c.untilEnd)})
-			r.offer(carobwish.Wish{Once: c.once})
+			r.step(0, carobinbox.Inbox{ShutdownDeadline: r.now.Add(c.untilEnd)})
+			r.offer(carobwish.Requirements{Guarantee: c.once})
 			if c.accepted {
 				require.Len(t, r.world.Outbox.Starts, 1)
 				return
--- a/pkg/carobannouncement/announcement.go
+++ b/pkg/carobannouncement/announcement.go
@@ -36,7 +36,7 @@
 	// number its announcements.
 	Sequence uint64 `json:"sequence"`
 	// Cold is the remaining warm-up time, during which the target is slower than usual.
-	Cold carobspan.Span `json:"cold"`
+	Cold carobspan.Duration `json:"cold"`
 	// State states whether the target accepts new work.
 	State carobreadiness.Readiness `json:"state"`
 }
--- a/pkg/carobarrival/arrival.go
+++ b/pkg/carobarrival/arrival.go
@@ -21,8 +21,8 @@
 	Service carobservice.Service
 	Host    string
 	Path    string
-	// Patience is the caller's timeout; 0 if it gave none.
-	Patience time.Duration
+	// Timeout is the caller's timeout; 0 if it gave none.
+	Timeout time.Duration
 	// Key is the idempotency key; empty if there is none.
 	Key string
 	// Size is the length of the body in bytes, if the body is buffered.
@@ -30,6 +30,6 @@
 	// Streamed is set if the body is not buffered for another attempt, because it is
 	// too long or the memory for buffers is used up.
 	Streamed bool
-	// Trace is the caller's W3C traceparent header; empty if there was none.
-	Trace string
+	// Traceparent is the caller's W3C traceparent header; empty if there was none.
+	Traceparent string
 }
--- a/pkg/carobattempt/attempt.go
+++ b/pkg/carobattempt/attempt.go
@@ -18,19 +18,19 @@
 	// Incarnation is that of the target's node when the attempt was sent. Another
 	// incarnation of the node refuses the attempt.
 	Incarnation carobincarnation.Incarnation
-	// Sent is when the attempt was sent.
-	Sent carobinstant.Instant
-	// Over is set once the attempt has ended: it has a reply, or it was withdrawn.
-	Over bool
+	// SentAt is when the attempt was sent.
+	SentAt carobinstant.Instant
+	// Ended is set once the attempt has ended: it has a reply, or it was withdrawn.
+	Ended bool
 	// Kind is why the attempt failed; None if it is open or was answered.
 	Kind carobkind.Kind
 	// State is the job state from the last fence reply; Unasked if there was none.
 	State carobjobstate.JobState
-	// Asked is when a fence for the attempt was last sent; Never if none was.
-	Asked carobinstant.Instant
+	// FenceSentAt is when a fence for the attempt was last sent; Never if none was.
+	FenceSentAt carobinstant.Instant
 }
 
 // NotRun reports whether it is certain that the attempt has not run and never will.
 func (a *Attempt) NotRun() bool {
-	return a.State == carobjobstate.Never || a.Over && a.Kind.NotRun()
+	return a.State == carobjobstate.Never || a.Ended && a.Kind.NotRun()
 }
--- a/pkg/carobbudget/budget.go
+++ b/pkg/carobbudget/budget.go
@@ -2,10 +2,10 @@
 // retries cannot multiply the load of an overloaded or failing service.
 package carobbudget
 
-// Budget is the token bucket for the retries and hedges of one service at this node.
+// RetryBudget is the token bucket for the retries and hedges of one service at this node.
 // A retry after a refusal by a target's node costs no token, because the refused
 // attempt did not reach a target; the profile's tries limit such retries.
-type Budget struct {
+type RetryBudget struct {
 	// Tokens is the number of tokens in the bucket, at least 0.
 	Tokens float64
 	// Calls counts the accepted calls.
@@ -13,18 +13,18 @@
 	// Spent counts the retries and hedges that cost a token, Denied those for which
 	// there was none.
 	Spent, Denied uint64
-	// Moves counts the retries that cost no token.
-	Moves uint64
+	// FreeRetries counts the retries that cost no token.
+	FreeRetries uint64
 }
 
-// Earn counts a call, and adds its share of a token to the bucket, up to most tokens.
-func (b *Budget) Earn(share, most float64) {
+// AddCall counts a call, and adds its share of a token to the bucket, up to most tokens.
+func (b *RetryBudget) AddCall(share, most float64) {
 	b.Calls++
 	b.Tokens = min(most, b.Tokens+share)
 }
 
-// Spend takes a token for a retry or hedge, and reports whether there was one.
-func (b *Budget) Spend() bool {
+// TakeToken takes a token for a retry or hedge, and reports whether there was one.
+func (b *RetryBudget) TakeToken() bool {
 	if b.Tokens < 1 {
 		b.Denied++
 		return false
--- a/pkg/carobcall/call.go
+++ b/pkg/carobcall/call.go
@@ -25,51 +25,51 @@
 	Profile carobprofile.Profile
 	// Route is the route that the call matched; nil if the caller named the service.
 	Route *carobroute.Route
-	// Slo is the instant by which the caller should have its answer, from the SLO of
+	// SLODeadline is the instant by which the caller should have its answer, from the SLO of
 	// the route; Never if there is none.
-	Slo carobinstant.Instant
-	// Came is the instant of arrival.
-	Came carobinstant.Instant
+	SLODeadline carobinstant.Instant
+	// ArrivedAt is the instant of arrival.
+	ArrivedAt carobinstant.Instant
 	// Deadline is the instant at which the call times out.
 	Deadline carobinstant.Instant
-	// Asked is when a claim for the call's idempotency key was last sent; Never if
+	// ClaimSentAt is when a claim for the call's idempotency key was last sent; Never if
 	// the call needs no key or no claim was sent yet.
-	Asked carobinstant.Instant
-	// Contested is set if another call holds the idempotency key.
-	Contested bool
-	// Grace is the instant at which a call that is past its deadline is concluded
+	ClaimSentAt carobinstant.Instant
+	// KeyHeld is set if another call holds the idempotency key.
+	KeyHeld bool
+	// GraceEnd is the instant at which a call that is past its deadline is concluded
 	// even if fence replies are missing; Never before the deadline.
-	Grace carobinstant.Instant
+	GraceEnd carobinstant.Instant
 	// Stage only increases, except that a retry sets it from Placed or Fencing back
 	// to Waiting.
 	Stage carobstage.Stage
-	// Extra is set if the call should be hedged: the next tick sends a second attempt
+	// HedgeDue is set if the call should be hedged: the next tick sends a second attempt
 	// beside the open one if a target is free and the retry budget has a token.
-	Extra bool
-	// Starved is set if the last tick that tried to place the call found no target.
-	Starved bool
-	// Rest is the end of the call's backoff after its targets refused it as busy;
+	HedgeDue bool
+	// NoTarget is set if the last tick that tried to place the call found no target.
+	NoTarget bool
+	// BackoffEnd is the end of the call's backoff after its targets refused it as busy;
 	// Never if it does not back off.
-	Rest carobinstant.Instant
+	BackoffEnd carobinstant.Instant
 	// Attempts holds attempt number n at index n-1.
 	Attempts []carobattempt.Attempt
-	// Last is the kind of the most recent failure of an attempt.
-	Last carobkind.Kind
+	// LastKind is the kind of the most recent failure of an attempt.
+	LastKind carobkind.Kind
 }
 
-// Open returns the number of attempts that have not ended.
-func (c *Call) Open() int {
+// OpenAttempts returns the number of attempts that have not ended.
+func (c *Call) OpenAttempts() int {
 	count := 0
 	for i := range c.Attempts {
-		if !c.Attempts[i].Over {
+		if !c.Attempts[i].Ended {
 			count++
 		}
 	}
 	return count
 }
 
-// Runs returns the number of attempts that may have run.
-func (c *Call) Runs() int {
+// PossibleRuns returns the number of attempts that may have run.
+func (c *Call) PossibleRuns() int {
 	count := 0
 	for i := range c.Attempts {
 		if !c.Attempts[i].NotRun() {
@@ -89,18 +89,18 @@
 	return true
 }
 
-// Wish returns what an attempt that is sent now tells the target's node about the
+// Requirements returns what an attempt that is sent now tells the target's node about the
 // call's priority and SLO.
-func (c *Call) Wish(now carobinstant.Instant) carobwish.Wish {
-	wish := carobwish.Wish{Request: c.Arrival.Request, Rank: c.Rank(), Once: c.Profile.Once}
-	if c.Slo != carobinstant.Never {
-		wish.Slo, wish.Whole = c.Slo.Sub(now), c.Slo.Sub(c.Came)
+func (c *Call) Requirements(now carobinstant.Instant) carobwish.Requirements {
+	wish := carobwish.Requirements{Request: c.Arrival.Request, Priority: c.Priority(), Guarantee: c.Profile.Once}
+	if c.SLODeadline != carobinstant.Never {
+		wish.SLOTimeLeft, wish.SLO = c.SLODeadline.Sub(now), c.SLODeadline.Sub(c.ArrivedAt)
 	}
 	return wish
 }
 
-// Rank returns the priority of the call, from its route; 0 is the highest.
-func (c *Call) Rank() int {
+// Priority returns the priority of the call, from its route; 0 is the highest.
+func (c *Call) Priority() int {
 	if c.Route == nil {
 		return 0
 	}
@@ -110,7 +110,7 @@
 // Key returns the idempotency key that the call must claim before it runs. It is
 // zero if the call needs none.
 func (c *Call) Key() carobkey.Key {
-	if c.Profile.Once != carobonce.Key || c.Arrival.Key == "" {
+	if c.Profile.Once != carobonce.OncePerKey || c.Arrival.Key == "" {
 		return carobkey.Key{}
 	}
 	return carobkey.Key{Service: c.Arrival.Service, Text: c.Arrival.Key}
--- a/pkg/carobcatchup/system.go
+++ b/pkg/carobcatchup/system.go
@@ -41,11 +41,11 @@
 		switch {
 		case message.Fetch != nil:
 			supplyRecords(world, message)
-		case message.Supply != nil:
+		case message.FetchReply != nil:
 			s.fetchDeadline = carobinstant.Never
-			s.fetch(world, now, message, message.Supply.Read)
-		case message.Probe != nil:
-			s.fetch(world, now, message, message.Probe.Read)
+			s.fetch(world, now, message, message.FetchReply.ProfilesRead)
+		case message.Heartbeat != nil:
+			s.fetch(world, now, message, message.Heartbeat.ProfilesRead)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 		return
 	}
 	s.fetchDeadline = now.Add(fetchTimeout)
-	world.Tell(carobmessage.Message{To: message.Back, Fetch: &carobfetch.Fetch{From: world.ProfilesRead + 1}})
+	world.SendMessage(carobmessage.Message{To: message.ReplyTo, Fetch: &carobfetch.Fetch{From: world.ProfilesRead + 1}})
 }
 
 // supplyRecords answers a fetch with records, or with a snapshot if this node no
@@ -69,16 +69,16 @@
 	if message.Fetch.From > world.ProfilesRead {
 		return
 	}
-	supply := &carobsupply.Supply{Read: world.ProfilesRead}
-	for offset := message.Fetch.From; offset <= world.ProfilesRead && len(supply.Records) < carobsupply.Most; offset++ {
-		record := world.Changes.Get(offset)
+	supply := &carobsupply.FetchReply{ProfilesRead: world.ProfilesRead}
+	for offset := message.Fetch.From; offset <= world.ProfilesRead && len(supply.Records) < carobsupply.MaxRecords; offset++ {
+		record := world.RecentChanges.Get(offset)
 		if record == nil {
 			supply.Records, supply.Snapshot = nil, takeSnapshot(world)
 			break
 		}
 		supply.Records = append(supply.Records, *record)
 	}
-	world.Tell(carobmessage.Message{To: message.Back, Supply: supply})
+	world.SendMessage(carobmessage.Message{To: message.ReplyTo, FetchReply: supply})
 }
 
 // takeSnapshot returns a pointer to a snapshot of the profiles in force.
--- a/pkg/carobclaiming/cluster_test.go
+++ b/pkg/carobclaiming/cluster_test.go
@@ -87,19 +87,19 @@
 }
 
 func (c *cluster) newNode(name string, seed uint64) *node {
-	self := carobmember.Member{Node: carobnodeid.ID(name), Incarnation: 1, Peer: carobaddress.Address(name)}
+	self := carobmember.Member{Node: carobnodeid.ID(name), Incarnation: 1, PeerAddress: carobaddress.Address(name)}
 	self.Incarnation += 0
 	world := carobworld.NewWorld(carobworld.Config{Self: self, Limits: caroblimits.NewLimits(), Seed: seed})
 	for _, other := range c.names {
 		if other != name {
-			member := carobmember.Member{Node: carobnodeid.ID(other), Incarnation: 1, Peer: carobaddress.Address(other)}
+			member := carobmember.Member{Node: carobnodeid.ID(other), Incarnation: 1, PeerAddress: carobaddress.Address(other)}
 			world.Peers.Put(member.Node, carobpeer.Peer{Member: member})
 		}
 	}
 	world.Groups.Put("payouts", carobgroup.Group{Profile: "p"})
 	revision := carobrevision.Revision{}
 	revision.Change.Profile = carobprofile.NewProfile("p")
-	revision.Change.Profile.Once = carobonce.Key
+	revision.Change.Profile.Once = carobonce.OncePerKey
 	world.Profiles.Put("p", revision)
 	return &node{
 		world: world, entry: carobentry.NewSystem(), follows: map[carobstream.Stream]int{},
@@ -129,13 +129,13 @@
 	for stream, next := range n.follows {
 		if records := c.log[stream]; !c.logDown && next < len(records) {
 			n.inbox.Records = append(n.inbox.Records, records[next:]...)
-			n.inbox.Marks = append(n.inbox.Marks, carobmark.Mark{Stream: stream, Next: caroboffset.Offset(len(records))})
+			n.inbox.StreamBounds = append(n.inbox.StreamBounds, carobmark.Mark{Stream: stream, Next: caroboffset.Offset(len(records))})
 			n.follows[stream] = len(records)
 		}
 	}
 	inbox := n.inbox
 	n.inbox = carobinbox.Inbox{}
-	n.world.Begin(inbox)
+	n.world.BeginTick(inbox)
 	n.claims.Run(n.world, c.now)
 	n.entry.Run(n.world, c.now)
 	outbox := n.world.Outbox
@@ -144,13 +144,13 @@
 			receiver.inbox.Messages = append(receiver.inbox.Messages, message)
 		}
 	}
-	for _, follow := range outbox.Follows {
+	for _, follow := range outbox.Subscriptions {
 		delete(n.follows, follow.Stream)
 		if follow.On {
 			n.follows[follow.Stream] = 0
 		}
 	}
-	for _, commit := range outbox.Commits {
+	for _, commit := range outbox.AppendRequests {
 		c.handleCommit(n, commit)
 	}
 	for _, conclusion := range outbox.Conclusions {
@@ -174,7 +174,7 @@
 			committed.Kind = carobkind.Unsure
 		}
 	}
-	n.inbox.Committed = append(n.inbox.Committed, committed)
+	n.inbox.AppendResults = append(n.inbox.AppendResults, committed)
 }
 
 // appendRecord puts a record into the log.
@@ -190,7 +190,7 @@
 	n := c.node(name)
 	id := carobcallid.ID{Node: n.world.Self.Node, Incarnation: n.world.Self.Incarnation, Sequence: sequence}
 	n.inbox.Arrivals = append(n.inbox.Arrivals, carobarrival.Arrival{
-		Call: id, Service: "payouts", Patience: callTimeout, Key: key,
+		Call: id, Service: "payouts", Timeout: callTimeout, Key: key,
 	})
 	return id
 }
@@ -208,7 +208,7 @@
 	n.world.Calls.Get(id).Stage = carobstage.Delivering
 	n.inbox.Deliveries = append(n.inbox.Deliveries, carobdelivery.Delivery{
 		Job:  carobjobid.ID{Call: id, Attempt: 1},
-		Kept: &carobkept.Kept{Status: 201, Body: []byte(body)},
+		StoredAnswer: &carobkept.StoredAnswer{Status: 201, Body: []byte(body)},
 	})
 }
 
@@ -219,18 +219,18 @@
 	switch {
 	case !ok:
 		return "nothing"
-	case conclusion.Kept != nil:
-		return fmt.Sprintf("%d %s", conclusion.Kept.Status, conclusion.Kept.Body)
+	case conclusion.StoredAnswer != nil:
+		return fmt.Sprintf("%d %s", conclusion.StoredAnswer.Status, conclusion.StoredAnswer.Body)
 	default:
 		return string(conclusion.Kind)
 	}
 }
 
 // setStanding sets the standing of a node in the view of all other nodes.
-func (c *cluster) setStanding(name string, standing carobstanding.Standing) {
+func (c *cluster) setStanding(name string, standing carobstanding.Liveness) {
 	for _, n := range c.nodes {
 		if peer := n.world.Peers.Get(carobnodeid.ID(name)); peer != nil {
-			peer.Member.Standing = standing
+			peer.Member.Liveness = standing
 			n.world.PeerChanges++
 		}
 	}
--- a/pkg/carobclaiming/system.go
+++ b/pkg/carobclaiming/system.go
@@ -90,15 +90,15 @@
 		s.updateHomes(world, now)
 	}
 	readStreams(world)
-	for _, committed := range world.Inbox.Committed {
+	for _, committed := range world.Inbox.AppendResults {
 		s.handleCommitted(world, now, committed)
 	}
 	for _, message := range world.Inbox.Messages {
 		if message.Claim != nil {
-			handleClaim(world, message.Back, *message.Claim)
+			handleClaim(world, message.ReplyTo, *message.Claim)
 		}
 		if message.Settlement != nil {
-			handleSettlement(world, message.Back, *message.Settlement)
+			handleSettlement(world, message.ReplyTo, *message.Settlement)
 		}
 	}
 	for shard, home := range world.Homes.All() {
@@ -109,7 +109,7 @@
 // readStreams folds the records of this tick into their shards, and drops the
 // claims that the log no longer keeps.
 func readStreams(world *carobworld.World) {
-	for _, mark := range world.Inbox.Marks {
+	for _, mark := range world.Inbox.StreamBounds {
 		if home := homeOfStream(world, mark.Stream); home != nil {
 			home.Next = max(home.Next, mark.First)
 			home.Claimed.Forget(mark.First)
@@ -120,7 +120,7 @@
 			foldRecord(world, home, record)
 		}
 	}
-	for _, mark := range world.Inbox.Marks {
+	for _, mark := range world.Inbox.StreamBounds {
 		if home := homeOfStream(world, mark.Stream); home != nil && home.Next >= mark.Next {
 			home.Read = true
 		}
@@ -137,14 +137,14 @@
 // node is the home only if all live nodes are leaving, so that calls in flight
 // can still claim keys until the last node has stopped.
 func homeOf(world *carobworld.World, shard carobshard.Shard) (carobnodeid.ID, carobaddress.Address) {
-	bestNode, address, leaving := world.Self.Node, world.Self.Peer, world.Stopping
+	bestNode, address, leaving := world.Self.Node, world.Self.PeerAddress, world.Stopping
 	for id, peer := range world.Peers.All() {
 		member := &peer.Member
-		if member.Standing != carobstanding.Alive || member.Leaving && !leaving {
+		if member.Liveness != carobstanding.Alive || member.Leaving && !leaving {
 			continue
 		}
 		if leaving && !member.Leaving || shard.Weight(id) > shard.Weight(bestNode) {
-			bestNode, address, leaving = id, member.Peer, member.Leaving
+			bestNode, address, leaving = id, member.PeerAddress, member.Leaving
 		}
 	}
 	return bestNode, address
@@ -159,7 +159,7 @@
 		if isHome == (home != nil) {
 			continue
 		}
-		world.Outbox.Follows = append(world.Outbox.Follows, carobfollow.Follow{Stream: shard.Stream(), On: isHome})
+		world.Outbox.Subscriptions = append(world.Outbox.Subscriptions, carobfollow.Follow{Stream: shard.Stream(), On: isHome})
 		if !isHome {
 			world.Homes.Delete(shard)
 			continue
@@ -246,7 +246,7 @@
 	}
 	home.Sent, home.Due = now, now.Add(s.config.Patience)
 	world.WakeAt(home.Due)
-	world.Outbox.Commits = append(world.Outbox.Commits, carobcommit.Commit{
+	world.Outbox.AppendRequests = append(world.Outbox.AppendRequests, carobcommit.Commit{
 		Stream: shard.Stream(), Number: home.Flight.Number, Data: data,
 	})
 }
@@ -266,9 +266,9 @@
 	if !s.mayAppend(world, now, home, owner) {
 		return nil
 	}
-	world.Commits++
+	world.AppendCount++
 	batch := &carobclaimbatch.Batch{
-		Node: world.Self.Node, Incarnation: world.Self.Incarnation, Number: world.Commits, Epoch: home.Claimed.Epoch(), Take: !owner,
+		Node: world.Self.Node, Incarnation: world.Self.Incarnation, Number: world.AppendCount, Epoch: home.Claimed.Epoch(), Take: !owner,
 	}
 	if !owner {
 		home.Pause = s.nextTakeoverPause(now, home)
@@ -349,7 +349,7 @@
 	if _, pending := home.Back[settlement.Claim.Call]; pending || len(home.Back) >= maxPending {
 		return
 	}
-	if holding := home.Claimed.Holding(settlement.Claim.Key); holding == nil || holding.Call != settlement.Claim.Call || holding.Ended {
+	if holding := home.Claimed.Holding(settlement.Claim.Key); holding == nil || holding.Call != settlement.Claim.Call || holding.Settled {
 		confirmSettlement(world, replyTo, settlement)
 		return
 	}
@@ -363,20 +363,20 @@
 	holding := home.Claimed.Holding(claim.Key)
 	result := carobclaimreply.Reply{Call: claim.Call}
 	switch {
-	case holding == nil && home.Claimed.Room(), holding != nil && holding.Call == claim.Call && holding.Ended:
+	case holding == nil && home.Claimed.Room(), holding != nil && holding.Call == claim.Call && holding.Settled:
 		return
 	case holding == nil:
-		result.Grant = carobgrant.Unclaimed
+		result.Result = carobgrant.Unclaimed
 	case holding.Call == claim.Call:
-		result.Grant = carobgrant.Granted
-	case !holding.Ended && !entryReplaced(world, holding.Call):
-		result.Grant = carobgrant.Wait
-	case holding.Ended && holding.Kind == carobkind.None:
-		result.Grant, result.Kept = carobgrant.Repeated, holding.Kept
+		result.Result = carobgrant.Granted
+	case !holding.Settled && !entryReplaced(world, holding.Call):
+		result.Result = carobgrant.Wait
+	case holding.Settled && holding.Kind == carobkind.None:
+		result.Result, result.StoredAnswer = carobgrant.Repeated, holding.StoredAnswer
 	default:
-		result.Grant = carobgrant.Unknown
+		result.Result = carobgrant.Unknown
 	}
-	world.Tell(carobmessage.Message{To: replyTo, ClaimReply: &result})
+	world.SendMessage(carobmessage.Message{To: replyTo, ClaimReply: &result})
 }
 
 // entryReplaced reports whether the entry node of a call has been replaced by a
@@ -391,5 +391,5 @@
 
 // confirmSettlement tells the entry node to stop resending a settlement.
 func confirmSettlement(world *carobworld.World, replyTo carobaddress.Address, settlement carobsettlement.Settlement) {
-	world.Tell(carobmessage.Message{To: replyTo, Settled: &settlement.Claim.Call})
+	world.SendMessage(carobmessage.Message{To: replyTo, Settled: &settlement.Claim.Call})
 }
--- a/pkg/carobclaiming/system_test.go
+++ b/pkg/carobclaiming/system_test.go
@@ -48,7 +48,7 @@
 	cluster.advance(shortWait)
 	require.Equal(t, "201 paid", cluster.result(lateCall))
 	for _, n := range cluster.nodes {
-		require.Zero(t, n.world.Unsettled.Len())
+		require.Zero(t, n.world.PendingSettlements.Len())
 	}
 }
 
@@ -264,7 +264,7 @@
 	cluster := newCluster(t, "a")
 	cluster.advance(shortWait)
 	before := cluster.appends
-	cluster.node("a").inbox.Messages = []carobmessage.Message{{Back: "a", Claim: &carobclaim.Claim{Key: keyOf("")}}}
+	cluster.node("a").inbox.Messages = []carobmessage.Message{{ReplyTo: "a", Claim: &carobclaim.Claim{Key: keyOf("")}}}
 	cluster.advance(shortWait)
 	require.Equal(t, before, cluster.appends)
 }
@@ -276,7 +276,7 @@
 	first := cluster.startCall("a", "k", 1)
 	cluster.advance(shortWait)
 	cluster.finishCall(first, "paid")
-	cluster.node("a").inbox.Deliveries[0].Kept = nil
+	cluster.node("a").inbox.Deliveries[0].StoredAnswer = nil
 	cluster.advance(shortWait)
 	second := cluster.startCall("b", "k", 1)
 	cluster.advance(shortWait)
--- a/pkg/carobclaimreply/reply.go
+++ b/pkg/carobclaimreply/reply.go
@@ -10,7 +10,7 @@
 // Reply is the home's answer to a claim, sent to the entry node of the call.
 type Reply struct {
 	Call  carobcallid.ID   `json:"call"`
-	Grant carobgrant.Grant `json:"grant"`
-	// Kept is the stored answer of the earlier call that ran, or nil.
-	Kept *carobkept.Kept `json:"kept,omitempty"`
+	Result carobgrant.Grant `json:"grant"`
+	// StoredAnswer is the stored answer of the earlier call that ran, or nil.
+	StoredAnswer *carobkept.StoredAnswer `json:"kept,omitempty"`
 }
--- a/pkg/carobclaims/claims.go
+++ b/pkg/carobclaims/claims.go
@@ -55,7 +55,7 @@
 // NewClaims returns the claims of an empty stream.
 func NewClaims(c Config) *Claims {
 	return &Claims{
-		config: c, epoch: caroboffset.None, overflow: caroboffset.None,
+		config: c, epoch: caroboffset.BeforeFirst, overflow: caroboffset.BeforeFirst,
 		holdings: map[carobkey.Key]*carobholding.Holding{},
 	}
 }
@@ -67,7 +67,7 @@
 
 // OwnedBy reports whether an incarnation of a node wrote the newest takeover.
 func (c *Claims) OwnedBy(node carobnodeid.ID, incarnation carobincarnation.Incarnation) bool {
-	return c.epoch != caroboffset.None && c.node == node && c.incarnation == incarnation
+	return c.epoch != caroboffset.BeforeFirst && c.node == node && c.incarnation == incarnation
 }
 
 // Holding returns the holding of a key, or nil if no call holds it.
@@ -78,7 +78,7 @@
 // Room reports whether a key that is not held may be claimed: the number of keys
 // is below its limit, and the log keeps no claim that exceeded the limit.
 func (c *Claims) Room() bool {
-	return len(c.holdings) < c.config.Keys && c.overflow == caroboffset.None
+	return len(c.holdings) < c.config.Keys && c.overflow == caroboffset.BeforeFirst
 }
 
 // Fold applies the record at an offset. Records have to be folded in the order of
@@ -131,17 +131,17 @@
 // call did not run. Only the first settlement counts.
 func (c *Claims) settle(settlement carobsettlement.Settlement) {
 	holding := c.holdings[settlement.Claim.Key]
-	if holding == nil || holding.Call != settlement.Claim.Call || holding.Ended {
+	if holding == nil || holding.Call != settlement.Claim.Call || holding.Settled {
 		return
 	}
 	if settlement.Kind != carobkind.None && settlement.Kind.NotRun() {
 		c.remove(settlement.Claim.Key)
 		return
 	}
-	holding.Ended, holding.Kind, holding.Kept = true, settlement.Kind, settlement.Kept
-	if holding.Kept != nil {
+	holding.Settled, holding.Kind, holding.StoredAnswer = true, settlement.Kind, settlement.StoredAnswer
+	if holding.StoredAnswer != nil {
 		c.keptOrder = append(c.keptOrder, settlement.Claim.Key)
-		c.keptBytes += len(holding.Kept.Body)
+		c.keptBytes += len(holding.StoredAnswer.Body)
 		c.evictKept()
 	}
 }
@@ -150,9 +150,9 @@
 // limit. Their keys stay held.
 func (c *Claims) evictKept() {
 	for c.keptBytes > c.config.Kept && len(c.keptOrder) > 0 {
-		if holding := c.holdings[c.keptOrder[0]]; holding != nil && holding.Kept != nil {
-			c.keptBytes -= len(holding.Kept.Body)
-			holding.Kept = nil
+		if holding := c.holdings[c.keptOrder[0]]; holding != nil && holding.StoredAnswer != nil {
+			c.keptBytes -= len(holding.StoredAnswer.Body)
+			holding.StoredAnswer = nil
 		}
 		c.keptOrder = c.keptOrder[1:]
 	}
@@ -162,7 +162,7 @@
 // offset that it still keeps.
 func (c *Claims) Forget(first caroboffset.Offset) {
 	if c.overflow < first {
-		c.overflow = caroboffset.None
+		c.overflow = caroboffset.BeforeFirst
 	}
 	for len(c.claimOrder) > 0 {
 		holding := c.holdings[c.claimOrder[0]]
@@ -178,8 +178,8 @@
 
 // remove releases a held key together with its kept answer.
 func (c *Claims) remove(key carobkey.Key) {
-	if holding := c.holdings[key]; holding.Kept != nil {
-		c.keptBytes -= len(holding.Kept.Body)
+	if holding := c.holdings[key]; holding.StoredAnswer != nil {
+		c.keptBytes -= len(holding.StoredAnswer.Body)
 	}
 	delete(c.holdings, key)
 }
--- a/pkg/carobclaims/claims_test.go
+++ b/pkg/carobclaims/claims_test.go
@@ -24,7 +24,7 @@
 }
 
 func takeover(node string) carobclaimbatch.Batch {
-	return carobclaimbatch.Batch{Node: carobnodeid.ID(node), Number: 1, Take: true, Epoch: caroboffset.None}
+	return carobclaimbatch.Batch{Node: carobnodeid.ID(node), Number: 1, Take: true, Epoch: caroboffset.BeforeFirst}
 }
 
 func batch(node string, epoch caroboffset.Offset, number uint64, claims ...carobclaim.Claim) carobclaimbatch.Batch {
@@ -90,7 +90,7 @@
 			}
 			require.NotNil(t, holding)
 			require.Equal(t, tc.holder, holding.Call.Sequence)
-			require.Equal(t, tc.ended, holding.Ended)
+			require.Equal(t, tc.ended, holding.Settled)
 		})
 	}
 }
@@ -123,11 +123,11 @@
 		newClaim := claim(key, uint64(i))
 		shard.Fold(1, batch("a", 0, uint64(i+2), newClaim))
 		settlements := settle(newClaim, carobkind.None)
-		settlements.Settlements[0].Kept = &carobkept.Kept{Body: []byte("12345")}
+		settlements.Settlements[0].StoredAnswer = &carobkept.StoredAnswer{Body: []byte("12345")}
 		shard.Fold(2, settlements)
 	}
-	require.Nil(t, shard.Holding(claim("k", 0).Key).Kept)
-	require.True(t, shard.Holding(claim("k", 0).Key).Ended, "the key stays held")
-	require.NotNil(t, shard.Holding(claim("l", 1).Key).Kept)
-	require.NotNil(t, shard.Holding(claim("m", 2).Key).Kept)
+	require.Nil(t, shard.Holding(claim("k", 0).Key).StoredAnswer)
+	require.True(t, shard.Holding(claim("k", 0).Key).Settled, "the key stays held")
+	require.NotNil(t, shard.Holding(claim("l", 1).Key).StoredAnswer)
+	require.NotNil(t, shard.Holding(claim("m", 2).Key).StoredAnswer)
 }
--- a/pkg/carobcompaction/system.go
+++ b/pkg/carobcompaction/system.go
@@ -50,18 +50,18 @@
 
 // NewSystem returns a system that has read no snapshot yet.
 func NewSystem() *System {
-	return &System{lastSnapshot: caroboffset.None}
+	return &System{lastSnapshot: caroboffset.BeforeFirst}
 }
 
 // Run appends a snapshot when one is due.
 func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
-	for _, mark := range world.Inbox.Marks {
+	for _, mark := range world.Inbox.StreamBounds {
 		if mark.Stream == carobstream.Profiles {
 			s.bounds = mark
 		}
 	}
-	if s.periodEnd == carobinstant.Never || world.Snapshot > s.lastSnapshot {
-		s.lastSnapshot = world.Snapshot
+	if s.periodEnd == carobinstant.Never || world.SnapshotOffset > s.lastSnapshot {
+		s.lastSnapshot = world.SnapshotOffset
 		s.periodEnd, s.appendAt = now.Add(period), carobinstant.Never
 	}
 	maxDelay, needed := s.needed(world, now)
@@ -92,11 +92,11 @@
 	if world.Profiles.Len() == 0 || world.ProfilesRead+1 < s.bounds.First {
 		return 0, false
 	}
-	covered := world.Snapshot >= s.bounds.First && world.SnapshotThrough+1 >= s.bounds.First
+	covered := world.SnapshotOffset >= s.bounds.First && world.SnapshotLastOffset+1 >= s.bounds.First
 	if s.bounds.First > 0 && !covered {
 		return urgentDelay, true
 	}
-	sinceSnapshot := world.ProfilesRead - max(world.Snapshot, caroboffset.None)
+	sinceSnapshot := world.ProfilesRead - max(world.SnapshotOffset, caroboffset.BeforeFirst)
 	if s.bounds.First > 0 && sinceSnapshot > max(1, (s.bounds.Next-s.bounds.First)/2) || sinceSnapshot >= maxSinceSnapshot {
 		return urgentDelay, true
 	}
--- a/pkg/carobconclusion/conclusion.go
+++ b/pkg/carobconclusion/conclusion.go
@@ -16,13 +16,13 @@
 	Call carobcallid.ID
 	// Kind is the error; None if the caller gets an answer.
 	Kind carobkind.Kind
-	// After is the time after which the caller may retry; if it is 0, the kind's own
+	// RetryAfter is the time after which the caller may retry; if it is 0, the kind's own
 	// retry time applies.
-	After time.Duration
+	RetryAfter time.Duration
 	// Attempt is the number of the attempt whose answer the caller gets; 0 if there
 	// is an error or a kept answer.
 	Attempt int
-	// Kept is the kept answer to an earlier call with the same idempotency key; nil
+	// StoredAnswer is the kept answer to an earlier call with the same idempotency key; nil
 	// if the caller gets something else. Kind is None and Attempt is 0 if it is set.
-	Kept *carobkept.Kept
+	StoredAnswer *carobkept.StoredAnswer
 }
--- a/pkg/carobcore/core.go
+++ b/pkg/carobcore/core.go
@@ -55,11 +55,11 @@
 	// Profiles are in force from the start without having been published in the log. May
 	// be empty.
 	Profiles []carobprofile.Profile
-	// Silence is how long a target may go without an announcement before it expires; 0
+	// AnnouncementTimeout is how long a target may go without an announcement before it expires; 0
 	// selects the default of 3 s.
-	Silence time.Duration
-	// Untraced disables the propagation of trace context.
-	Untraced bool
+	AnnouncementTimeout time.Duration
+	// NoTracePropagation disables the propagation of trace context.
+	NoTracePropagation bool
 }
 
 // Core makes all decisions of one node.
@@ -101,13 +101,13 @@
 func NewCore(c Config) *Core {
 	world := carobworld.NewWorld(c.World)
 	for _, pf := range c.Profiles {
-		world.Profiles.Put(pf.Name, carobrevision.Revision{Offset: caroboffset.None, Change: carobchange.Change{Profile: pf}})
+		world.Profiles.Put(pf.Name, carobrevision.Revision{Offset: caroboffset.BeforeFirst, Change: carobchange.Change{Profile: pf}})
 	}
 	return &Core{
 		world: world,
 		systems: []system{
 			carobpause.NewSystem(carobpause.Config{Period: maxTickInterval, Allowance: pauseThreshold}),
-			carobregistry.NewSystem(carobregistry.Config{Silence: cmp.Or(c.Silence, targetTimeout)}),
+			carobregistry.NewSystem(carobregistry.Config{Silence: cmp.Or(c.AnnouncementTimeout, targetTimeout)}),
 			carobjoining.NewSystem(carobjoining.Config{Seeds: c.Seeds}),
 			carobmembership.NewSystem(),
 			carobdetection.NewSystem(),
@@ -129,17 +129,17 @@
 			carobrouting.NewSystem(),
 			carobejection.NewSystem(),
 			carobhedging.NewSystem(),
-			carobtracing.NewSystem(carobtracing.Config{Seed: c.World.Seed, Alone: c.Untraced}),
+			carobtracing.NewSystem(carobtracing.Config{Seed: c.World.Seed, Alone: c.NoTracePropagation}),
 			carobshutdown.NewSystem(carobshutdown.Config{Patience: shutdownHandoverTimeout, Linger: shutdownLinger}),
 			carobdissemination.NewSystem(),
 		},
 	}
 }
 
-// Step runs one tick at the given instant over the input that came since the last one, and
+// Tick runs one tick at the given instant over the input that came since the last one, and
 // returns the effects. The outbox is valid until the next call.
-func (c *Core) Step(now carobinstant.Instant, input carobinbox.Inbox) *caroboutbox.Outbox {
-	c.world.Begin(input)
+func (c *Core) Tick(now carobinstant.Instant, input carobinbox.Inbox) *caroboutbox.Outbox {
+	c.world.BeginTick(input)
 	for _, s := range c.systems {
 		s.Run(c.world, now)
 	}
--- a/pkg/carobdelivery/delivery.go
+++ b/pkg/carobdelivery/delivery.go
@@ -13,6 +13,6 @@
 	Job carobjobid.ID
 	// Kind is None if the whole answer was forwarded.
 	Kind carobkind.Kind
-	// Kept is the whole answer if it is small enough to be kept; nil otherwise.
-	Kept *carobkept.Kept
+	// StoredAnswer is the whole answer if it is small enough to be kept; nil otherwise.
+	StoredAnswer *carobkept.StoredAnswer
 }
--- a/pkg/carobdetection/monitorset.go
+++ b/pkg/carobdetection/monitorset.go
@@ -41,7 +41,7 @@
 	for range m.nodes {
 		m.current = (m.current + 1) % len(m.nodes)
 		pr := w.Peers.Get(m.nodes[m.current])
-		if pr != nil && !pr.Member.Standing.Lost() {
+		if pr != nil && !pr.Member.Liveness.Down() {
 			return pr
 		}
 	}
@@ -59,11 +59,11 @@
 			}
 		}
 	}
-	add(w.SomePeers(randomNear, func(pr *carobpeer.Peer) bool {
-		return !pr.Member.Standing.Lost() && pr.Member.Centre == w.Self.Centre
+	add(w.SamplePeers(randomNear, func(pr *carobpeer.Peer) bool {
+		return !pr.Member.Liveness.Down() && pr.Member.Centre == w.Self.Centre
 	}))
-	add(w.SomePeers(randomFar, func(pr *carobpeer.Peer) bool {
-		return !pr.Member.Standing.Lost() && pr.Member.Centre != w.Self.Centre
+	add(w.SamplePeers(randomFar, func(pr *carobpeer.Peer) bool {
+		return !pr.Member.Liveness.Down() && pr.Member.Centre != w.Self.Centre
 	}))
 }
 
@@ -77,7 +77,7 @@
 	own := carobversion.Hash(w.Self.Node)
 	var next []successor
 	for id, pr := range w.Peers.All() {
-		if pr.Member.Standing.Lost() {
+		if pr.Member.Liveness.Down() {
 			continue
 		}
 		next = append(next, successor{id, carobversion.Hash(id) - own})
--- a/pkg/carobdetection/restart_test.go
+++ b/pkg/carobdetection/restart_test.go
@@ -21,18 +21,18 @@
 // with the checksums that make both sides compare their peer tables.
 func TestNodeThatLeftGetsHeartbeatsWhileItMayRestart(t *testing.T) {
 	start := carobinstant.Instant(time.Hour)
-	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "self", Peer: "127.0.0.1:1"}, Limits: caroblimits.NewLimits()})
+	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "self", PeerAddress: "127.0.0.1:1"}, Limits: caroblimits.NewLimits()})
 	w.Peers.Put("gone", carobpeer.Peer{
-		Member: carobmember.Member{Node: "gone", Peer: "127.0.0.1:2", Standing: carobstanding.Gone}, Since: start,
+		Member: carobmember.Member{Node: "gone", PeerAddress: "127.0.0.1:2", Liveness: carobstanding.Left}, LivenessSince: start,
 	})
 	system := carobdetection.NewSystem()
 	sent := map[bool]int{}
 	for now := start; now.Sub(start) < time.Minute; now = now.Add(100 * time.Millisecond) {
-		w.Begin(carobinbox.Inbox{})
+		w.BeginTick(carobinbox.Inbox{})
 		system.Run(w, now)
 		for _, ms := range w.Outbox.Messages {
 			require.EqualValues(t, "127.0.0.1:2", ms.To)
-			require.NotEmpty(t, ms.Probe.Sums, "checksums let both sides compare their peer tables")
+			require.NotEmpty(t, ms.Heartbeat.Checksums, "checksums let both sides compare their peer tables")
 			sent[now.Sub(start) < 25*time.Second]++
 		}
 	}
--- a/pkg/carobdetection/system.go
+++ b/pkg/carobdetection/system.go
@@ -87,12 +87,12 @@
 	if !paused {
 		return
 	}
-	for number := range w.Inquiries.All() {
-		w.Inquiries.Delete(number)
+	for number := range w.PendingHeartbeats.All() {
+		w.PendingHeartbeats.Delete(number)
 	}
 	for _, pr := range w.Peers.All() {
-		if pr.Member.Standing == carobstanding.Suspect {
-			pr.Since = now
+		if pr.Member.Liveness == carobstanding.Suspect {
+			pr.LivenessSince = now
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	if pr := w.Peers.Get(ms.From); pr != nil {
 		markHeard(w, now, ms, pr)
 	}
-	if pb := ms.Probe; pb != nil {
+	if pb := ms.Heartbeat; pb != nil {
 		answer(w, ms, pb)
 	}
 }
@@ -112,35 +112,35 @@
 // refute it.
 func markHeard(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message, pr *carobpeer.Peer) {
 	if ms.Incarnation == pr.Member.Incarnation {
-		pr.Heard = now
+		pr.LastContactAt = now
 	}
 	outdated := ms.Incarnation < pr.Member.Incarnation ||
-		ms.Incarnation == pr.Member.Incarnation && pr.Member.Standing != carobstanding.Alive
-	if outdated && ms.Probe != nil {
-		w.Tell(carobmessage.Message{To: ms.Back, Gossip: &carobgossip.Gossip{Members: []carobmember.Member{pr.Member}}})
+		ms.Incarnation == pr.Member.Incarnation && pr.Member.Liveness != carobstanding.Alive
+	if outdated && ms.Heartbeat != nil {
+		w.SendMessage(carobmessage.Message{To: ms.ReplyTo, Gossip: &carobgossip.Gossip{Members: []carobmember.Member{pr.Member}}})
 	}
 }
 
 // answer handles a heartbeat: it forwards a relayed answer to the node that requested the
 // relay, removes an answered heartbeat from the pending ones, relays a heartbeat for
 // another node, or answers a heartbeat to this node.
-func answer(w *carobworld.World, ms *carobmessage.Message, pb *carobprobe.Probe) {
+func answer(w *carobworld.World, ms *carobmessage.Message, pb *carobprobe.PeerHeartbeat) {
 	switch {
-	case pb.Answer && pb.Origin != "" && pb.Origin != w.Self.Peer:
-		w.Tell(carobmessage.Message{To: pb.Origin, Probe: &carobprobe.Probe{
-			Number: pb.Number, Node: pb.Node, Answer: true, Read: w.ProfilesRead,
+	case pb.Answer && pb.RelayFor != "" && pb.RelayFor != w.Self.PeerAddress:
+		w.SendMessage(carobmessage.Message{To: pb.RelayFor, Heartbeat: &carobprobe.PeerHeartbeat{
+			Number: pb.Number, Node: pb.Node, Answer: true, ProfilesRead: w.ProfilesRead,
 		}})
 	case pb.Answer:
-		if iq := w.Inquiries.Get(pb.Number); iq != nil && iq.Node == pb.Node {
-			w.Inquiries.Delete(pb.Number)
+		if iq := w.PendingHeartbeats.Get(pb.Number); iq != nil && iq.Node == pb.Node {
+			w.PendingHeartbeats.Delete(pb.Number)
 		}
-	case pb.Goal != "":
-		w.Tell(carobmessage.Message{To: pb.Goal, Probe: &carobprobe.Probe{
-			Number: pb.Number, Node: pb.Node, Origin: ms.Back, Read: w.ProfilesRead,
+	case pb.RelayTo != "":
+		w.SendMessage(carobmessage.Message{To: pb.RelayTo, Heartbeat: &carobprobe.PeerHeartbeat{
+			Number: pb.Number, Node: pb.Node, RelayFor: ms.ReplyTo, ProfilesRead: w.ProfilesRead,
 		}})
 	case pb.Node == "" || pb.Node == w.Self.Node:
-		w.Tell(carobmessage.Message{To: ms.Back, Probe: &carobprobe.Probe{
-			Number: pb.Number, Node: w.Self.Node, Answer: true, Origin: pb.Origin, Read: w.ProfilesRead, Sums: w.Sums(),
+		w.SendMessage(carobmessage.Message{To: ms.ReplyTo, Heartbeat: &carobprobe.PeerHeartbeat{
+			Number: pb.Number, Node: w.Self.Node, Answer: true, RelayFor: pb.RelayFor, ProfilesRead: w.ProfilesRead, Checksums: w.Checksums(),
 		}})
 	}
 }
@@ -148,7 +148,7 @@
 // expireHeartbeats handles the heartbeats that timed out: it first requests other nodes to
 // relay them, and after a second time-out suspects the node.
 func (s *System) expireHeartbeats(w *carobworld.World, now carobinstant.Instant) {
-	for number, iq := range w.Inquiries.All() {
+	for number, iq := range w.PendingHeartbeats.All() {
 		due := iq.SentAt.Add(answerTimeout)
 		if iq.Relayed {
 			due = due.Add(answerTimeout)
@@ -159,10 +159,10 @@
 		}
 		pr := w.Peers.Get(iq.Node)
 		switch {
-		case pr == nil || pr.Heard > iq.SentAt:
-			w.Inquiries.Delete(number)
+		case pr == nil || pr.LastContactAt > iq.SentAt:
+			w.PendingHeartbeats.Delete(number)
 		case iq.Relayed:
-			w.Inquiries.Delete(number)
+			w.PendingHeartbeats.Delete(number)
 			suspect(w, now, pr)
 		default:
 			iq.Relayed = true
@@ -174,18 +174,18 @@
 
 // relay requests random live peers to send the heartbeat to a node in place of this one.
 func relay(w *carobworld.World, number uint64, pr *carobpeer.Peer) {
-	others := w.SomePeers(relayFanout, func(o *carobpeer.Peer) bool {
-		return o.Member.Standing == carobstanding.Alive && o.Member.Node != pr.Member.Node
+	others := w.SamplePeers(relayFanout, func(o *carobpeer.Peer) bool {
+		return o.Member.Liveness == carobstanding.Alive && o.Member.Node != pr.Member.Node
 	})
 	for _, o := range others {
-		w.Tell(carobmessage.Message{To: o.Member.Peer, Probe: &carobprobe.Probe{
-			Number: number, Node: pr.Member.Node, Goal: pr.Member.Peer, Read: w.ProfilesRead,
+		w.SendMessage(carobmessage.Message{To: o.Member.PeerAddress, Heartbeat: &carobprobe.PeerHeartbeat{
+			Number: number, Node: pr.Member.Node, RelayTo: pr.Member.PeerAddress, ProfilesRead: w.ProfilesRead,
 		}})
 	}
 }
 
 func suspect(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer) {
-	if pr.Member.Standing != carobstanding.Alive {
+	if pr.Member.Liveness != carobstanding.Alive {
 		return
 	}
 	setState(w, now, pr, carobstanding.Suspect)
@@ -195,7 +195,7 @@
 // time, and removes their targets from the target table.
 func expireSuspicions(w *carobworld.World, now carobinstant.Instant) {
 	for _, pr := range w.Peers.All() {
-		if pr.Member.Standing == carobstanding.Suspect && pr.Since.Add(suspicionTimeout).Reached(now) {
+		if pr.Member.Liveness == carobstanding.Suspect && pr.LivenessSince.Add(suspicionTimeout).Reached(now) {
 			setState(w, now, pr, carobstanding.Unreachable)
 			w.DropTargets(pr.Member.Node)
 		}
@@ -204,11 +204,11 @@
 
 // setState sets the liveness state of a peer, records it in the audit trail, and
 // schedules it for gossip.
-func setState(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer, sd carobstanding.Standing) {
-	w.Note("member", string(w.Self.Node), "node "+string(pr.Member.Node), pr.Member.Standing.String(), sd.String())
-	pr.Member.Standing, pr.Since, pr.Told = sd, now, 0
+func setState(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer, sd carobstanding.Liveness) {
+	w.Audit("member", string(w.Self.Node), "node "+string(pr.Member.Node), pr.Member.Liveness.String(), sd.String())
+	pr.Member.Liveness, pr.LivenessSince, pr.GossipCount = sd, now, 0
 	w.PeerChanges++
-	w.News.Put(pr.Member.Node, struct{}{})
+	w.PendingGossip.Put(pr.Member.Node, struct{}{})
 }
 
 // monitorNext sends a heartbeat to the next node of the monitor set.
@@ -218,7 +218,7 @@
 		return
 	}
 	s.number++
-	w.Inquiries.Put(s.number, carobinquiry.PendingHeartbeat{Node: pr.Member.Node, SentAt: now})
+	w.PendingHeartbeats.Put(s.number, carobinquiry.PendingHeartbeat{Node: pr.Member.Node, SentAt: now})
 	s.sendHeartbeat(w, pr.Member)
 }
 
@@ -228,7 +228,7 @@
 		return
 	}
 	s.nextDownRound = now.Add(downInterval)
-	for _, pr := range w.SomePeers(downFanout, func(pr *carobpeer.Peer) bool { return shouldRetry(now, pr) }) {
+	for _, pr := range w.SamplePeers(downFanout, func(pr *carobpeer.Peer) bool { return shouldRetry(now, pr) }) {
 		s.number++
 		s.sendHeartbeat(w, pr.Member)
 	}
@@ -238,11 +238,11 @@
 // left may be starting again at its address, and cannot find its peers by itself if it
 // cannot read their addresses.
 func shouldRetry(now carobinstant.Instant, pr *carobpeer.Peer) bool {
-	switch pr.Member.Standing {
+	switch pr.Member.Liveness {
 	case carobstanding.Unreachable:
 		return true
-	case carobstanding.Gone:
-		return now.Sub(pr.Since) < restartWindow
+	case carobstanding.Left:
+		return now.Sub(pr.LivenessSince) < restartWindow
 	default:
 		return false
 	}
@@ -250,7 +250,7 @@
 
 // sendHeartbeat sends a direct heartbeat with the checksums of this node's peer table.
 func (s *System) sendHeartbeat(w *carobworld.World, mb carobmember.Member) {
-	w.Tell(carobmessage.Message{To: mb.Peer, Probe: &carobprobe.Probe{
-		Number: s.number, Node: mb.Node, Sums: w.Sums(), Read: w.ProfilesRead,
+	w.SendMessage(carobmessage.Message{To: mb.PeerAddress, Heartbeat: &carobprobe.PeerHeartbeat{
+		Number: s.number, Node: mb.Node, Checksums: w.Checksums(), ProfilesRead: w.ProfilesRead,
 	}})
 }
--- a/pkg/carobdigest/digest.go
+++ b/pkg/carobdigest/digest.go
@@ -13,13 +13,13 @@
 // receiver sends the descriptions that the sender lacks, and requests those that it lacks
 // itself.
 type Digest struct {
-	// Part is the index of the partition, from 0.
-	Part int `json:"part"`
-	// Rows are the versions of the sender's descriptions, at most one for each node.
-	Rows []carobversion.Version `json:"rows,omitempty"`
-	// Wanted are the nodes whose newest description the sender requests. If there are any,
+	// Partition is the index of the partition, from 0.
+	Partition int `json:"part"`
+	// Versions are the versions of the sender's descriptions, at most one for each node.
+	Versions []carobversion.Version `json:"rows,omitempty"`
+	// Requested are the nodes whose newest description the sender requests. If there are any,
 	// the digest lists no versions.
-	Wanted []carobnodeid.ID `json:"wanted,omitempty"`
+	Requested []carobnodeid.ID `json:"wanted,omitempty"`
 }
 
 // maxRows is the maximum number of rows, and of requested nodes, of one digest.
@@ -27,15 +27,15 @@
 
 // Check returns an error of kind Invalid if the digest is out of bounds.
 func (d Digest) Check() error {
-	if d.Part < 0 || d.Part >= carobprobe.Parts || len(d.Rows) > maxRows || len(d.Wanted) > maxRows {
-		return carobkind.New(carobkind.Invalid, "digest: partition %d with %d rows is out of bounds", d.Part, len(d.Rows))
+	if d.Partition < 0 || d.Partition >= carobprobe.Partitions || len(d.Versions) > maxRows || len(d.Requested) > maxRows {
+		return carobkind.New(carobkind.Invalid, "digest: partition %d with %d rows is out of bounds", d.Partition, len(d.Versions))
 	}
-	for _, vs := range d.Rows {
+	for _, vs := range d.Versions {
 		if err := vs.Check(); err != nil {
 			return err
 		}
 	}
-	for _, id := range d.Wanted {
+	for _, id := range d.Requested {
 		if err := id.Check(); err != nil {
 			return err
 		}
--- a/pkg/carobdissemination/system.go
+++ b/pkg/carobdissemination/system.go
@@ -64,8 +64,8 @@
 		announceLeave(w)
 		return
 	}
-	if w.Self.Beat != s.sequence {
-		s.sequence, s.sent = w.Self.Beat, 0
+	if w.Self.Sequence != s.sequence {
+		s.sequence, s.sent = w.Self.Sequence, 0
 	}
 	s.piggyback(w)
 	s.startRound(w, now)
@@ -100,8 +100,8 @@
 	if s.sent < maxRoundSends {
 		return true
 	}
-	for id := range w.News.All() {
-		if pr := w.Peers.Get(id); pr != nil && pr.Told < maxRoundSends {
+	for id := range w.PendingGossip.All() {
+		if pr := w.Peers.Get(id); pr != nil && pr.GossipCount < maxRoundSends {
 			return true
 		}
 	}
@@ -110,15 +110,15 @@
 
 // piggyback sends pending descriptions along with the heartbeats of this tick.
 func (s *System) piggyback(w *carobworld.World) {
-	if s.sent >= maxSends && w.News.Len() == 0 {
+	if s.sent >= maxSends && w.PendingGossip.Len() == 0 {
 		return
 	}
 	for _, ms := range w.Outbox.Messages {
-		if ms.Probe == nil {
+		if ms.Heartbeat == nil {
 			continue
 		}
 		if members := s.takePending(w, maxSends, piggybackSize); len(members) > 0 {
-			w.Tell(carobmessage.Message{To: ms.To, Gossip: &carobgossip.Gossip{Members: members}})
+			w.SendMessage(carobmessage.Message{To: ms.To, Gossip: &carobgossip.Gossip{Members: members}})
 		}
 	}
 }
@@ -132,14 +132,14 @@
 		s.sent++
 		mb := w.Describe()
 		members = append(members, mb)
-		space -= mb.Weight()
+		space -= mb.EncodedSize()
 	}
 	for _, pr := range pendingPeers(w, maxSent) {
-		space -= pr.Member.Weight()
-		if space < 0 && len(members) > 0 || len(members) == carobgossip.Most {
+		space -= pr.Member.EncodedSize()
+		if space < 0 && len(members) > 0 || len(members) == carobgossip.MaxMembers {
 			break
 		}
-		pr.Told++
+		pr.GossipCount++
 		members = append(members, pr.Member)
 	}
 	return members
@@ -149,43 +149,43 @@
 // times, those sent least often first. It removes the ones that were sent often enough.
 func pendingPeers(w *carobworld.World, maxSent int) []*carobpeer.Peer {
 	var rows []*carobpeer.Peer
-	for id := range w.News.All() {
+	for id := range w.PendingGossip.All() {
 		pr := w.Peers.Get(id)
-		if pr == nil || pr.Told >= maxSends {
-			w.News.Delete(id)
+		if pr == nil || pr.GossipCount >= maxSends {
+			w.PendingGossip.Delete(id)
 			continue
 		}
-		if pr.Told < maxSent {
+		if pr.GossipCount < maxSent {
 			rows = append(rows, pr)
 		}
 	}
-	slices.SortStableFunc(rows, func(a, b *carobpeer.Peer) int { return cmp.Compare(a.Told, b.Told) })
+	slices.SortStableFunc(rows, func(a, b *carobpeer.Peer) int { return cmp.Compare(a.GossipCount, b.GossipCount) })
 	return rows
 }
 
 // recipients returns random peers that are not down: most of them in this node's data
 // centre, and at least one elsewhere if there is one.
 func recipients(w *carobworld.World) []*carobpeer.Peer {
-	near := w.SomePeers(fanout, func(pr *carobpeer.Peer) bool { return reachable(pr) && pr.Member.Centre == w.Self.Centre })
-	far := w.SomePeers(fanout, func(pr *carobpeer.Peer) bool { return reachable(pr) && pr.Member.Centre != w.Self.Centre })
+	near := w.SamplePeers(fanout, func(pr *carobpeer.Peer) bool { return reachable(pr) && pr.Member.Centre == w.Self.Centre })
+	far := w.SamplePeers(fanout, func(pr *carobpeer.Peer) bool { return reachable(pr) && pr.Member.Centre != w.Self.Centre })
 	fromFar := min(len(far), max(1, fanout-len(near)))
 	return append(far[:fromFar], near[:min(len(near), fanout-fromFar)]...)
 }
 
 func reachable(pr *carobpeer.Peer) bool {
-	return !pr.Member.Standing.Lost()
+	return !pr.Member.Liveness.Down()
 }
 
 // announceLeave announces to some random nodes that this node leaves. It does so only once.
 func announceLeave(w *carobworld.World) {
-	if w.Farewell {
+	if w.LeaveAnnounced {
 		return
 	}
-	w.Farewell = true
-	w.Self.Beat++
+	w.LeaveAnnounced = true
+	w.Self.Sequence++
 	mb := w.Describe()
-	mb.Standing = carobstanding.Gone
-	w.Note("member", string(w.Self.Node), "node "+string(w.Self.Node), carobstanding.Alive.String(), mb.Standing.String())
+	mb.Liveness = carobstanding.Left
+	w.Audit("member", string(w.Self.Node), "node "+string(w.Self.Node), carobstanding.Alive.String(), mb.Liveness.String())
 	for _, pr := range recipients(w) {
 		send(w, pr.Member, []carobmember.Member{mb})
 	}
@@ -195,11 +195,11 @@
 func totalSize(members []carobmember.Member) int {
 	size := 0
 	for i := range members {
-		size += members[i].Weight()
+		size += members[i].EncodedSize()
 	}
 	return size
 }
 
 func send(w *carobworld.World, to carobmember.Member, members []carobmember.Member) {
-	w.Tell(carobmessage.Message{To: to.Peer, Gossip: &carobgossip.Gossip{Members: members}})
+	w.SendMessage(carobmessage.Message{To: to.PeerAddress, Gossip: &carobgossip.Gossip{Members: members}})
 }
--- a/pkg/carobentry/backoff_test.go
+++ b/pkg/carobentry/backoff_test.go
@@ -14,7 +14,7 @@
 // Guards against a call being refused, or retried in a tight loop, while all targets
 // are busy: it has to back off with growing waits and conclude as Late.
 func TestBusyCallBacksOffUntilDeadline(t *testing.T) {
-	r := newRig(t, carobonce.Call)
+	r := newRig(t, carobonce.OncePerCall)
 	r.arrive(false)
 	arrivedAt, attempt := r.now, 1
 	for len(r.world.Outbox.Conclusions) == 0 && attempt < 1000 {
--- a/pkg/carobentry/claim.go
+++ b/pkg/carobentry/claim.go
@@ -37,20 +37,20 @@
 		return
 	}
 	world.WakeAt(call.Deadline)
-	if due := call.Asked.Add(claimRetryInterval); call.Asked != carobinstant.Never && !due.Reached(now) {
+	if due := call.ClaimSentAt.Add(claimRetryInterval); call.ClaimSentAt != carobinstant.Never && !due.Reached(now) {
 		world.WakeAt(due)
 		return
 	}
 	world.WakeAt(now.Add(claimRetryInterval))
-	call.Asked = now
+	call.ClaimSentAt = now
 	_, home := carobclaiming.Home(world, call.Key())
-	world.Tell(carobmessage.Message{To: home, Claim: &carobclaim.Claim{Key: call.Key(), Call: call.Arrival.Call}})
+	world.SendMessage(carobmessage.Message{To: home, Claim: &carobclaim.Claim{Key: call.Key(), Call: call.Arrival.Call}})
 }
 
 // claimFailureKind returns the kind of a call that was not granted its key before its
 // deadline.
 func claimFailureKind(call *carobcall.Call) carobkind.Kind {
-	if call.Contested {
+	if call.KeyHeld {
 		return carobkind.KeyUnknown
 	}
 	return carobkind.Unclaimed
@@ -63,13 +63,13 @@
 	if call == nil || call.Stage != carobstage.Claiming {
 		return
 	}
-	switch reply.Grant {
+	switch reply.Result {
 	case carobgrant.Granted:
 		call.Stage = carobstage.Waiting
 	case carobgrant.Wait:
-		call.Contested = true
+		call.KeyHeld = true
 	case carobgrant.Repeated:
-		concludeRepeated(world, now, call, reply.Kept)
+		concludeRepeated(world, now, call, reply.StoredAnswer)
 	case carobgrant.Unclaimed:
 		conclude(world, now, call, carobkind.Unclaimed)
 	default:
@@ -79,25 +79,25 @@
 
 // concludeRepeated concludes a call with the stored answer to an earlier call that
 // had the same key, or with the kind Repeated if that answer was not stored.
-func concludeRepeated(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kept *carobkept.Kept) {
+func concludeRepeated(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kept *carobkept.StoredAnswer) {
 	if kept == nil {
 		conclude(world, now, call, carobkind.Repeated)
 		return
 	}
-	world.Outbox.Conclusions = append(world.Outbox.Conclusions, carobconclusion.Conclusion{Call: call.Arrival.Call, Kept: kept})
+	world.Outbox.Conclusions = append(world.Outbox.Conclusions, carobconclusion.Conclusion{Call: call.Arrival.Call, StoredAnswer: kept})
 	world.Calls.Delete(call.Arrival.Call)
 }
 
 // addSettlement stores the settlement of a call that may hold its key, until the home
 // of the key acknowledges it, and sends it for the first time. If the table is
 // full, the key stays claimed and later calls with it do not run.
-func addSettlement(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kind carobkind.Kind, kept *carobkept.Kept) {
-	if call.Key() == (carobkey.Key{}) || call.Asked == carobinstant.Never {
+func addSettlement(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kind carobkind.Kind, kept *carobkept.StoredAnswer) {
+	if call.Key() == (carobkey.Key{}) || call.ClaimSentAt == carobinstant.Never {
 		return
 	}
-	unsettled := world.Unsettled.Put(call.Arrival.Call, carobunsettled.Unsettled{
+	unsettled := world.PendingSettlements.Put(call.Arrival.Call, carobunsettled.Unsettled{
 		Settlement: carobsettlement.Settlement{
-			Claim: carobclaim.Claim{Key: call.Key(), Call: call.Arrival.Call}, Kind: kind, Kept: kept,
+			Claim: carobclaim.Claim{Key: call.Key(), Call: call.Arrival.Call}, Kind: kind, StoredAnswer: kept,
 		},
 		Due: now, Pause: minSettlementBackoff,
 	})
@@ -117,5 +117,5 @@
 	unsettled.Pause = min(2*unsettled.Pause, maxSettlementBackoff)
 	world.WakeAt(unsettled.Due)
 	_, home := carobclaiming.Home(world, unsettled.Settlement.Claim.Key)
-	world.Tell(carobmessage.Message{To: home, Settlement: &unsettled.Settlement})
+	world.SendMessage(carobmessage.Message{To: home, Settlement: &unsettled.Settlement})
 }
--- a/pkg/carobentry/fence.go
+++ b/pkg/carobentry/fence.go
@@ -31,7 +31,7 @@
 // Withdraw may be called repeatedly for the same attempt.
 func Withdraw(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, number int) {
 	attempt := &call.Attempts[number-1]
-	if call.Stage == carobstage.Placed && !attempt.Over && attempt.State == carobjobstate.Unasked {
+	if call.Stage == carobstage.Attempting && !attempt.Ended && attempt.State == carobjobstate.Unasked {
 		sendFence(world, now, call, number)
 		retryIfAllEnded(world, now, call)
 	}
@@ -61,11 +61,11 @@
 // another incarnation.
 func sendFence(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, number int) {
 	attempt := &call.Attempts[number-1]
-	if due := attempt.Asked.Add(fenceRetryInterval); attempt.Asked != carobinstant.Never && !due.Reached(now) {
+	if due := attempt.FenceSentAt.Add(fenceRetryInterval); attempt.FenceSentAt != carobinstant.Never && !due.Reached(now) {
 		world.WakeAt(due)
 		return
 	}
-	attempt.Asked = now
+	attempt.FenceSentAt = now
 	fence := carobfence.Fence{Job: carobjobid.ID{Call: call.Arrival.Call, Attempt: number}, Incarnation: attempt.Incarnation}
 	if attempt.Node == world.Self.Node {
 		setJobState(world, call, number, carobfencing.Judge(world, fence))
@@ -77,7 +77,7 @@
 		return
 	}
 	world.WakeAt(now.Add(fenceRetryInterval))
-	world.Tell(carobmessage.Message{To: peer.Member.Peer, Fence: &fence})
+	world.SendMessage(carobmessage.Message{To: peer.Member.PeerAddress, Fence: &fence})
 }
 
 // handleFenceReply handles a fence reply from a target's node. It drops replies for
@@ -91,7 +91,7 @@
 	switch call.Stage {
 	case carobstage.Fencing:
 		resolveFenced(world, now, call)
-	case carobstage.Placed:
+	case carobstage.Attempting:
 		retryIfAllEnded(world, now, call)
 	default:
 	}
@@ -109,12 +109,12 @@
 		return
 	}
 	cancelAttempt(world, call, number)
-	attempt.Over, attempt.Kind, call.Last = true, carobkind.Withdrawn, carobkind.Withdrawn
+	attempt.Ended, attempt.Kind, call.LastKind = true, carobkind.Withdrawn, carobkind.Withdrawn
 }
 
 // retryIfAllEnded retries or fences a call if its last open attempt was withdrawn.
 func retryIfAllEnded(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
-	if call.Open() == 0 {
+	if call.OpenAttempts() == 0 {
 		retryOrFence(world, now, call)
 	}
 }
@@ -128,7 +128,7 @@
 		conclude(world, now, call, carobkind.Late)
 	case call.NotRun():
 		retryFenced(world, now, call)
-	case mayHaveRun(call) || call.Grace.Reached(now):
+	case mayHaveRun(call) || call.GraceEnd.Reached(now):
 		conclude(world, now, call, unknownOutcomeKind(call))
 	default:
 	}
@@ -138,11 +138,11 @@
 // another attempt, its body is kept and the retry budget has a token. Otherwise it
 // concludes the call with the kind of its last failure.
 func retryFenced(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
-	if len(call.Attempts) < call.Profile.Tries && !call.Arrival.Streamed && world.BudgetOf(call.Arrival.Service).Spend() {
+	if len(call.Attempts) < call.Profile.Tries && !call.Arrival.Streamed && world.RetryBudgetOf(call.Arrival.Service).TakeToken() {
 		call.Stage = carobstage.Waiting
 		return
 	}
-	conclude(world, now, call, call.Last)
+	conclude(world, now, call, call.LastKind)
 }
 
 // mayHaveRun reports whether an attempt is known to have started, or its node replied
@@ -172,5 +172,5 @@
 // outcome of the call is unknown. Cancelled does not: the entry itself cancelled
 // the attempt, because of the deadline or another attempt.
 func explainsUnknownOutcome(attempt *carobattempt.Attempt) bool {
-	return attempt.Over && !attempt.NotRun() && attempt.Kind != carobkind.None && attempt.Kind != carobkind.Cancelled
+	return attempt.Ended && !attempt.NotRun() && attempt.Kind != carobkind.None && attempt.Kind != carobkind.Cancelled
 }
--- a/pkg/carobentry/fence_test.go
+++ b/pkg/carobentry/fence_test.go
@@ -18,7 +18,7 @@
 // Guards against a second run of a call that may run once: after a broken connection
 // it is retried only once the fence reply says that the first attempt never runs.
 func TestCallIsRetriedAfterFencedAsNever(t *testing.T) {
-	r := newRig(t, carobonce.Call)
+	r := newRig(t, carobonce.OncePerCall)
 	r.arrive(false)
 	r.reply(1, carobkind.Cut)
 	require.Empty(t, r.world.Outbox.Sends)
@@ -32,7 +32,7 @@
 func TestCallIsNotRetriedUnlessFencedAsNever(t *testing.T) {
 	for _, state := range []carobjobstate.JobState{carobjobstate.Done, carobjobstate.Unknown} {
 		t.Run(string(state), func(t *testing.T) {
-			r := newRig(t, carobonce.Call)
+			r := newRig(t, carobonce.OncePerCall)
 			r.arrive(false)
 			r.reply(1, carobkind.Cut)
 			r.fenceReply(1, state)
@@ -44,7 +44,7 @@
 // Guards against a caller without a response when fences or their replies are lost:
 // fences are sent again, and the call is concluded soon after its deadline.
 func TestCallIsConcludedWithoutFenceReply(t *testing.T) {
-	r := newRig(t, carobonce.Call)
+	r := newRig(t, carobonce.OncePerCall)
 	r.arrive(false)
 	arrivedAt := r.now
 	r.reply(1, carobkind.Cut)
@@ -73,7 +73,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, carobonce.Call)
+			r := newRig(t, carobonce.OncePerCall)
 			r.arrive(false)
 			r.advance(callTimeout)
 			r.step(carobinbox.Inbox{})
@@ -84,7 +84,7 @@
 		})
 	}
 	t.Run("no reply", func(t *testing.T) {
-		r := newRig(t, carobonce.Call)
+		r := newRig(t, carobonce.OncePerCall)
 		r.arrive(false)
 		arrivedAt := r.now
 		r.advance(2 * callTimeout)
@@ -92,7 +92,7 @@
 		require.LessOrEqual(t, r.now.Sub(arrivedAt), callTimeout+maxOverrun+time.Millisecond)
 	})
 	t.Run("answer within the grace period", func(t *testing.T) {
-		r := newRig(t, carobonce.Call)
+		r := newRig(t, carobonce.OncePerCall)
 		r.arrive(false)
 		r.advance(callTimeout)
 		r.step(carobinbox.Inbox{})
@@ -100,7 +100,7 @@
 		require.Equal(t, 1, r.world.Outbox.Conclusions[0].Attempt)
 	})
 	t.Run("cancelled at the deadline", func(t *testing.T) {
-		r := newRig(t, carobonce.Call)
+		r := newRig(t, carobonce.OncePerCall)
 		r.arrive(false)
 		r.advance(callTimeout)
 		r.step(carobinbox.Inbox{})
@@ -109,7 +109,7 @@
 		r.requireConcluded(carobkind.Expired)
 	})
 	t.Run("node replaced", func(t *testing.T) {
-		r := newRig(t, carobonce.Call)
+		r := newRig(t, carobonce.OncePerCall)
 		r.arrive(false)
 		for _, pr := range r.world.Peers.All() {
 			pr.Member.Incarnation++
@@ -122,7 +122,7 @@
 // Guards against the outcome "not run" when only some of the attempts are known never
 // to run.
 func TestOneUnknownAttemptMakesOutcomeUnknown(t *testing.T) {
-	r := newRig(t, carobonce.No)
+	r := newRig(t, carobonce.Idempotent)
 	r.arrive(false)
 	r.reply(1, carobkind.Cut)
 	r.requireSent(2)
@@ -137,7 +137,7 @@
 }
 
 func TestCallIsWithdrawnIfNoAttemptRan(t *testing.T) {
-	r := newRig(t, carobonce.No)
+	r := newRig(t, carobonce.Idempotent)
 	r.arrive(false)
 	r.reply(1, carobkind.Cut)
 	r.reply(2, carobkind.Cut)
@@ -150,7 +150,7 @@
 // Guards against retrying a call with a truncated body: a streamed body is not kept,
 // and part of it may already be consumed.
 func TestStreamedBodyIsNotSentAgain(t *testing.T) {
-	r := newRig(t, carobonce.Call)
+	r := newRig(t, carobonce.OncePerCall)
 	r.arrive(true)
 	r.reply(1, carobkind.Cut)
 	r.fenceReply(1, carobjobstate.Never)
@@ -160,7 +160,7 @@
 // Guards against late, duplicate or misaddressed fence replies changing the state of
 // a call.
 func TestStrayFenceRepliesAreIgnored(t *testing.T) {
-	r := newRig(t, carobonce.Call)
+	r := newRig(t, carobonce.OncePerCall)
 	r.arrive(false)
 	r.reply(1, carobkind.Cut)
 	r.fenceReply(1, carobjobstate.Never)
@@ -179,18 +179,18 @@
 // for moving a queued one.
 func TestWithdraw(t *testing.T) {
 	t.Run("queued", func(t *testing.T) {
-		r := newRig(t, carobonce.Call)
+		r := newRig(t, carobonce.OncePerCall)
 		r.arrive(false)
-		r.world.Begin(carobinbox.Inbox{})
+		r.world.BeginTick(carobinbox.Inbox{})
 		carobentry.Withdraw(r.world, r.now, r.world.Calls.Get(r.call), 1)
 		require.Equal(t, []int{1}, r.fencedAttempts())
 		r.fenceReply(1, carobjobstate.Never)
 		r.requireSent(2)
-		require.EqualValues(t, 1, r.world.BudgetOf(service).Moves)
-		require.Zero(t, r.world.BudgetOf(service).Spent)
+		require.EqualValues(t, 1, r.world.RetryBudgetOf(service).FreeRetries)
+		require.Zero(t, r.world.RetryBudgetOf(service).Spent)
 	})
 	t.Run("running", func(t *testing.T) {
-		r := newRig(t, carobonce.Call)
+		r := newRig(t, carobonce.OncePerCall)
 		r.arrive(false)
 		carobentry.Withdraw(r.world, r.now, r.world.Calls.Get(r.call), 1)
 		r.fenceReply(1, carobjobstate.Running)
@@ -204,11 +204,11 @@
 // stay within a few per cent of the calls.
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	const calls, burst = 1000, 10
-	r := newRig(t, carobonce.No)
+	r := newRig(t, carobonce.Idempotent)
 	sends := 0
 	for i := range calls {
 		r.call = carobcallid.ID{Node: "here", Incarnation: 3, Sequence: uint64(i + 1)}
-		r.step(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{Call: r.call, Service: service, Patience: callTimeout}}})
+		r.step(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{Call: r.call, Service: service, Timeout: callTimeout}}})
 		for attempt := 1; len(r.world.Outbox.Sends) > 0; attempt++ {
 			sends++
 			r.reply(attempt, carobkind.Cut)
@@ -216,6 +216,6 @@
 	}
 	require.LessOrEqual(t, sends-calls, calls/20+burst)
 	require.Greater(t, sends, calls, "some calls are retried")
-	require.EqualValues(t, sends-calls, r.world.BudgetOf(service).Spent)
-	require.NotZero(t, r.world.BudgetOf(service).Denied)
+	require.EqualValues(t, sends-calls, r.world.RetryBudgetOf(service).Spent)
+	require.NotZero(t, r.world.RetryBudgetOf(service).Denied)
 }
--- a/pkg/carobentry/log.go
+++ b/pkg/carobentry/log.go
@@ -18,7 +18,7 @@
 		Attempt: len(call.Attempts),
 		Inputs: []carobinput.Input{
 			{Name: "routes", Value: float64(world.RoutesVersion())},
-			carobinput.Age("agems", now, call.Came),
+			carobinput.Age("agems", now, call.ArrivedAt),
 			{Name: "leftms", Value: carobinput.Ms(call.Deadline.Sub(now))},
 			{Name: "afterms", Value: carobinput.Ms(after)},
 		},
@@ -26,5 +26,5 @@
 	if n := len(call.Attempts); n > 0 {
 		decision.Target = call.Attempts[n-1].Target
 	}
-	world.Decide(decision)
+	world.RecordDecision(decision)
 }
--- a/pkg/carobentry/rig_test.go
+++ b/pkg/carobentry/rig_test.go
@@ -53,7 +53,7 @@
 	router *carobrouting.System
 }
 
-func newRig(t *testing.T, once carobonce.Once) *rig {
+func newRig(t *testing.T, once carobonce.Guarantee) *rig {
 	t.Helper()
 	world := carobworld.NewWorld(carobworld.Config{
 		Self: carobmember.Member{Node: "here", Incarnation: 3}, Limits: caroblimits.NewLimits(), Seed: 1,
@@ -63,7 +63,7 @@
 		id := carobtargetid.ID{Service: service, Name: carobword.Word(name)}
 		node := carobnodeid.ID("node-" + name)
 		world.Targets.Put(id, carobtarget.Target{ID: id, Node: node, Profile: "p", Slots: 4, Readiness: carobreadiness.Ready})
-		world.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Incarnation: targetIncarnation, Peer: "peer"}})
+		world.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Incarnation: targetIncarnation, PeerAddress: "peer"}})
 		group.Targets = append(group.Targets, id)
 	}
 	world.Groups.Put(service, group)
@@ -81,7 +81,7 @@
 // step runs one tick with the given inbox.
 func (r *rig) step(in carobinbox.Inbox) {
 	r.now++
-	r.world.Begin(in)
+	r.world.BeginTick(in)
 	r.entry.Run(r.world, r.now)
 	r.router.Run(r.world, r.now)
 }
@@ -104,7 +104,7 @@
 // sent.
 func (r *rig) arrive(streamed bool) {
 	r.step(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{
-		{Call: r.call, Service: service, Patience: callTimeout, Streamed: streamed},
+		{Call: r.call, Service: service, Timeout: callTimeout, Streamed: streamed},
 	}})
 	r.requireSent(1)
 }
--- a/pkg/carobentry/route.go
+++ b/pkg/carobentry/route.go
@@ -12,10 +12,10 @@
 // call's service to one of the route's parts. It returns nil if there is no match
 // or no route table.
 func findRoute(world *carobworld.World, arrival *carobarrival.Arrival) *carobroute.Route {
-	if world.Routes == nil {
+	if world.RouteTable == nil {
 		return nil
 	}
-	route := world.Routes.Match(arrival.Host, arrival.Path)
+	route := world.RouteTable.Match(arrival.Host, arrival.Path)
 	if route != nil {
 		arrival.Service = route.WeightedServices[pickPart(world, route.WeightedServices)].Service
 	}
@@ -46,7 +46,7 @@
 // noRouteKind returns the kind of a call that has no route. It is NotReady until the
 // node has a route table, because the table may contain the route.
 func noRouteKind(world *carobworld.World) carobkind.Kind {
-	if world.Routes == nil {
+	if world.RouteTable == nil {
 		return carobkind.NotReady
 	}
 	return carobkind.NoRoute
--- a/pkg/carobentry/route_test.go
+++ b/pkg/carobentry/route_test.go
@@ -22,23 +22,23 @@
 const slo = 200 * time.Millisecond
 
 // setRoute sets a route table with one route, by default to the rig's service.
-func (r *rig) setRoute(once carobonce.Once, split ...carobpart.WeightedService) {
+func (r *rig) setRoute(once carobonce.Guarantee, split ...carobpart.WeightedService) {
 	r.t.Helper()
 	if len(split) == 0 {
 		split = []carobpart.WeightedService{{Service: service, Weight: 1}}
 	}
 	routes, err := carobroutes.NewRouteTable(1, []carobroute.Route{{
 		Name: "r", Host: "a.example", Prefix: "/one/", Guarantee: once, Attempts: 2,
-		Timeout: carobspan.Span(400 * time.Millisecond), SLO: carobspan.Span(slo), WeightedServices: split,
+		Timeout: carobspan.Duration(400 * time.Millisecond), SLO: carobspan.Duration(slo), WeightedServices: split,
 	}})
 	require.NoError(r.t, err)
-	r.world.Routes = routes
+	r.world.RouteTable = routes
 }
 
 // arriveAt lets a call arrive that names a path instead of a service.
 func (r *rig) arriveAt(path string) {
 	r.step(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{
-		{Call: r.call, Request: "req", Host: "a.example", Path: path, Patience: callTimeout},
+		{Call: r.call, Request: "req", Host: "a.example", Path: path, Timeout: callTimeout},
 	}})
 }
 
@@ -49,10 +49,10 @@
 
 // Guards against a 404 for an existing route from a node that has no route table yet.
 func TestNoRouteNeedsRouteTable(t *testing.T) {
-	r := newRig(t, carobonce.Call)
+	r := newRig(t, carobonce.OncePerCall)
 	r.arriveAt("/one/x")
 	r.requireConcluded(carobkind.NotReady)
-	r.setRoute(carobonce.No)
+	r.setRoute(carobonce.Idempotent)
 	r.arriveAt("/two/x")
 	r.requireConcluded(carobkind.NoRoute)
 	r.arriveAt("/one/x")
@@ -61,12 +61,12 @@
 
 // Guards against a caller's longer timeout overriding the timeout of the route.
 func TestRouteTimeoutLimitsCallerTimeout(t *testing.T) {
-	r := newRig(t, carobonce.Call)
-	r.setRoute(carobonce.Call)
+	r := newRig(t, carobonce.OncePerCall)
+	r.setRoute(carobonce.OncePerCall)
 	r.arriveAt("/one/x")
-	require.Equal(t, 400*time.Millisecond, r.world.Outbox.Sends[0].Patience)
-	require.Equal(t, carobonce.Call, r.world.Outbox.Sends[0].Once)
-	require.Equal(t, slo, r.world.Outbox.Sends[0].Wish.Slo)
+	require.Equal(t, 400*time.Millisecond, r.world.Outbox.Sends[0].TimeLeft)
+	require.Equal(t, carobonce.OncePerCall, r.world.Outbox.Sends[0].Guarantee)
+	require.Equal(t, slo, r.world.Outbox.Sends[0].Requirements.SLOTimeLeft)
 	r.advance(400*time.Millisecond + maxOverrun + time.Millisecond)
 	require.Len(t, r.world.Outbox.Conclusions, 1, "the call is concluded soon after the route's timeout")
 }
@@ -74,13 +74,13 @@
 // Guards against calls of a part without targets spilling over to the other part of
 // the split.
 func TestSplitKeepsShareOfPartWithoutTargets(t *testing.T) {
-	r := newRig(t, carobonce.Call)
-	r.setRoute(carobonce.No, carobpart.WeightedService{Service: service, Weight: 80}, carobpart.WeightedService{Service: "elsewhere", Weight: 20})
+	r := newRig(t, carobonce.OncePerCall)
+	r.setRoute(carobonce.Idempotent, carobpart.WeightedService{Service: service, Weight: 80}, carobpart.WeightedService{Service: "elsewhere", Weight: 20})
 	const calls = 2000
 	sentHere := 0
 	for i := range calls {
 		r.step(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{
-			Call: carobcallid.ID{Node: "here", Incarnation: 3, Sequence: uint64(i)}, Host: "a.example", Path: "/one/", Patience: callTimeout,
+			Call: carobcallid.ID{Node: "here", Incarnation: 3, Sequence: uint64(i)}, Host: "a.example", Path: "/one/", Timeout: callTimeout,
 		}}})
 		sentHere += len(r.world.Outbox.Sends)
 	}
@@ -90,13 +90,13 @@
 // Guards against unbounded retries of calls that targets shed: each one costs a token
 // of the retry budget.
 func TestShedCallIsRetriedWithinBudget(t *testing.T) {
-	r := newRig(t, carobonce.Call)
-	r.setRoute(carobonce.Call)
-	r.world.BudgetOf(service).Tokens = 1
+	r := newRig(t, carobonce.OncePerCall)
+	r.setRoute(carobonce.OncePerCall)
+	r.world.RetryBudgetOf(service).Tokens = 1
 	r.arriveAt("/one/x")
 	r.reply(1, carobkind.Shed)
 	r.requireSent(2)
-	require.Less(t, r.world.BudgetOf(service).Tokens, 1.0)
+	require.Less(t, r.world.RetryBudgetOf(service).Tokens, 1.0)
 	r.reply(2, carobkind.Shed)
 	require.Len(t, r.world.Outbox.Conclusions, 1)
 	require.Equal(t, carobkind.Shed, r.world.Outbox.Conclusions[0].Kind)
@@ -107,19 +107,19 @@
 func TestFailedAnswerIsRetriedOnlyIfIdempotentAndInBudget(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		once    carobonce.Once
+		once    carobonce.Guarantee
 		tokens  float64
 		retried bool
 	}{
-		{"idempotent", carobonce.No, 1, true},
-		{"idempotent, no budget", carobonce.No, 0, false},
-		{"at most once", carobonce.Call, 1, false},
+		{"idempotent", carobonce.Idempotent, 1, true},
+		{"idempotent, no budget", carobonce.Idempotent, 0, false},
+		{"at most once", carobonce.OncePerCall, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, carobonce.Call)
+			r := newRig(t, carobonce.OncePerCall)
 			r.setRoute(c.once)
 			r.arriveAt("/one/x")
-			r.world.BudgetOf(service).Tokens = c.tokens
+			r.world.RetryBudgetOf(service).Tokens = c.tokens
 			r.replyStatus(1, 500)
 			if c.retried {
 				r.requireSent(2)
@@ -134,8 +134,8 @@
 // Guards against refusing a busy call so late that a retry of the caller misses the
 // SLO.
 func TestBusyCallIsRefusedEarlyEnoughToRetryWithinSlo(t *testing.T) {
-	r := newRig(t, carobonce.Call)
-	r.setRoute(carobonce.Call)
+	r := newRig(t, carobonce.OncePerCall)
+	r.setRoute(carobonce.OncePerCall)
 	r.arriveAt("/one/x")
 	arrivedAt := r.now
 	for attempt := 1; len(r.world.Outbox.Conclusions) == 0; attempt++ {
@@ -148,8 +148,8 @@
 	conclusion := r.world.Outbox.Conclusions[0]
 	require.Equal(t, carobkind.Busy, conclusion.Kind)
 	require.Less(t, r.now.Sub(arrivedAt), slo/2, "refused in the first half of the SLO")
-	require.Positive(t, conclusion.After)
-	require.Less(t, r.now.Sub(arrivedAt)+conclusion.After, slo, "the retry time is within the SLO")
+	require.Positive(t, conclusion.RetryAfter)
+	require.Less(t, r.now.Sub(arrivedAt)+conclusion.RetryAfter, slo, "the retry time is within the SLO")
 }
 
 // Guards against a wrong outcome at shutdown: a call that may have run is concluded
@@ -164,13 +164,13 @@
 		{"has not run", carobkind.Busy, carobkind.Leaving},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, carobonce.Call)
-			r.setRoute(carobonce.Call)
+			r := newRig(t, carobonce.OncePerCall)
+			r.setRoute(carobonce.OncePerCall)
 			r.arriveAt("/one/x")
 			for attempt := 1; c.reply != carobkind.None && len(r.world.Outbox.Sends) > 0; attempt++ {
 				r.reply(attempt, c.reply)
 			}
-			r.step(carobinbox.Inbox{End: true})
+			r.step(carobinbox.Inbox{Exit: true})
 			require.Len(t, r.world.Outbox.Conclusions, 1)
 			require.Equal(t, c.want, r.world.Outbox.Conclusions[0].Kind)
 		})
@@ -180,8 +180,8 @@
 // Guards against a call that has no ready target waiting for its deadline instead of
 // being refused within its SLO.
 func TestCallWithoutTargetIsRefusedEarly(t *testing.T) {
-	r := newRig(t, carobonce.Call)
-	r.setRoute(carobonce.Call)
+	r := newRig(t, carobonce.OncePerCall)
+	r.setRoute(carobonce.OncePerCall)
 	for _, tg := range r.world.Targets.All() {
 		tg.Readiness = carobreadiness.Leaving
 	}
@@ -206,9 +206,9 @@
 		{"ends before the route's timeout", 380 * time.Millisecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, carobonce.Call)
-			r.setRoute(carobonce.No)
-			r.step(carobinbox.Inbox{Ending: r.now.Add(c.left)})
+			r := newRig(t, carobonce.OncePerCall)
+			r.setRoute(carobonce.Idempotent)
+			r.step(carobinbox.Inbox{ShutdownDeadline: r.now.Add(c.left)})
 			r.arriveAt("/one/x")
 			if c.taken {
 				r.requireSent(1)
@@ -217,8 +217,8 @@
 			require.Len(t, r.world.Outbox.Conclusions, 1)
 			conclusion := r.world.Outbox.Conclusions[0]
 			require.Equal(t, carobkind.Leaving, conclusion.Kind)
-			require.Positive(t, conclusion.After)
-			require.Less(t, conclusion.After, slo/2, "another node can serve it within the SLO")
+			require.Positive(t, conclusion.RetryAfter)
+			require.Less(t, conclusion.RetryAfter, slo/2, "another node can serve it within the SLO")
 		})
 	}
 }
--- a/pkg/carobentry/system.go
+++ b/pkg/carobentry/system.go
@@ -68,19 +68,19 @@
 	for _, delivery := range world.Inbox.Deliveries {
 		handleDelivery(world, now, delivery)
 	}
-	for _, id := range world.Inbox.Hangups {
+	for _, id := range world.Inbox.Disconnects {
 		if call := world.Calls.Get(id); call != nil {
 			conclude(world, now, call, carobkind.Cancelled)
 		}
 	}
 	for _, call := range world.Calls.All() {
-		if world.Inbox.End {
+		if world.Inbox.Exit {
 			concludeAtShutdown(world, now, call)
 			continue
 		}
 		runTimers(world, now, call)
 	}
-	for _, unsettled := range world.Unsettled.All() {
+	for _, unsettled := range world.PendingSettlements.All() {
 		sendSettlement(world, now, unsettled)
 	}
 }
@@ -94,7 +94,7 @@
 		handleClaimReply(world, now, message.ClaimReply)
 	}
 	if message.Settled != nil {
-		world.Unsettled.Delete(*message.Settled)
+		world.PendingSettlements.Delete(*message.Settled)
 	}
 }
 
@@ -113,12 +113,12 @@
 		return
 	}
 	call := newCall(world, now, arrival, route)
-	if world.Ending.Before(call.Deadline) {
+	if world.ShutdownDeadline.Before(call.Deadline) {
 		// The node may stop before the call is answered; another node has the time.
 		refuse(world, now, arrival, carobkind.Leaving, retryAfter(world, &call, carobkind.Leaving))
 		return
 	}
-	world.EarnRetry(arrival.Service)
+	world.CreditRetryBudget(arrival.Service)
 	world.Calls.Put(arrival.Call, call)
 }
 
@@ -130,11 +130,11 @@
 		profile = route.Apply(profile)
 	}
 	call := carobcall.Call{
-		Arrival: arrival, Profile: profile, Route: route, Came: now,
-		Deadline: now.Add(timeoutOf(arrival, profile, route)), Last: carobkind.NoTarget,
+		Arrival: arrival, Profile: profile, Route: route, ArrivedAt: now,
+		Deadline: now.Add(timeoutOf(arrival, profile, route)), LastKind: carobkind.NoTarget,
 	}
 	if route != nil && route.SLO > 0 {
-		call.Slo = now.Add(route.SLO.Duration())
+		call.SLODeadline = now.Add(route.SLO.Duration())
 	}
 	if call.Key() != (carobkey.Key{}) {
 		call.Stage = carobstage.Claiming
@@ -146,12 +146,12 @@
 // the profile's deadline if the caller gave none.
 func timeoutOf(arrival carobarrival.Arrival, profile carobprofile.Profile, route *carobroute.Route) time.Duration {
 	switch {
-	case arrival.Patience <= 0:
+	case arrival.Timeout <= 0:
 		return profile.Deadline.Duration()
 	case route != nil && route.Timeout > 0:
-		return min(arrival.Patience, route.Timeout.Duration())
+		return min(arrival.Timeout, route.Timeout.Duration())
 	default:
-		return arrival.Patience
+		return arrival.Timeout
 	}
 }
 
@@ -191,15 +191,15 @@
 		return
 	}
 	attempt := &call.Attempts[reply.Job.Attempt-1]
-	if attempt.Over {
+	if attempt.Ended {
 		return
 	}
 	if isTargetRefusal(call, reply) {
 		cancelAttempt(world, call, reply.Job.Attempt)
 		reply.Kind = carobkind.Busy
 	}
-	attempt.Over, attempt.Kind = true, reply.Kind
-	if call.Stage != carobstage.Placed && call.Stage != carobstage.Fencing {
+	attempt.Ended, attempt.Kind = true, reply.Kind
+	if call.Stage != carobstage.Attempting && call.Stage != carobstage.Fencing {
 		return
 	}
 	if reply.Kind == carobkind.None && retryFailedAnswer(world, now, call, reply) {
@@ -209,8 +209,8 @@
 		forwardAnswer(world, now, call, reply.Job.Attempt)
 		return
 	}
-	call.Last = reply.Kind
-	if call.Open() == 0 {
+	call.LastKind = reply.Kind
+	if call.OpenAttempts() == 0 {
 		retryOrFence(world, now, call)
 	}
 }
@@ -225,8 +225,8 @@
 // status, and reports whether it did. If no tries, budget or time are left, the
 // caller gets the target's answer.
 func retryFailedAnswer(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, reply carobreply.Reply) bool {
-	if reply.Status < http.StatusInternalServerError || call.Route == nil || !mayRunAgain(call) || call.Open() > 0 ||
-		call.Runs() >= call.Profile.Tries || call.Slo.Reached(now) || !world.BudgetOf(call.Arrival.Service).Spend() {
+	if reply.Status < http.StatusInternalServerError || call.Route == nil || !mayRunAgain(call) || call.OpenAttempts() > 0 ||
+		call.PossibleRuns() >= call.Profile.Tries || call.SLODeadline.Reached(now) || !world.RetryBudgetOf(call.Arrival.Service).TakeToken() {
 		return false
 	}
 	call.Stage = carobstage.Waiting
@@ -239,11 +239,11 @@
 	left := len(call.Attempts) < call.Profile.Tries && !call.Deadline.Reached(now)
 	switch {
 	case left && retryIsFree(call):
-		world.BudgetOf(call.Arrival.Service).Moves++
+		world.RetryBudgetOf(call.Arrival.Service).FreeRetries++
 		call.Stage = carobstage.Waiting
-	case call.Last == carobkind.Busy && call.NotRun() && len(call.Attempts) < maxBusyAttempts && mayBackOff(now, call):
+	case call.LastKind == carobkind.Busy && call.NotRun() && len(call.Attempts) < maxBusyAttempts && mayBackOff(now, call):
 		backOff(world, now, call)
-	case left && mayRetry(call) && world.BudgetOf(call.Arrival.Service).Spend():
+	case left && mayRetry(call) && world.RetryBudgetOf(call.Arrival.Service).TakeToken():
 		call.Stage = carobstage.Waiting
 	default:
 		startFencing(world, now, call)
@@ -259,7 +259,7 @@
 // retryIsFree reports whether another attempt at a call needs no token of the retry
 // budget, because no attempt ran and the last one did not reach a target.
 func retryIsFree(call *carobcall.Call) bool {
-	return call.NotRun() && call.Last != carobkind.Shed && call.Last != carobkind.Misdirected
+	return call.NotRun() && call.LastKind != carobkind.Shed && call.LastKind != carobkind.Misdirected
 }
 
 // backOff starts a jittered backoff of a call that all tried targets refused as Busy.
@@ -269,7 +269,7 @@
 func backOff(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
 	doublings := min(len(call.Attempts)-call.Profile.Tries, maxBackoffDoublings)
 	pause := initialBackoff << max(0, doublings)
-	call.Rest = now.Add(pause/2 + time.Duration(world.Random.Int64N(int64(pause))))
+	call.BackoffEnd = now.Add(pause/2 + time.Duration(world.Random.Int64N(int64(pause))))
 	call.Stage = carobstage.Waiting
 }
 
@@ -280,13 +280,13 @@
 	if call.Deadline.Reached(now) {
 		return false
 	}
-	return call.Slo == carobinstant.Never || now.Sub(call.Came) < call.Slo.Sub(call.Came)/sloDivisor
+	return call.SLODeadline == carobinstant.Never || now.Sub(call.ArrivedAt) < call.SLODeadline.Sub(call.ArrivedAt)/sloDivisor
 }
 
 // mayRunAgain reports whether a call may be sent again even if an earlier attempt
 // may have run: it is idempotent, and its body is kept.
 func mayRunAgain(call *carobcall.Call) bool {
-	return call.Profile.Once == carobonce.No && !call.Arrival.Streamed
+	return call.Profile.Once == carobonce.Idempotent && !call.Arrival.Streamed
 }
 
 // forwardAnswer orders that the answer to an attempt is forwarded to the caller, and
@@ -304,7 +304,7 @@
 // ended.
 func handleDelivery(world *carobworld.World, now carobinstant.Instant, delivery carobdelivery.Delivery) {
 	if call := world.Calls.Get(delivery.Job.Call); call != nil {
-		addSettlement(world, now, call, carobkind.None, delivery.Kept)
+		addSettlement(world, now, call, carobkind.None, delivery.StoredAnswer)
 		world.Calls.Delete(delivery.Job.Call)
 	}
 }
@@ -319,17 +319,17 @@
 		sendClaim(world, now, call)
 		return
 	}
-	if call.Stage == carobstage.Waiting && call.Starved && call.Slo != carobinstant.Never && !mayBackOff(now, call) {
+	if call.Stage == carobstage.Waiting && call.NoTarget && call.SLODeadline != carobinstant.Never && !mayBackOff(now, call) {
 		concludeStarved(world, now, call)
 		return
 	}
 	if !call.Deadline.Reached(now) {
 		world.WakeAt(call.Deadline)
-	} else if call.Grace == carobinstant.Never {
-		call.Grace = now.Add(fenceGrace)
+	} else if call.GraceEnd == carobinstant.Never {
+		call.GraceEnd = now.Add(fenceGrace)
 		call.Stage = carobstage.Fencing
 	}
-	world.WakeAt(call.Grace)
+	world.WakeAt(call.GraceEnd)
 	if call.Stage == carobstage.Fencing {
 		continueFencing(world, now, call)
 	}
@@ -370,7 +370,7 @@
 	cancelOthers(world, call, 0)
 	after := retryAfter(world, call, kind)
 	world.Outbox.Conclusions = append(world.Outbox.Conclusions, carobconclusion.Conclusion{
-		Call: call.Arrival.Call, Kind: kind, After: after,
+		Call: call.Arrival.Call, Kind: kind, RetryAfter: after,
 	})
 	logEnd(world, now, call, "call ended without an answer", kind, after)
 	world.Calls.Delete(call.Arrival.Call)
@@ -382,10 +382,10 @@
 // applies then.
 func retryAfter(world *carobworld.World, call *carobcall.Call, kind carobkind.Kind) time.Duration {
 	after := kind.Retry()
-	if after == 0 || call.Slo == carobinstant.Never {
+	if after == 0 || call.SLODeadline == carobinstant.Never {
 		return 0
 	}
-	step := min(after, call.Slo.Sub(call.Came)/sloDivisor)
+	step := min(after, call.SLODeadline.Sub(call.ArrivedAt)/sloDivisor)
 	return step/2 + time.Duration(world.Random.Int64N(int64(step)))
 }
 
@@ -401,7 +401,7 @@
 
 // cancelAttempt orders that an attempt is cancelled if it has no reply yet.
 func cancelAttempt(world *carobworld.World, call *carobcall.Call, number int) {
-	if !call.Attempts[number-1].Over {
+	if !call.Attempts[number-1].Ended {
 		world.Outbox.Cancels = append(world.Outbox.Cancels, carobjobid.ID{Call: call.Arrival.Call, Attempt: number})
 	}
 }
@@ -410,15 +410,15 @@
 // given time; if that is 0, the kind's own retry time applies.
 func refuse(world *carobworld.World, now carobinstant.Instant, arrival carobarrival.Arrival, kind carobkind.Kind, after time.Duration) {
 	world.Outbox.Conclusions = append(world.Outbox.Conclusions, carobconclusion.Conclusion{
-		Call: arrival.Call, Kind: kind, After: after,
+		Call: arrival.Call, Kind: kind, RetryAfter: after,
 	})
 	inputs := []carobinput.Input{
 		{Name: "routes", Value: float64(world.RoutesVersion())}, {Name: "services", Value: float64(world.Groups.Len())},
 	}
-	if world.Ending != carobinstant.Never {
-		inputs = append(inputs, carobinput.Input{Name: "endsms", Value: float64(world.Ending.Sub(now).Milliseconds())})
+	if world.ShutdownDeadline != carobinstant.Never {
+		inputs = append(inputs, carobinput.Input{Name: "endsms", Value: float64(world.ShutdownDeadline.Sub(now).Milliseconds())})
 	}
-	world.Decide(carobdecision.Decision{
+	world.RecordDecision(carobdecision.Decision{
 		Part: "entry", Text: "call turned away", Request: arrival.Request, Call: arrival.Call, Kind: kind, Inputs: inputs,
 	})
 }
--- a/pkg/carobfencing/system.go
+++ b/pkg/carobfencing/system.go
@@ -37,7 +37,7 @@
 func (s *System) Run(w *carobworld.World, _ carobinstant.Instant) {
 	for _, ms := range w.Inbox.Messages {
 		if fc := ms.Fence; fc != nil {
-			w.Tell(carobmessage.Message{To: ms.Back, FenceReply: &carobfencereply.FenceReply{Job: fc.Job, State: Judge(w, *fc)}})
+			w.SendMessage(carobmessage.Message{To: ms.ReplyTo, FenceReply: &carobfencereply.FenceReply{Job: fc.Job, State: Judge(w, *fc)}})
 		}
 	}
 }
@@ -55,7 +55,7 @@
 		Withdraw(w, jb, carobkind.Withdrawn)
 		return carobjobstate.Never
 	}
-	if _, ok := w.Ended.Get(fc.Job); ok {
+	if _, ok := w.EndedJobs.Get(fc.Job); ok {
 		return carobjobstate.Done
 	}
 	if Fenced(w, fc.Job) {
@@ -71,7 +71,7 @@
 // Withdraw removes a job that has not started from its queue, refuses it with the given
 // kind, and prevents later offers of it from starting.
 func Withdraw(w *carobworld.World, jb *carobjob.Job, kind carobkind.Kind) {
-	gt := w.Gates.Get(jb.Offer.Target)
+	gt := w.AdmissionStates.Get(jb.Offer.Target)
 	gt.Queued--
 	gt.Changed = true
 	w.Outbox.Refusals = append(w.Outbox.Refusals, carobrefusal.Refusal{Job: jb.Offer.Job, Kind: kind})
@@ -87,7 +87,7 @@
 	}
 	wm, ok := w.Watermarks.Get(job.Call.Node)
 	if !ok {
-		return w.Barred > 0 && job.Call.Incarnation <= w.Barred
+		return w.EvictedFencedIncarnation > 0 && job.Call.Incarnation <= w.EvictedFencedIncarnation
 	}
 	return covers(wm, job.Call, wm.Fenced)
 }
@@ -95,7 +95,7 @@
 // Remember records that a started job has ended. An evicted older entry raises the
 // Ended watermark of its entry node.
 func Remember(w *carobworld.World, fn carobfinish.Finish) {
-	if old, _, full := w.Ended.Put(fn.Job, fn); full {
+	if old, _, full := w.EndedJobs.Put(fn.Job, fn); full {
 		wm := watermarkFor(w, old.Call)
 		wm.Ended = max(wm.Ended, old.Call.Sequence)
 		putWatermark(w, old.Call, wm)
@@ -117,7 +117,7 @@
 func mayHaveRun(w *carobworld.World, call carobcallid.ID) bool {
 	wm, ok := w.Watermarks.Get(call.Node)
 	if !ok {
-		return w.Forgotten > 0 && call.Incarnation <= w.Forgotten
+		return w.EvictedIncarnation > 0 && call.Incarnation <= w.EvictedIncarnation
 	}
 	return covers(wm, call, wm.Ended)
 }
@@ -149,9 +149,9 @@
 		return
 	}
 	if _, old, full := w.Watermarks.Put(call.Node, wm); full {
-		w.Forgotten = max(w.Forgotten, old.Incarnation)
+		w.EvictedIncarnation = max(w.EvictedIncarnation, old.Incarnation)
 		if old.Fenced > 0 {
-			w.Barred = max(w.Barred, old.Incarnation)
+			w.EvictedFencedIncarnation = max(w.EvictedFencedIncarnation, old.Incarnation)
 		}
 	}
 }
--- a/pkg/carobfencing/system_test.go
+++ b/pkg/carobfencing/system_test.go
@@ -49,7 +49,7 @@
 	limits.Jobs, limits.Peers = jobs, 1
 	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "here", Incarnation: nodeIncarnation}, Limits: limits})
 	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
-	w.Gates.Put(target, carobgate.Gate{Limit: 1})
+	w.AdmissionStates.Put(target, carobgate.Gate{Limit: 1})
 	rv := carobrevision.Revision{}
 	rv.Change.Profile = carobprofile.NewProfile("p")
 	w.Profiles.Put("p", rv)
@@ -58,7 +58,7 @@
 
 func (r *rig) step(in carobinbox.Inbox) {
 	r.now++
-	r.world.Begin(in)
+	r.world.BeginTick(in)
 	carobfencing.NewSystem().Run(r.world, r.now)
 	carobadmission.NewSystem().Run(r.world, r.now)
 }
@@ -89,7 +89,7 @@
 // fence steps with a fence message from another node and returns the replied state.
 func (r *rig) fence(id carobjobid.ID) carobjobstate.JobState {
 	fc := &carobfence.Fence{Job: id, Incarnation: nodeIncarnation}
-	r.step(carobinbox.Inbox{Messages: []carobmessage.Message{{Back: "entry", Fence: fc}}})
+	r.step(carobinbox.Inbox{Messages: []carobmessage.Message{{ReplyTo: "entry", Fence: fc}}})
 	return r.world.Outbox.Messages[0].FenceReply.State
 }
 
@@ -160,9 +160,9 @@
 	r := newRig(10)
 	r.offer(job(1))
 	r.offer(job(2))
-	require.Equal(t, 1, r.world.Gates.Get(target).Queued)
+	require.Equal(t, 1, r.world.AdmissionStates.Get(target).Queued)
 	r.fence(job(2))
-	require.Zero(t, r.world.Gates.Get(target).Queued)
+	require.Zero(t, r.world.AdmissionStates.Get(target).Queued)
 	require.Equal(t, 1, r.world.Jobs.Len())
 	require.Zero(t, r.world.Outbox.Reports[0].Queued, "the report counts no queued job")
 }
--- a/pkg/carobfold/audit.go
+++ b/pkg/carobfold/audit.go
@@ -13,7 +13,7 @@
 // node.
 func addAudit(world *carobworld.World, revision carobrevision.Revision) {
 	from := "none"
-	if revision.Change.Profile.Base != caroboffset.None {
+	if revision.Change.Profile.Base != caroboffset.BeforeFirst {
 		from = revisionText(revision.Change.Profile.Base)
 	}
 	world.Outbox.Audits = append(world.Outbox.Audits, carobaudit.Audit{
--- a/pkg/carobfold/system.go
+++ b/pkg/carobfold/system.go
@@ -55,13 +55,13 @@
 // Run folds the records that arrived from other nodes and from the log.
 func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
 	for _, message := range world.Inbox.Messages {
-		if message.Supply == nil {
+		if message.FetchReply == nil {
 			continue
 		}
-		if message.Supply.Snapshot != nil {
-			adoptSnapshot(world, message.Supply.Snapshot)
+		if message.FetchReply.Snapshot != nil {
+			adoptSnapshot(world, message.FetchReply.Snapshot)
 		}
-		for _, record := range message.Supply.Records {
+		for _, record := range message.FetchReply.Records {
 			receive(world, record)
 		}
 	}
@@ -80,14 +80,14 @@
 	if s.waitEnd == carobinstant.Never {
 		s.waitEnd = now.Add(startTimeout)
 	}
-	for _, mark := range world.Inbox.Marks {
+	for _, mark := range world.Inbox.StreamBounds {
 		if mark.Stream == carobstream.Profiles && world.ProfilesRead+1 >= mark.Next {
 			s.caughtUp = true
 		}
 	}
 	s.caughtUp = s.caughtUp || s.waitEnd.Reached(now)
-	world.Behind = !s.caughtUp
-	if world.Behind {
+	world.AwaitingLog = !s.caughtUp
+	if world.AwaitingLog {
 		world.WakeAt(s.waitEnd)
 	}
 }
@@ -100,12 +100,12 @@
 	}
 	buffer(world, record)
 	if snapshot := snapshotOf(record); snapshot != nil {
-		world.Snapshot = max(world.Snapshot, record.Offset)
-		world.SnapshotThrough = max(world.SnapshotThrough, snapshot.Through)
+		world.SnapshotOffset = max(world.SnapshotOffset, record.Offset)
+		world.SnapshotLastOffset = max(world.SnapshotLastOffset, snapshot.Through)
 		adoptSnapshot(world, snapshot)
 	}
 	for {
-		next := world.HeldChanges.Get(world.ProfilesRead + 1)
+		next := world.ChangesAfterGap.Get(world.ProfilesRead + 1)
 		if next == nil {
 			return
 		}
@@ -117,14 +117,14 @@
 // buffer is full, it drops the record with the lowest offset: a later snapshot
 // covers it, or another node can supply it.
 func buffer(world *carobworld.World, record carobrecord.Record) {
-	if world.HeldChanges.Full() {
+	if world.ChangesAfterGap.Full() {
 		lowest := record.Offset
-		for offset := range world.HeldChanges.All() {
+		for offset := range world.ChangesAfterGap.All() {
 			lowest = min(lowest, offset)
 		}
-		world.HeldChanges.Delete(lowest)
+		world.ChangesAfterGap.Delete(lowest)
 	}
-	world.HeldChanges.Put(record.Offset, record)
+	world.ChangesAfterGap.Put(record.Offset, record)
 }
 
 // snapshotOf returns the snapshot in a record, or nil if the record has none or an
@@ -148,13 +148,13 @@
 		return
 	}
 	world.ProfilesRead = snapshot.Through
-	for offset := range world.HeldChanges.All() {
+	for offset := range world.ChangesAfterGap.All() {
 		if offset <= snapshot.Through {
-			world.HeldChanges.Delete(offset)
+			world.ChangesAfterGap.Delete(offset)
 		}
 	}
-	for offset := range world.Changes.All() {
-		world.Changes.Delete(offset)
+	for offset := range world.RecentChanges.All() {
+		world.RecentChanges.Delete(offset)
 	}
 	for _, revision := range snapshot.Revisions {
 		current := world.Profiles.Get(revision.Change.Profile.Name)
@@ -167,12 +167,12 @@
 
 // foldRecord folds the next record, and keeps it for other nodes that lack it.
 func foldRecord(world *carobworld.World, record carobrecord.Record) {
-	world.HeldChanges.Delete(record.Offset)
+	world.ChangesAfterGap.Delete(record.Offset)
 	world.ProfilesRead = record.Offset
-	if world.Changes.Full() {
-		world.Changes.Delete(record.Offset - caroboffset.Offset(world.Changes.Len()))
+	if world.RecentChanges.Full() {
+		world.RecentChanges.Delete(record.Offset - caroboffset.Offset(world.RecentChanges.Len()))
 	}
-	world.Changes.Put(record.Offset, record)
+	world.RecentChanges.Put(record.Offset, record)
 	var change carobchange.Change
 	if snapshotOf(record) != nil || json.Unmarshal(record.Data, &change) != nil {
 		return
@@ -186,7 +186,7 @@
 func applyChange(world *carobworld.World, revision carobrevision.Revision) carobchangeresult.ChangeResult {
 	name := revision.Change.Profile.Name
 	result := carobchangeresult.ChangeResult{Change: revision.Change, Offset: revision.Offset}
-	result.Before.Offset = caroboffset.None
+	result.Before.Offset = caroboffset.BeforeFirst
 	if current := world.Profiles.Get(name); current != nil {
 		result.Before = *current
 	}
--- a/pkg/carobfold/system_test.go
+++ b/pkg/carobfold/system_test.go
@@ -39,13 +39,13 @@
 
 // read runs a tick with records that were read from the log.
 func (n *node) read(records ...carobrecord.Record) {
-	n.world.Begin(carobinbox.Inbox{Records: records})
+	n.world.BeginTick(carobinbox.Inbox{Records: records})
 	n.fold.Run(n.world, 1)
 }
 
 // receiveSupply runs a tick with records that another node sent.
-func (n *node) receiveSupply(supply carobsupply.Supply) {
-	n.world.Begin(carobinbox.Inbox{Messages: []carobmessage.Message{{Supply: &supply}}})
+func (n *node) receiveSupply(supply carobsupply.FetchReply) {
+	n.world.BeginTick(carobinbox.Inbox{Messages: []carobmessage.Message{{FetchReply: &supply}}})
 	n.fold.Run(n.world, 1)
 }
 
@@ -120,7 +120,7 @@
 	n.read(changeRecord(0, "rota", -1))
 	n.read(changeRecord(2, "rota", 1), changeRecord(3, "rota", 2))
 	require.EqualValues(t, 0, n.world.ProfilesRead, "the change at 1 may have come into force")
-	n.receiveSupply(carobsupply.Supply{Records: []carobrecord.Record{changeRecord(1, "rota", 0)}, Read: 3})
+	n.receiveSupply(carobsupply.FetchReply{Records: []carobrecord.Record{changeRecord(1, "rota", 0)}, ProfilesRead: 3})
 	require.Equal(t, map[carobword.Word]caroboffset.Offset{"rota": 3}, n.inForce())
 }
 
@@ -147,7 +147,7 @@
 	n.read(changeRecord(0, "rota", -1), changeRecord(1, "rota", 0))
 	before := n.world.TakeSnapshot()
 	n.read(changeRecord(2, "rota", 1))
-	n.receiveSupply(carobsupply.Supply{Snapshot: &before, Read: 1})
+	n.receiveSupply(carobsupply.FetchReply{Snapshot: &before, ProfilesRead: 1})
 	require.Equal(t, map[carobword.Word]caroboffset.Offset{"rota": 2}, n.inForce())
 	require.EqualValues(t, 2, n.world.ProfilesRead)
 }
@@ -190,7 +190,7 @@
 	for i := range rapid.IntRange(1, 40).Draw(t, "records") {
 		offset := caroboffset.Offset(i)
 		name := carobword.Word(fmt.Sprint("p", rapid.IntRange(0, 2).Draw(t, "name")))
-		base := caroboffset.None
+		base := caroboffset.BeforeFirst
 		if current, ok := reference.inForce()[name]; ok && rapid.IntRange(0, 3).Draw(t, "fits") > 0 {
 			base = current
 		}
--- a/pkg/carobfollowing/system.go
+++ b/pkg/carobfollowing/system.go
@@ -40,16 +40,16 @@
 // Run applies changes in whether the store can be read, and decides whether this node
 // reads from it and for how long each read may be held open.
 func (s *System) Run(w *carobworld.World, _ carobinstant.Instant) {
-	for _, blind := range w.Inbox.Blind {
-		if blind != w.Self.Blind {
-			w.Self.Blind = blind
-			w.Self.Beat++
+	for _, blind := range w.Inbox.StoreUnreadable {
+		if blind != w.Self.StoreUnreadable {
+			w.Self.StoreUnreadable = blind
+			w.Self.Sequence++
 		}
 	}
 	// A node without a route table reads the store itself, even if another node does too.
-	w.Outbox.Following = !w.Stopping && (w.Routes == nil || takesPrecedence(w))
-	if w.Outbox.Following {
-		w.Outbox.Hold = readInterval * time.Duration(s.countReaders(w))
+	w.Outbox.ReadingStore = !w.Stopping && (w.RouteTable == nil || takesPrecedence(w))
+	if w.Outbox.ReadingStore {
+		w.Outbox.LongPollTimeout = readInterval * time.Duration(s.countReaders(w))
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 	centres := map[carobcentre.Centre]struct{}{w.Self.Centre: {}}
 	for _, pr := range w.Peers.All() {
-		if pr.Member.Standing == carobstanding.Alive {
+		if pr.Member.Liveness == carobstanding.Alive {
 			centres[pr.Member.Centre] = struct{}{}
 		}
 	}
@@ -72,13 +72,13 @@
 // takesPrecedence reports whether this node takes precedence over all other live nodes
 // of its data centre.
 func takesPrecedence(w *carobworld.World) bool {
-	return len(w.SomePeers(1, func(pr *carobpeer.Peer) bool {
+	return len(w.SamplePeers(1, func(pr *carobpeer.Peer) bool {
 		mb := &pr.Member
-		if mb.Centre != w.Self.Centre || mb.Standing != carobstanding.Alive || mb.Leaving {
+		if mb.Centre != w.Self.Centre || mb.Liveness != carobstanding.Alive || mb.Leaving {
 			return false
 		}
-		if mb.Blind != w.Self.Blind {
-			return w.Self.Blind
+		if mb.StoreUnreadable != w.Self.StoreUnreadable {
+			return w.Self.StoreUnreadable
 		}
 		return mb.Node < w.Self.Node
 	})) == 0
--- a/pkg/carobfollowing/system_test.go
+++ b/pkg/carobfollowing/system_test.go
@@ -40,11 +40,11 @@
 		{"another has a lower id", []carobmember.Member{member("a", "x", nil)}, false, false, false},
 		{"another has a higher id", []carobmember.Member{member("z", "x", nil)}, false, false, true},
 		{"another data centre has a lower id", []carobmember.Member{member("a", "y", nil)}, false, false, true},
-		{"the lowest id cannot read the store", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Blind = true })}, false, false, true},
+		{"the lowest id cannot read the store", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, false, false, true},
 		{"the lowest id is leaving", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Leaving = true })}, false, false, true},
-		{"the lowest id is suspected", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Standing = carobstanding.Suspect })}, false, false, true},
+		{"the lowest id is suspected", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Liveness = carobstanding.Suspect })}, false, false, true},
 		{"cannot read the store, another can", []carobmember.Member{member("z", "x", nil)}, true, false, false},
-		{"none can read the store, the lowest id goes on", []carobmember.Member{member("z", "x", func(m *carobmember.Member) { m.Blind = true })}, true, false, true},
+		{"none can read the store, the lowest id goes on", []carobmember.Member{member("z", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, true, false, true},
 		{"has no route table", []carobmember.Member{member("a", "x", nil)}, false, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -54,21 +54,21 @@
 			if !c.noRoutes {
 				rs, err := carobroutes.NewRouteTable(1, nil)
 				require.NoError(t, err)
-				w.Routes = rs
+				w.RouteTable = rs
 			}
 			for _, mb := range c.others {
 				w.Peers.Put(mb.Node, carobpeer.Peer{Member: mb})
 			}
 			in := carobinbox.Inbox{}
 			if c.unreadable {
-				in.Blind = []bool{true}
+				in.StoreUnreadable = []bool{true}
 			}
-			sequence := w.Self.Beat
-			w.Begin(in)
+			sequence := w.Self.Sequence
+			w.BeginTick(in)
 			carobfollowing.NewSystem().Run(w, 1)
-			require.Equal(t, c.reads, w.Outbox.Following)
-			require.Equal(t, c.reads, w.Outbox.Hold > 0)
-			require.Equal(t, c.unreadable, w.Self.Beat != sequence, "other nodes learn whether it can read the store")
+			require.Equal(t, c.reads, w.Outbox.ReadingStore)
+			require.Equal(t, c.reads, w.Outbox.LongPollTimeout > 0)
+			require.Equal(t, c.unreadable, w.Self.Sequence != sequence, "other nodes learn whether it can read the store")
 		})
 	}
 }
@@ -82,9 +82,9 @@
 			node := carobnodeid.ID("b" + string(rune('a'+i)))
 			w.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Centre: centre}})
 		}
-		w.Begin(carobinbox.Inbox{})
+		w.BeginTick(carobinbox.Inbox{})
 		carobfollowing.NewSystem().Run(w, 1)
-		return w.Outbox.Hold
+		return w.Outbox.LongPollTimeout
 	}
 	alone := hold()
 	require.Positive(t, alone)
--- a/pkg/carobgossip/gossip.go
+++ b/pkg/carobgossip/gossip.go
@@ -11,18 +11,18 @@
 type Gossip struct {
 	// Members are descriptions of different nodes.
 	Members []carobmember.Member `json:"members"`
-	// Asked is true if the receiver lacked these descriptions and other nodes have them,
+	// Requested is true if the receiver lacked these descriptions and other nodes have them,
 	// so that they are not gossiped further.
-	Asked bool `json:"asked,omitempty"`
+	Requested bool `json:"asked,omitempty"`
 }
 
-// Most is the maximum number of members in one message.
-const Most = 64
+// MaxMembers is the maximum number of members in one message.
+const MaxMembers = 64
 
 // Check returns an error of kind Invalid if the message or a member is out of bounds.
 func (g Gossip) Check() error {
-	if len(g.Members) > Most {
-		return carobkind.New(carobkind.Invalid, "gossip: more than %d members", Most)
+	if len(g.Members) > MaxMembers {
+		return carobkind.New(carobkind.Invalid, "gossip: more than %d members", MaxMembers)
 	}
 	for i := range g.Members {
 		if err := g.Members[i].Check(); err != nil {
--- a/pkg/carobhedging/system.go
+++ b/pkg/carobhedging/system.go
@@ -81,8 +81,8 @@
 		return
 	}
 	for i := range call.Attempts {
-		if at := &call.Attempts[i]; i == reply.Job.Attempt-1 || !at.Over {
-			pace.Histogram.Add(now.Sub(at.Sent))
+		if at := &call.Attempts[i]; i == reply.Job.Attempt-1 || !at.Ended {
+			pace.Histogram.Add(now.Sub(at.SentAt))
 		}
 	}
 }
@@ -103,8 +103,8 @@
 // mayHedge reports whether a call may have a second attempt beside the open
 // one.
 func mayHedge(call *carobcall.Call) bool {
-	return call.Profile.Hedge > 0 && call.Profile.Once == carobonce.No && !call.Arrival.Streamed &&
-		len(call.Attempts) < call.Profile.Tries && call.Open() == 1
+	return call.Profile.Hedge > 0 && call.Profile.Once == carobonce.Idempotent && !call.Arrival.Streamed &&
+		len(call.Attempts) < call.Profile.Tries && call.OpenAttempts() == 1
 }
 
 // requestHedge requests a hedge if the retry budget has a token, and schedules
@@ -112,7 +112,7 @@
 // carobrouting when it finds a target.
 func (s *System) requestHedge(world *carobworld.World, now carobinstant.Instant, id carobcallid.ID) {
 	call := world.Calls.Get(id)
-	if call == nil || call.Stage != carobstage.Placed || !mayHedge(call) || !newestIsOpen(call.Attempts) {
+	if call == nil || call.Stage != carobstage.Attempting || !mayHedge(call) || !newestIsOpen(call.Attempts) {
 		return
 	}
 	pace := paceOf(world, call.Arrival.Service)
@@ -120,8 +120,8 @@
 		return
 	}
 	s.pending.Set(id, now.Add(delay(call, pace)/retriesPerDelay))
-	if world.BudgetOf(call.Arrival.Service).Tokens >= 1 {
-		call.Extra = true
+	if world.RetryBudgetOf(call.Arrival.Service).Tokens >= 1 {
+		call.HedgeDue = true
 		world.WakeAt(now.Add(time.Nanosecond))
 	}
 }
@@ -133,14 +133,14 @@
 
 // newestIsOpen reports whether the newest attempt has no reply yet.
 func newestIsOpen(attempts []carobattempt.Attempt) bool {
-	return !attempts[len(attempts)-1].Over
+	return !attempts[len(attempts)-1].Ended
 }
 
 // paceOf returns the row of a service and adds it if it is missing. It returns
 // nil if the row is missing and the table is full.
 func paceOf(world *carobworld.World, service carobservice.Service) *carobpace.Latency {
-	if pace := world.Paces.Get(service); pace != nil {
+	if pace := world.Latencies.Get(service); pace != nil {
 		return pace
 	}
-	return world.Paces.Put(service, carobpace.Latency{})
+	return world.Latencies.Put(service, carobpace.Latency{})
 }
--- a/pkg/carobhedging/system_test.go
+++ b/pkg/carobhedging/system_test.go
@@ -27,15 +27,15 @@
 	t.Helper()
 	world := carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()})
 	profile := carobprofile.NewProfile("lookups")
-	profile.Once = carobonce.No
+	profile.Once = carobonce.Idempotent
 	pace := paceOf(world, "lookups")
 	for range 1000 {
 		pace.Histogram.Add(10 * time.Millisecond)
 	}
 	id := carobcallid.ID{Node: "n", Sequence: 1}
 	call := world.Calls.Put(id, carobcall.Call{
-		Arrival: carobarrival.Arrival{Call: id, Service: "lookups"}, Profile: profile, Stage: carobstage.Placed,
-		Attempts: []carobattempt.Attempt{{Sent: 1}},
+		Arrival: carobarrival.Arrival{Call: id, Service: "lookups"}, Profile: profile, Stage: carobstage.Attempting,
+		Attempts: []carobattempt.Attempt{{SentAt: 1}},
 	})
 	change(call)
 	s := NewSystem()
@@ -53,19 +53,19 @@
 		want   bool
 	}{
 		{"idempotent", func(*carobcall.Call) {}, true},
-		{"at most once", func(call *carobcall.Call) { call.Profile.Once = carobonce.Call }, false},
-		{"keyed", func(call *carobcall.Call) { call.Profile.Once = carobonce.Key }, false},
+		{"at most once", func(call *carobcall.Call) { call.Profile.Once = carobonce.OncePerCall }, false},
+		{"keyed", func(call *carobcall.Call) { call.Profile.Once = carobonce.OncePerKey }, false},
 		{"body not kept", func(call *carobcall.Call) { call.Arrival.Streamed = true }, false},
 		{"one attempt allowed", func(call *carobcall.Call) { call.Profile.Tries = 1 }, false},
 		{"no hedging", func(call *carobcall.Call) { call.Profile.Hedge = 0 }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s, world, call := newHedgeableCall(t, tc.change)
-			world.Begin(carobinbox.Inbox{})
+			world.BeginTick(carobinbox.Inbox{})
 			s.Run(world, carobinstant.Instant(5*time.Millisecond))
-			require.False(t, call.Extra)
+			require.False(t, call.HedgeDue)
 			s.Run(world, carobinstant.Instant(20*time.Millisecond))
-			require.Equal(t, tc.want, call.Extra)
+			require.Equal(t, tc.want, call.HedgeDue)
 		})
 	}
 }
@@ -74,21 +74,21 @@
 // dropped from the schedule when the budget is spent.
 func TestHedgeWaitsForRetryBudget(t *testing.T) {
 	s, world, call := newHedgeableCall(t, func(*carobcall.Call) {})
-	world.Begin(carobinbox.Inbox{})
-	world.BudgetOf("lookups").Tokens = 0.99
+	world.BeginTick(carobinbox.Inbox{})
+	world.RetryBudgetOf("lookups").Tokens = 0.99
 	s.Run(world, carobinstant.Instant(20*time.Millisecond))
-	require.False(t, call.Extra)
+	require.False(t, call.HedgeDue)
 	// The hedge is still scheduled.
-	world.BudgetOf("lookups").Tokens = 1
+	world.RetryBudgetOf("lookups").Tokens = 1
 	s.Run(world, carobinstant.Instant(30*time.Millisecond))
-	require.True(t, call.Extra)
+	require.True(t, call.HedgeDue)
 }
 
 // Guards against hedges that are requested after the call was answered.
 func TestAnsweredCallIsNotHedged(t *testing.T) {
 	s, world, call := newHedgeableCall(t, func(*carobcall.Call) {})
-	world.Begin(carobinbox.Inbox{})
+	world.BeginTick(carobinbox.Inbox{})
 	call.Stage = carobstage.Delivering
 	s.Run(world, carobinstant.Instant(20*time.Millisecond))
-	require.False(t, call.Extra)
+	require.False(t, call.HedgeDue)
 }
--- a/pkg/carobholding/holding.go
+++ b/pkg/carobholding/holding.go
@@ -14,10 +14,10 @@
 	Call carobcallid.ID
 	// Offset is the offset of the record with the claim.
 	Offset caroboffset.Offset
-	// Ended is true once the call has been settled.
-	Ended bool
+	// Settled is true once the call has been settled.
+	Settled bool
 	// Kind is the error kind that the call ended with, or None if it was answered.
 	Kind carobkind.Kind
-	// Kept is the stored answer, or nil if none is stored.
-	Kept *carobkept.Kept
+	// StoredAnswer is the stored answer, or nil if none is stored.
+	StoredAnswer *carobkept.StoredAnswer
 }
--- a/pkg/carobhop/hop.go
+++ b/pkg/carobhop/hop.go
@@ -32,7 +32,7 @@
 	// Start is when the call or job arrived, by the node's own clock.
 	Start time.Time `json:"start"`
 	// Took is the time from Start to the end of the call or job.
-	Took carobspan.Span `json:"took"`
+	Took carobspan.Duration `json:"took"`
 	// Kind is the error kind; None if there was no error.
 	Kind carobkind.Kind `json:"kind,omitempty"`
 }
--- a/pkg/carobinbox/inbox.go
+++ b/pkg/carobinbox/inbox.go
@@ -29,35 +29,35 @@
 
 	Announcements []carobannouncement.Announcement
 	Records       []carobrecord.Record
-	// Marks are the bounds of the log streams that Records were read from.
-	Marks []carobmark.Mark
-	// Routes are the route tables read from the store.
-	Routes []*carobroutes.RouteTable
-	// Blind has a value for each change of whether the store can be read, true if it
+	// StreamBounds are the bounds of the log streams that Records were read from.
+	StreamBounds []carobmark.Mark
+	// RouteTables are the route tables read from the store.
+	RouteTables []*carobroutes.RouteTable
+	// StoreUnreadable has a value for each change of whether the store can be read, true if it
 	// cannot, the newest last.
-	Blind []bool
+	StoreUnreadable []bool
 	// Stop requests a graceful shutdown of the node.
 	Stop bool
-	// Ending is the deadline of the shutdown, in the tick in which it becomes known; Never
+	// ShutdownDeadline is the deadline of the shutdown, in the tick in which it becomes known; Never
 	// otherwise.
-	Ending carobinstant.Instant
-	// End requests a final response for all calls in flight, because the node exits now.
-	End bool
+	ShutdownDeadline carobinstant.Instant
+	// Exit requests a final response for all calls in flight, because the node exits now.
+	Exit bool
 
 	// Admission and claims.
 
 	Offers   []caroboffer.Offer
 	Finishes []carobfinish.Finish
-	// Healths are the results of health checks.
-	Healths []carobhealth.Health
-	// Committed has the results of appending claims to the log.
-	Committed []carobcommitted.Committed
+	// CheckResults are the results of health checks.
+	CheckResults []carobhealth.Health
+	// AppendResults has the results of appending claims to the log.
+	AppendResults []carobcommitted.Committed
 
 	// Entry and routing.
 
 	Arrivals   []carobarrival.Arrival
 	Replies    []carobreply.Reply
 	Deliveries []carobdelivery.Delivery
-	// Hangups are the calls whose callers have disconnected.
-	Hangups []carobcallid.ID
+	// Disconnects are the calls whose callers have disconnected.
+	Disconnects []carobcallid.ID
 }
--- a/pkg/carobjoining/system.go
+++ b/pkg/carobjoining/system.go
@@ -66,7 +66,7 @@
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	found := storeAddresses(w)
 	if s.nextRenewal == carobinstant.Never {
-		w.Note("member", string(w.Self.Node), "node "+string(w.Self.Node), "none", carobstanding.Alive.String())
+		w.Audit("member", string(w.Self.Node), "node "+string(w.Self.Node), "none", carobstanding.Alive.String())
 	}
 	if s.nextRenewal == carobinstant.Never || s.nextRenewal.Reached(now) {
 		s.nextRenewal = now.Add(renewInterval - time.Duration(w.Random.Int64N(int64(renewInterval/4))))
@@ -75,7 +75,7 @@
 	if found && s.nextContact != carobinstant.Never {
 		s.nextContact = carobinstant.Earlier(s.nextContact, now.Add(contactDelay+time.Duration(w.Random.Int64N(int64(contactDelay)))))
 	}
-	isolated := len(w.SomePeers(1, isReachable)) == 0
+	isolated := len(w.SamplePeers(1, isReachable)) == 0
 	if s.nextContact == carobinstant.Never || s.nextContact.Reached(now) || found && isolated {
 		s.contactUnknown(w, isolated)
 		s.nextContact = now.Add(contactInterval)
@@ -87,7 +87,7 @@
 }
 
 func isReachable(pr *carobpeer.Peer) bool {
-	return !pr.Member.Standing.Lost()
+	return !pr.Member.Liveness.Down()
 }
 
 // storeAddresses stores the addresses of other nodes from the log records of this tick,
@@ -102,7 +102,7 @@
 		if json.Unmarshal(rc.Data, &mb) != nil || mb.Check() != nil || mb.Node == w.Self.Node {
 			continue
 		}
-		w.Hints.Put(mb.Node, mb.Peer)
+		w.LoggedAddresses.Put(mb.Node, mb.PeerAddress)
 		found = true
 	}
 	return found
@@ -121,10 +121,10 @@
 // contactUnknown contacts a random sample of the seeds and logged addresses that belong
 // to no known peer, and drops the logged addresses that do.
 func (s *System) contactUnknown(w *carobworld.World, isolated bool) {
-	known := map[carobaddress.Address]bool{w.Self.Peer: true}
+	known := map[carobaddress.Address]bool{w.Self.PeerAddress: true}
 	for _, pr := range w.Peers.All() {
 		if isReachable(pr) {
-			known[pr.Member.Peer] = true
+			known[pr.Member.PeerAddress] = true
 		}
 	}
 	var unknown []carobaddress.Address
@@ -133,9 +133,9 @@
 			unknown = append(unknown, ad)
 		}
 	}
-	for id, ad := range w.Hints.All() {
+	for id, ad := range w.LoggedAddresses.All() {
 		if known[*ad] {
-			w.Hints.Delete(id)
+			w.LoggedAddresses.Delete(id)
 			continue
 		}
 		unknown = append(unknown, *ad)
@@ -153,6 +153,6 @@
 // contact sends this node's description to an address, and a heartbeat with checksums that
 // makes the receiver compare its peer table with this node's.
 func contact(w *carobworld.World, to carobaddress.Address) {
-	w.Tell(carobmessage.Message{To: to, Gossip: &carobgossip.Gossip{Members: []carobmember.Member{w.Describe()}}})
-	w.Tell(carobmessage.Message{To: to, Probe: &carobprobe.Probe{Sums: w.Sums(), Read: w.ProfilesRead}})
+	w.SendMessage(carobmessage.Message{To: to, Gossip: &carobgossip.Gossip{Members: []carobmember.Member{w.Describe()}}})
+	w.SendMessage(carobmessage.Message{To: to, Heartbeat: &carobprobe.PeerHeartbeat{Checksums: w.Checksums(), ProfilesRead: w.ProfilesRead}})
 }
--- a/pkg/carobkept/kept.go
+++ b/pkg/carobkept/kept.go
@@ -5,8 +5,8 @@
 // MaxBody is the length in bytes of the longest body that is kept.
 const MaxBody = 4 << 10
 
-// Kept is a complete answer of a target.
-type Kept struct {
+// StoredAnswer is a complete answer of a target.
+type StoredAnswer struct {
 	// Status is the HTTP status of the answer.
 	Status int `json:"status"`
 	// Type is the content type; empty if the answer had none.
--- a/pkg/caroblimits/limits.go
+++ b/pkg/caroblimits/limits.go
@@ -34,12 +34,12 @@
 	// that needs whole bodies refuses the call instead.
 	Kept carobsize.Size `json:"kept"`
 	// Head is the time-out for receiving the header of a call.
-	Head carobspan.Span `json:"head"`
+	Head carobspan.Duration `json:"head"`
 	// Stall is the time without progress after which the transfer of a body counts
 	// as cut.
-	Stall carobspan.Span `json:"stall"`
+	Stall carobspan.Duration `json:"stall"`
 	// Idle is how long an unused connection of a caller stays open.
-	Idle carobspan.Span `json:"idle"`
+	Idle carobspan.Duration `json:"idle"`
 }
 
 // NewLimits returns the default limits, which suffice for several times the size of
@@ -55,9 +55,9 @@
 		Header:  16 * carobsize.KiB,
 		Body:    1024 * carobsize.MiB,
 		Kept:    32 * carobsize.MiB,
-		Head:    carobspan.Span(10 * time.Second),
-		Stall:   carobspan.Span(30 * time.Second),
-		Idle:    carobspan.Span(60 * time.Second),
+		Head:    carobspan.Duration(10 * time.Second),
+		Stall:   carobspan.Duration(30 * time.Second),
+		Idle:    carobspan.Duration(60 * time.Second),
 	}
 }
 
--- a/pkg/carobmember/member.go
+++ b/pkg/carobmember/member.go
@@ -21,27 +21,27 @@
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
 	Region      carobregion.Region           `json:"region"`
 	Centre      carobcentre.Centre           `json:"centre"`
-	// Peer is the address at which other nodes reach the node.
-	Peer carobaddress.Address `json:"peer"`
-	// Beat is the update sequence: the node increases it with every change. Within an
+	// PeerAddress is the address at which other nodes reach the node.
+	PeerAddress carobaddress.Address `json:"peer"`
+	// Sequence is the update sequence: the node increases it with every change. Within an
 	// incarnation the higher one is newer.
-	Beat uint64 `json:"beat"`
-	// Standing is the liveness state that other nodes assign to the node.
-	Standing carobstanding.Standing `json:"standing,omitempty"`
+	Sequence uint64 `json:"beat"`
+	// Liveness is the liveness state that other nodes assign to the node.
+	Liveness carobstanding.Liveness `json:"standing,omitempty"`
 	// Leaving is true if the node is shutting down.
 	Leaving bool `json:"leaving,omitempty"`
-	// Blind is true if the node cannot read the operator's records from the store.
-	Blind bool `json:"blind,omitempty"`
+	// StoreUnreadable is true if the node cannot read the operator's records from the store.
+	StoreUnreadable bool `json:"blind,omitempty"`
 	// Targets are the targets on the node's VM.
 	Targets []carobtarget.Target `json:"targets,omitempty"`
 }
 
-// MostTargets is the maximum number of targets on one VM.
-const MostTargets = 64
+// MaxTargets is the maximum number of targets on one VM.
+const MaxTargets = 64
 
 // Version returns the version of the description.
 func (m Member) Version() carobversion.Version {
-	return carobversion.Version{Node: m.Node, Incarnation: m.Incarnation, Beat: m.Beat, Standing: m.Standing}
+	return carobversion.Version{Node: m.Node, Incarnation: m.Incarnation, Sequence: m.Sequence, Liveness: m.Liveness}
 }
 
 // Newer reports whether m is a newer description of the same node than o.
@@ -49,8 +49,8 @@
 	return m.Version().Newer(o.Version())
 }
 
-// Weight returns the approximate size of the description in a message, in bytes.
-func (m Member) Weight() int {
+// EncodedSize returns the approximate size of the description in a message, in bytes.
+func (m Member) EncodedSize() int {
 	const fixed, each = 140, 130
 	return fixed + each*len(m.Targets)
 }
@@ -66,11 +66,11 @@
 	if err := carobword.Word(m.Centre).Check("centre"); err != nil {
 		return err
 	}
-	if err := m.Peer.Check(); err != nil {
+	if err := m.PeerAddress.Check(); err != nil {
 		return err
 	}
-	if len(m.Targets) > MostTargets {
-		return carobkind.New(carobkind.Invalid, "member: more than %d targets", MostTargets)
+	if len(m.Targets) > MaxTargets {
+		return carobkind.New(carobkind.Invalid, "member: more than %d targets", MaxTargets)
 	}
 	for i := range m.Targets {
 		if err := checkTarget(&m.Targets[i]); err != nil {
--- a/pkg/carobmembership/system.go
+++ b/pkg/carobmembership/system.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		for _, mb := range ms.Gossip.Members {
-			s.merge(w, now, mb, ms.Gossip.Asked)
+			s.merge(w, now, mb, ms.Gossip.Requested)
 		}
 	}
 	if s.nextSweep == carobinstant.Never || s.nextSweep.Reached(now) {
@@ -72,7 +72,7 @@
 		return
 	}
 	old := w.Peers.Get(mb.Node)
-	if old == nil && mb.Standing.Lost() || old != nil && !mb.Newer(old.Member) {
+	if old == nil && mb.Liveness.Down() || old != nil && !mb.Newer(old.Member) {
 		return
 	}
 	unchanged := old != nil && sameTargets(old.Member, mb)
@@ -81,7 +81,7 @@
 	}
 	w.PeerChanges++
 	if !requested {
-		w.News.Put(mb.Node, struct{}{})
+		w.PendingGossip.Put(mb.Node, struct{}{})
 	}
 	if !unchanged {
 		replaceTargets(w, mb)
@@ -91,9 +91,9 @@
 // nextRow returns the row for a newer description. It keeps the times and the route version
 // of the old row, which may be nil, if incarnation and liveness state are unchanged.
 func nextRow(old *carobpeer.Peer, mb carobmember.Member, now carobinstant.Instant) carobpeer.Peer {
-	next := carobpeer.Peer{Member: mb, Heard: now, Since: now}
-	if old != nil && old.Member.Standing == mb.Standing && old.Member.Incarnation == mb.Incarnation {
-		next.Heard, next.Since, next.Routes = old.Heard, old.Since, old.Routes
+	next := carobpeer.Peer{Member: mb, LastContactAt: now, LivenessSince: now}
+	if old != nil && old.Member.Liveness == mb.Liveness && old.Member.Incarnation == mb.Incarnation {
+		next.LastContactAt, next.LivenessSince, next.RoutesVersion = old.LastContactAt, old.LivenessSince, old.RoutesVersion
 	}
 	return next
 }
@@ -102,27 +102,27 @@
 // suspicion, and records in the audit trail if another node uses the same id.
 func (s *System) mergeSelf(w *carobworld.World, mb carobmember.Member) {
 	if mb.Incarnation == w.Self.Incarnation {
-		if mb.Standing != carobstanding.Alive && mb.Beat >= w.Self.Beat && !w.Farewell {
-			w.Self.Beat = mb.Beat + 1
+		if mb.Liveness != carobstanding.Alive && mb.Sequence >= w.Self.Sequence && !w.LeaveAnnounced {
+			w.Self.Sequence = mb.Sequence + 1
 		}
 		return
 	}
 	if mb.Incarnation > w.Self.Incarnation && mb.Incarnation > s.duplicate {
 		s.duplicate = mb.Incarnation
-		w.Note("member", string(mb.Node), "name is used twice", string(w.Self.Peer), string(mb.Peer))
+		w.Audit("member", string(mb.Node), "name is used twice", string(w.Self.PeerAddress), string(mb.PeerAddress))
 	}
 }
 
 // sameTargets reports whether two descriptions of a node make no difference for routing.
 func sameTargets(a, b carobmember.Member) bool {
-	return a.Standing.Lost() == b.Standing.Lost() && a.Leaving == b.Leaving && slices.Equal(a.Targets, b.Targets)
+	return a.Liveness.Down() == b.Liveness.Down() && a.Leaving == b.Leaving && slices.Equal(a.Targets, b.Targets)
 }
 
 // replaceTargets replaces a node's rows in the target table by those of its description.
 // The targets of a node that is down are removed there, but stay in the peer's row.
 func replaceTargets(w *carobworld.World, mb carobmember.Member) {
 	w.DropTargets(mb.Node)
-	if mb.Standing.Lost() {
+	if mb.Liveness.Down() {
 		return
 	}
 	for _, tg := range mb.Targets {
@@ -146,9 +146,9 @@
 // dropExpired removes the peers that have been down for longer than their retention time.
 func dropExpired(w *carobworld.World, now carobinstant.Instant) {
 	for id, pr := range w.Peers.All() {
-		age := now.Sub(pr.Since)
-		if pr.Member.Standing == carobstanding.Unreachable && age > unreachableRetention ||
-			pr.Member.Standing == carobstanding.Gone && age > leftRetention {
+		age := now.Sub(pr.LivenessSince)
+		if pr.Member.Liveness == carobstanding.Unreachable && age > unreachableRetention ||
+			pr.Member.Liveness == carobstanding.Left && age > leftRetention {
 			w.Peers.Delete(id)
 			w.PeerChanges++
 		}
--- a/pkg/carobmessage/check.go
+++ b/pkg/carobmessage/check.go
@@ -10,7 +10,7 @@
 	if err := m.From.Check(); err != nil {
 		return err
 	}
-	if err := m.Back.Check(); err != nil {
+	if err := m.ReplyTo.Check(); err != nil {
 		return err
 	}
 	for _, c := range m.contents() {
@@ -29,8 +29,8 @@
 	if m.Gossip != nil {
 		set = append(set, m.Gossip)
 	}
-	if m.Probe != nil {
-		set = append(set, m.Probe)
+	if m.Heartbeat != nil {
+		set = append(set, m.Heartbeat)
 	}
 	if m.Digest != nil {
 		set = append(set, m.Digest)
@@ -38,11 +38,11 @@
 	if m.Fetch != nil {
 		set = append(set, m.Fetch)
 	}
-	if m.Supply != nil {
-		set = append(set, m.Supply)
+	if m.FetchReply != nil {
+		set = append(set, m.FetchReply)
 	}
-	if m.Routes != nil {
-		set = append(set, m.Routes)
+	if m.RouteTable != nil {
+		set = append(set, m.RouteTable)
 	}
 
 	return set
--- a/pkg/carobmessage/message.go
+++ b/pkg/carobmessage/message.go
@@ -33,7 +33,7 @@
 	// From and Incarnation identify the sender, and Back is the address for answers.
 	From        carobnodeid.ID               `json:"from"`
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
-	Back        carobaddress.Address         `json:"back"`
+	ReplyTo        carobaddress.Address         `json:"back"`
 
 	// RoutesVersion is the version of the sender's route table. A message without content
 	// only announces this version.
@@ -43,17 +43,17 @@
 
 	// Gossip carries descriptions of nodes.
 	Gossip *carobgossip.Gossip `json:"gossip,omitempty"`
-	// Probe is a heartbeat or the answer to one.
-	Probe *carobprobe.Probe `json:"probe,omitempty"`
+	// Heartbeat is a heartbeat or the answer to one.
+	Heartbeat *carobprobe.PeerHeartbeat `json:"probe,omitempty"`
 	// Digest lists the versions of the sender's descriptions of some nodes.
 	Digest *carobdigest.Digest `json:"digest,omitempty"`
 	// Fetch requests profile records, and Supply carries them.
 	Fetch  *carobfetch.Fetch   `json:"fetch,omitempty"`
-	Supply *carobsupply.Supply `json:"supply,omitempty"`
+	FetchReply *carobsupply.FetchReply `json:"supply,omitempty"`
 
 	// RouteFetch requests the route table, and Routes carries it.
 	RouteFetch *carobroutefetch.Fetch `json:"routefetch,omitempty"`
-	Routes     *carobroutes.RouteTable    `json:"routes,omitempty"`
+	RouteTable     *carobroutes.RouteTable    `json:"routes,omitempty"`
 
 	// Calls and claims.
 
@@ -70,8 +70,8 @@
 
 	// Measuring.
 
-	// Poll queries the load of a target.
-	Poll *carobpoll.Poll `json:"poll,omitempty"`
+	// LoadProbe queries the load of a target.
+	LoadProbe *carobpoll.Poll `json:"poll,omitempty"`
 	// Report answers a query for a load.
 	Report *carobreport.Report `json:"report,omitempty"`
 }
--- a/pkg/caroboffer/offer.go
+++ b/pkg/caroboffer/offer.go
@@ -19,7 +19,7 @@
 	// Patience is the time left until the call's deadline.
 	Patience time.Duration
 	// Wish holds the caller's requirements for the call.
-	Wish carobwish.Wish
+	Wish carobwish.Requirements
 	// Key is the idempotency key; empty if there is none.
 	Key string
 	// Trace is the trace context in W3C format; empty if there is none.
--- a/pkg/carobonce/once.go
+++ b/pkg/carobonce/once.go
@@ -3,23 +3,23 @@
 
 import "github.com/carobknot/carobknot/pkg/carobkind"
 
-// Once is the guarantee of a profile or route about the runs of a call.
-type Once string
+// Guarantee is the guarantee of a profile or route about the runs of a call.
+type Guarantee string
 
 // The guarantees.
 const (
-	// No: the call is idempotent and may run more than once.
-	No Once = "no"
-	// Call: each call runs at most once.
-	Call Once = "call"
-	// Key: all calls with one idempotency key together run at most once.
-	Key Once = "key"
+	// Idempotent: the call is idempotent and may run more than once.
+	Idempotent Guarantee = "no"
+	// OncePerCall: each call runs at most once.
+	OncePerCall Guarantee = "call"
+	// OncePerKey: all calls with one idempotency key together run at most once.
+	OncePerKey Guarantee = "key"
 )
 
 // UnmarshalText decodes a guarantee. It returns an Invalid error for any other text.
-func (o *Once) UnmarshalText(text []byte) error {
-	switch once := Once(text); once {
-	case No, Call, Key:
+func (o *Guarantee) UnmarshalText(text []byte) error {
+	switch once := Guarantee(text); once {
+	case Idempotent, OncePerCall, OncePerKey:
 		*o = once
 		return nil
 	default:
--- a/pkg/caroboutbox/outbox.go
+++ b/pkg/caroboutbox/outbox.go
@@ -32,11 +32,11 @@
 	Appends []carobappend.Append
 	// ChangeResults are the results of the profile changes that were applied.
 	ChangeResults []carobchangeresult.ChangeResult
-	// Following is true while this node reads the operator's records from the store.
-	Following bool
-	// Hold is how long the store may hold open a long-poll read that finds nothing new. It
+	// ReadingStore is true while this node reads the operator's records from the store.
+	ReadingStore bool
+	// LongPollTimeout is how long the store may hold open a long-poll read that finds nothing new. It
 	// is set only if Following is true.
-	Hold time.Duration
+	LongPollTimeout time.Duration
 	// Stopped is true when a graceful shutdown is complete.
 	Stopped bool
 
@@ -44,13 +44,13 @@
 
 	Starts   []carobstart.Start
 	Refusals []carobrefusal.Refusal
-	// Commits are batches of claims to append to the log. The result of each comes back in
+	// AppendRequests are batches of claims to append to the log. The result of each comes back in
 	// the inbox.
-	Commits []carobcommit.Commit
-	// Follows are the log streams to start or stop reading.
-	Follows []carobfollow.Follow
-	// Checks are health checks of the node's own targets.
-	Checks []carobcheck.Check
+	AppendRequests []carobcommit.Commit
+	// Subscriptions are the log streams to start or stop reading.
+	Subscriptions []carobfollow.Follow
+	// HealthChecks are health checks of the node's own targets.
+	HealthChecks []carobcheck.Check
 	// Reports are the target loads to attach to answers and refusals from now on.
 	Reports []carobreport.Report
 
--- a/pkg/carobparent/parent.go
+++ b/pkg/carobparent/parent.go
@@ -9,12 +9,12 @@
 	"strings"
 )
 
-// Parent identifies a span and its trace. The zero value identifies none.
-type Parent struct {
-	// Trace is the trace ID, the same for all hops of a call. It is not zero.
-	Trace [16]byte
-	// Span is the ID of one hop. It is not zero.
-	Span [8]byte
+// SpanContext identifies a span and its trace. The zero value identifies none.
+type SpanContext struct {
+	// TraceID is the trace ID, the same for all hops of a call. It is not zero.
+	TraceID [16]byte
+	// SpanID is the ID of one hop. It is not zero.
+	SpanID [8]byte
 	// Flags are the trace flags; the lowest bit means sampled.
 	Flags byte
 }
@@ -28,53 +28,53 @@
 	separator    = "-"
 )
 
-// NewParent returns the root span of a new trace, sampled.
-func NewParent(random *rand.Rand) Parent {
-	parent := Parent{Flags: sampledFlag}
-	for parent.Trace == [16]byte{} {
-		binary.BigEndian.PutUint64(parent.Trace[:8], random.Uint64())
-		binary.BigEndian.PutUint64(parent.Trace[8:], random.Uint64())
+// NewSpanContext returns the root span of a new trace, sampled.
+func NewSpanContext(random *rand.Rand) SpanContext {
+	parent := SpanContext{Flags: sampledFlag}
+	for parent.TraceID == [16]byte{} {
+		binary.BigEndian.PutUint64(parent.TraceID[:8], random.Uint64())
+		binary.BigEndian.PutUint64(parent.TraceID[8:], random.Uint64())
 	}
 	return parent.Child(random)
 }
 
 // Child returns a span with a new random ID in the same trace.
-func (p Parent) Child(random *rand.Rand) Parent {
-	p.Span = [8]byte{}
-	for p.Span == [8]byte{} {
-		binary.BigEndian.PutUint64(p.Span[:], random.Uint64())
+func (p SpanContext) Child(random *rand.Rand) SpanContext {
+	p.SpanID = [8]byte{}
+	for p.SpanID == [8]byte{} {
+		binary.BigEndian.PutUint64(p.SpanID[:], random.Uint64())
 	}
 	return p
 }
 
 // String returns the header value in version 00.
-func (p Parent) String() string {
+func (p SpanContext) String() string {
 	b := make([]byte, 0, headerLength)
 	b = append(b, version+separator...)
-	b = append(hex.AppendEncode(b, p.Trace[:]), separator...)
-	b = append(hex.AppendEncode(b, p.Span[:]), separator...)
+	b = append(hex.AppendEncode(b, p.TraceID[:]), separator...)
+	b = append(hex.AppendEncode(b, p.SpanID[:]), separator...)
 	return string(hex.AppendEncode(b, []byte{p.Flags}))
 }
 
 // Parse decodes a header value and keeps only the sampled flag. It returns false if
 // the value is malformed; the caller then starts a new trace, as the recommendation
 // demands.
-func Parse(text string) (Parent, bool) {
+func Parse(text string) (SpanContext, bool) {
 	const fields = 4
 	parts := strings.SplitN(text, separator, fields+1)
 	if len(parts) < fields || len(text) < headerLength || !isLowerHex(parts[0], 1) || parts[0] == "ff" {
-		return Parent{}, false
+		return SpanContext{}, false
 	}
 	if parts[0] == version && len(text) != headerLength {
-		return Parent{}, false
+		return SpanContext{}, false
 	}
-	var parent Parent
+	var parent SpanContext
 	var flags [1]byte
-	if !decodeHex(parent.Trace[:], parts[1]) || !decodeHex(parent.Span[:], parts[2]) || !decodeHex(flags[:], parts[3]) {
-		return Parent{}, false
+	if !decodeHex(parent.TraceID[:], parts[1]) || !decodeHex(parent.SpanID[:], parts[2]) || !decodeHex(flags[:], parts[3]) {
+		return SpanContext{}, false
 	}
 	parent.Flags = flags[0] & sampledFlag
-	return parent, parent.Trace != [16]byte{} && parent.Span != [8]byte{}
+	return parent, parent.TraceID != [16]byte{} && parent.SpanID != [8]byte{}
 }
 
 // decodeHex fills into from lower-case hexadecimal digits, and reports whether the
--- a/pkg/carobparent/parent_test.go
+++ b/pkg/carobparent/parent_test.go
@@ -37,10 +37,10 @@
 // Guards against a child span that leaves its trace or keeps the ID of its parent.
 func TestChild(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	root := NewParent(random)
+	root := NewSpanContext(random)
 	child := root.Child(random)
-	require.Equal(t, root.Trace, child.Trace)
-	require.NotEqual(t, root.Span, child.Span)
+	require.Equal(t, root.TraceID, child.TraceID)
+	require.NotEqual(t, root.SpanID, child.SpanID)
 	parsed, ok := Parse(child.String())
 	require.True(t, ok)
 	require.Equal(t, child, parsed)
--- a/pkg/carobpause/system_test.go
+++ b/pkg/carobpause/system_test.go
@@ -43,7 +43,7 @@
 			w := world()
 			pause := carobpause.NewSystem(carobpause.Config{Period: period, Allowance: allowance})
 			step := func(now carobinstant.Instant, in carobinbox.Inbox) {
-				w.Begin(in)
+				w.BeginTick(in)
 				pause.Run(w, now)
 				carobadmission.NewSystem().Run(w, now)
 			}
@@ -84,7 +84,7 @@
 		Self: carobmember.Member{Node: "here", Incarnation: 7}, Limits: caroblimits.NewLimits(),
 	})
 	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
-	w.Gates.Put(target, carobgate.Gate{Limit: 1})
+	w.AdmissionStates.Put(target, carobgate.Gate{Limit: 1})
 	rv := carobrevision.Revision{}
 	rv.Change.Profile = carobprofile.NewProfile("p")
 	w.Profiles.Put("p", rv)
--- a/pkg/carobpeer/peer.go
+++ b/pkg/carobpeer/peer.go
@@ -11,14 +11,14 @@
 type Peer struct {
 	// Member is the newest description of the peer.
 	Member carobmember.Member
-	// Heard is when the last message from the peer itself arrived, or when gossip last
+	// LastContactAt is when the last message from the peer itself arrived, or when gossip last
 	// added the row or changed its incarnation or liveness state, if that was later.
-	Heard carobinstant.Instant
-	// Since is when the liveness state of the peer last changed.
-	Since carobinstant.Instant
-	// Routes is the newest version of the route table that the peer is known to have.
-	Routes carobrouteversion.Version
-	// Told is the number of times that this node has sent the current description by
+	LastContactAt carobinstant.Instant
+	// LivenessSince is when the liveness state of the peer last changed.
+	LivenessSince carobinstant.Instant
+	// RoutesVersion is the newest version of the route table that the peer is known to have.
+	RoutesVersion carobrouteversion.Version
+	// GossipCount is the number of times that this node has sent the current description by
 	// gossip.
-	Told int
+	GossipCount int
 }
--- a/pkg/carobprobe/probe.go
+++ b/pkg/carobprobe/probe.go
@@ -9,9 +9,9 @@
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 )
 
-// Probe is a heartbeat, or the answer to one. If a node does not answer, the sender
+// PeerHeartbeat is a heartbeat, or the answer to one. If a node does not answer, the sender
 // requests other nodes to relay the heartbeat; the answer comes back the same way.
-type Probe struct {
+type PeerHeartbeat struct {
 	// Number identifies the heartbeat among those of its first sender.
 	Number uint64 `json:"number"`
 	// Node is the node that the heartbeat is meant for; another node at the same address
@@ -19,33 +19,33 @@
 	Node carobnodeid.ID `json:"node,omitempty"`
 	// Answer is true if this is an answer.
 	Answer bool `json:"answer,omitempty"`
-	// Goal is an address to which the receiver is requested to relay the heartbeat. It is
+	// RelayTo is an address to which the receiver is requested to relay the heartbeat. It is
 	// empty if the heartbeat is not to be relayed.
-	Goal carobaddress.Address `json:"goal,omitempty"`
-	// Origin is the address of the node that the sender relays for. It is empty if the
+	RelayTo carobaddress.Address `json:"goal,omitempty"`
+	// RelayFor is the address of the node that the sender relays for. It is empty if the
 	// heartbeat is not relayed.
-	Origin carobaddress.Address `json:"origin,omitempty"`
-	// Sums are the checksums of the partitions of the sender's peer table; empty if the
+	RelayFor carobaddress.Address `json:"origin,omitempty"`
+	// Checksums are the checksums of the partitions of the sender's peer table; empty if the
 	// heartbeat carries none.
-	Sums []uint64 `json:"sums,omitempty"`
-	// Read is the offset up to which the sender has applied the stream of profiles.
-	Read caroboffset.Offset `json:"read"`
+	Checksums []uint64 `json:"sums,omitempty"`
+	// ProfilesRead is the offset up to which the sender has applied the stream of profiles.
+	ProfilesRead caroboffset.Offset `json:"read"`
 }
 
-// Parts is the number of partitions of the peer table.
-const Parts = 16
+// Partitions is the number of partitions of the peer table.
+const Partitions = 16
 
 // Check returns an error of kind Invalid if a field is out of bounds.
-func (p Probe) Check() error {
-	if len(p.Sums) != 0 && len(p.Sums) != Parts {
-		return carobkind.New(carobkind.Invalid, "probe: wrong number of checksums: %d", len(p.Sums))
+func (p PeerHeartbeat) Check() error {
+	if len(p.Checksums) != 0 && len(p.Checksums) != Partitions {
+		return carobkind.New(carobkind.Invalid, "probe: wrong number of checksums: %d", len(p.Checksums))
 	}
 	if p.Node != "" {
 		if err := p.Node.Check(); err != nil {
 			return err
 		}
 	}
-	for _, ad := range []carobaddress.Address{p.Goal, p.Origin} {
+	for _, ad := range []carobaddress.Address{p.RelayTo, p.RelayFor} {
 		if ad == "" {
 			continue
 		}
--- a/pkg/carobprobing/system.go
+++ b/pkg/carobprobing/system.go
@@ -67,7 +67,7 @@
 func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
 	for _, message := range world.Inbox.Messages {
 		switch {
-		case message.Poll != nil:
+		case message.LoadProbe != nil:
 			sendReport(world, now, message)
 		case message.Report != nil:
 			storeReport(world, now, message.Report)
@@ -86,13 +86,13 @@
 
 // sendReport answers a probe of one of this node's own targets.
 func sendReport(world *carobworld.World, now carobinstant.Instant, message carobmessage.Message) {
-	target, gate := world.Targets.Get(message.Poll.Target), world.Gates.Get(message.Poll.Target)
+	target, gate := world.Targets.Get(message.LoadProbe.Target), world.AdmissionStates.Get(message.LoadProbe.Target)
 	if target == nil || gate == nil || !world.Owns(target) || !spendBudget(world, now, target.ID) {
 		return
 	}
-	world.Tell(carobmessage.Message{To: message.Back, Report: &carobreport.Report{
+	world.SendMessage(carobmessage.Message{To: message.ReplyTo, Report: &carobreport.Report{
 		Target: target.ID, Running: gate.Running, Queued: gate.Queued, Slots: max(gate.Limit, 1),
-		Latency: carobspan.Span(decayedLatency(gate, now)),
+		Latency: carobspan.Duration(decayedLatency(gate, now)),
 	}})
 }
 
@@ -154,7 +154,7 @@
 		return
 	}
 	load.ProbedAt = now
-	world.Tell(carobmessage.Message{To: peer.Member.Peer, Poll: &carobpoll.Poll{Target: id}})
+	world.SendMessage(carobmessage.Message{To: peer.Member.PeerAddress, LoadProbe: &carobpoll.Poll{Target: id}})
 }
 
 // spendBudget takes the cost of one message from both buckets, or from neither
@@ -165,8 +165,8 @@
 		return false
 	}
 	price := MessageBytes(world, id)
-	refill(bytes, now, float64(world.Measure.BytesPerSecond), price)
-	refill(seconds, now, float64(world.Measure.CPUShare), cpuPerMessage.Seconds())
+	refill(bytes, now, float64(world.ProbeLimits.BytesPerSecond), price)
+	refill(seconds, now, float64(world.ProbeLimits.CPUShare), cpuPerMessage.Seconds())
 	if bytes.Tokens < price || seconds.Tokens < cpuPerMessage.Seconds() {
 		bytes.Denied++
 		return false
@@ -189,7 +189,7 @@
 // MessageBytes returns the bytes that a probe of a target, or the report that answers
 // it, takes from the budget.
 func MessageBytes(world *carobworld.World, id carobtargetid.ID) float64 {
-	return float64(messageOverhead + len(world.Self.Node) + len(world.Self.Peer) + len(id.Service) + len(id.Name))
+	return float64(messageOverhead + len(world.Self.Node) + len(world.Self.PeerAddress) + len(id.Service) + len(id.Name))
 }
 
 // bucketOf returns a bucket and adds it if it is missing, or returns nil if the
--- a/pkg/carobprobing/system_test.go
+++ b/pkg/carobprobing/system_test.go
@@ -34,19 +34,19 @@
 // newWorld returns a world with a target of another node.
 func newWorld(rate carobrate.Rate) *carobworld.World {
 	world := carobworld.NewWorld(carobworld.Config{
-		Self: carobmember.Member{Node: "one", Peer: "127.0.0.1:1"}, Limits: caroblimits.NewLimits(),
-		Measure: carobmeasure.ProbeLimits{BytesPerSecond: rate, CPUShare: 0.01},
+		Self: carobmember.Member{Node: "one", PeerAddress: "127.0.0.1:1"}, Limits: caroblimits.NewLimits(),
+		ProbeLimits: carobmeasure.ProbeLimits{BytesPerSecond: rate, CPUShare: 0.01},
 	})
 	world.Profiles.Put("p", carobrevision.Revision{Change: carobchange.Change{Profile: carobprofile.NewProfile("p")}})
 	world.Groups.Put("lookups", carobgroup.Group{Profile: "p", Targets: []carobtargetid.ID{other}})
 	world.Targets.Put(other, carobtarget.Target{ID: other, Node: "two"})
-	world.Peers.Put("two", carobpeer.Peer{Member: carobmember.Member{Node: "two", Peer: "127.0.0.1:2"}})
+	world.Peers.Put("two", carobpeer.Peer{Member: carobmember.Member{Node: "two", PeerAddress: "127.0.0.1:2"}})
 	return world
 }
 
 // tick runs the system on the messages and returns the messages it sends.
 func tick(s *System, world *carobworld.World, now carobinstant.Instant, messages ...carobmessage.Message) []carobmessage.Message {
-	world.Begin(carobinbox.Inbox{Messages: messages})
+	world.BeginTick(carobinbox.Inbox{Messages: messages})
 	s.Run(world, now)
 	return world.Outbox.Messages
 }
@@ -61,7 +61,7 @@
 	require.NotEqual(t, carobinstant.Never, world.Wake())
 	sent := tick(s, world, second.Add(200*time.Millisecond))
 	require.Len(t, sent, 1)
-	require.Equal(t, other, sent[0].Poll.Target)
+	require.Equal(t, other, sent[0].LoadProbe.Target)
 	require.Empty(t, tick(s, world, second.Add(400*time.Millisecond)), "a probe is pending")
 	require.Empty(t, tick(s, world, second.Add(410*time.Millisecond),
 		carobmessage.Message{Report: &carobreport.Report{Target: other, Running: 7}}))
@@ -76,11 +76,11 @@
 	s, world := NewSystem(), newWorld(2048)
 	own := carobtargetid.ID{Service: "lookups", Name: "a"}
 	world.Targets.Put(own, carobtarget.Target{ID: own, Node: "one"})
-	world.Gates.Put(own, carobgate.Gate{Limit: 12, Running: 3, Queued: 1, Latency: time.Second, Learned: now.Add(-time.Minute)})
-	sent := tick(s, world, now, carobmessage.Message{Back: "127.0.0.1:2", Poll: &carobpoll.Poll{Target: own}})
+	world.AdmissionStates.Put(own, carobgate.Gate{Limit: 12, Running: 3, Queued: 1, Latency: time.Second, Learned: now.Add(-time.Minute)})
+	sent := tick(s, world, now, carobmessage.Message{ReplyTo: "127.0.0.1:2", LoadProbe: &carobpoll.Poll{Target: own}})
 	require.Len(t, sent, 1)
 	require.Equal(t, &carobreport.Report{Target: own, Running: 3, Queued: 1, Slots: 12, Latency: sent[0].Report.Latency}, sent[0].Report)
-	require.Empty(t, tick(s, world, now, carobmessage.Message{Poll: &carobpoll.Poll{Target: other}}), "target of another node")
+	require.Empty(t, tick(s, world, now, carobmessage.Message{LoadProbe: &carobpoll.Poll{Target: other}}), "target of another node")
 }
 
 // Guards against probes that exceed the configured bytes or processor time,
--- a/pkg/carobprofile/profile.go
+++ b/pkg/carobprofile/profile.go
@@ -28,7 +28,7 @@
 	// uses, at least 1.
 	Spread int `json:"spread"`
 	// Deadline is the time until the deadline of a call whose caller sets none.
-	Deadline carobspan.Span `json:"deadline"`
+	Deadline carobspan.Duration `json:"deadline"`
 	// Tries is the number of attempts of a call before it waits for a free slot, at
 	// least 1.
 	Tries int `json:"tries"`
@@ -38,10 +38,10 @@
 	// Queue is the maximum number of calls queued for each target, at least 0.
 	Queue int `json:"queue"`
 	// Once is the limit on how often a call may run.
-	Once carobonce.Once `json:"once"`
+	Once carobonce.Guarantee `json:"once"`
 	// Measure is the age of a load report at which the target is probed again; 0
 	// disables it.
-	Measure carobspan.Span `json:"measure"`
+	Measure carobspan.Duration `json:"measure"`
 	// Eject is how far the error rate of a target must exceed that of the other
 	// targets for it to be ejected for a while; 0 disables ejection.
 	Eject carobshare.Share `json:"eject"`
@@ -62,23 +62,23 @@
 	MaxTries    = 10
 	MaxQueue    = 10_000
 	MaxKeep     = 16 * carobsize.MiB
-	MaxDeadline = carobspan.Span(time.Hour)
-	MaxMeasure  = carobspan.Span(time.Minute)
+	MaxDeadline = carobspan.Duration(time.Hour)
+	MaxMeasure  = carobspan.Duration(time.Minute)
 )
 
 // NewProfile returns a profile with the default rules.
 func NewProfile(name carobword.Word) Profile {
 	return Profile{
 		Name:     name,
-		Base:     caroboffset.None,
+		Base:     caroboffset.BeforeFirst,
 		Policy:   "expected",
 		Spread:   16,
-		Deadline: carobspan.Span(10 * time.Second),
+		Deadline: carobspan.Duration(10 * time.Second),
 		Tries:    3,
 		Hedge:    0.95,
 		Queue:    24,
-		Once:     carobonce.Call,
-		Measure:  carobspan.Span(100 * time.Millisecond),
+		Once:     carobonce.OncePerCall,
+		Measure:  carobspan.Duration(100 * time.Millisecond),
 		Eject:    0.5,
 		Near:     0.8,
 		Keep:     64 * carobsize.KiB,
@@ -109,8 +109,8 @@
 		return err
 	}
 	switch {
-	case p.Base < caroboffset.None:
-		return carobkind.New(carobkind.Invalid, "base: %d is not between %d and the newest revision", p.Base, caroboffset.None)
+	case p.Base < caroboffset.BeforeFirst:
+		return carobkind.New(carobkind.Invalid, "base: %d is not between %d and the newest revision", p.Base, caroboffset.BeforeFirst)
 	case p.Deadline <= 0 || p.Deadline > MaxDeadline:
 		return carobkind.New(carobkind.Invalid, "deadline: %s must be longer than 0s and at most %s", p.Deadline, MaxDeadline)
 	case p.Measure > MaxMeasure:
--- a/pkg/carobrate/rate.go
+++ b/pkg/carobrate/rate.go
@@ -14,8 +14,8 @@
 
 const perSecond = "/s"
 
-// Over returns the number of bytes that the rate allows in d.
-func (r Rate) Over(d time.Duration) float64 {
+// BytesIn returns the number of bytes that the rate allows in d.
+func (r Rate) BytesIn(d time.Duration) float64 {
 	return float64(r) * d.Seconds()
 }
 
