--- a/pkg/carobreconciliation/system.go
+++ b/pkg/carobreconciliation/system.go
@@ -56,7 +56,7 @@
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	for i := range w.Inbox.Messages {
 		ms := &w.Inbox.Messages[i]
-		if ms.Probe != nil && len(ms.Probe.Sums) == carobprobe.Parts {
+		if ms.Heartbeat != nil && len(ms.Heartbeat.Checksums) == carobprobe.Partitions {
 			s.compare(w, now, ms)
 		}
 		if ms.Digest != nil {
@@ -69,11 +69,11 @@
 // random, as far as the throttle permits. If at most half of the partitions differ while
 // gossip is pending, it compares only once per interval.
 func (s *System) compare(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message) {
-	different := differing(w.Sums(), ms.Probe.Sums)
+	different := differing(w.Checksums(), ms.Heartbeat.Checksums)
 	if len(different) == 0 {
 		return
 	}
-	if w.News.Len() > 0 && len(different) <= carobprobe.Parts/2 && s.nextCompare != carobinstant.Never && !s.nextCompare.Reached(now) {
+	if w.PendingGossip.Len() > 0 && len(different) <= carobprobe.Partitions/2 && s.nextCompare != carobinstant.Never && !s.nextCompare.Reached(now) {
 		return
 	}
 	s.nextCompare = now.Add(compareInterval)
@@ -83,7 +83,7 @@
 		if !s.throttle.Allow(now, rowSize*len(rows)) {
 			return
 		}
-		w.Tell(carobmessage.Message{To: ms.Back, Digest: &carobdigest.Digest{Part: partition, Rows: rows}})
+		w.SendMessage(carobmessage.Message{To: ms.ReplyTo, Digest: &carobdigest.Digest{Partition: partition, Versions: rows}})
 	}
 }
 
@@ -102,11 +102,11 @@
 // node's own included.
 func versions(w *carobworld.World, partition int) []carobversion.Version {
 	var rows []carobversion.Version
-	if carobworld.PartOf(w.Self.Node) == partition {
+	if carobworld.PartitionOf(w.Self.Node) == partition {
 		rows = append(rows, w.Self.Version())
 	}
 	for id, pr := range w.Peers.All() {
-		if carobworld.PartOf(id) == partition {
+		if carobworld.PartitionOf(id) == partition {
 			rows = append(rows, pr.Member.Version())
 		}
 	}
@@ -117,14 +117,14 @@
 // that are newer than in the sender's rows, and requests the ones that the sender has
 // newer.
 func (s *System) answer(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message) {
-	if len(ms.Digest.Wanted) > 0 {
-		s.send(w, now, ms.Back, ms.Digest.Wanted)
+	if len(ms.Digest.Requested) > 0 {
+		s.send(w, now, ms.ReplyTo, ms.Digest.Requested)
 		return
 	}
-	missing, requested := compareVersions(versions(w, ms.Digest.Part), ms.Digest.Rows)
-	s.send(w, now, ms.Back, missing)
+	missing, requested := compareVersions(versions(w, ms.Digest.Partition), ms.Digest.Versions)
+	s.send(w, now, ms.ReplyTo, missing)
 	if len(requested) > 0 {
-		w.Tell(carobmessage.Message{To: ms.Back, Digest: &carobdigest.Digest{Part: ms.Digest.Part, Wanted: requested}})
+		w.SendMessage(carobmessage.Message{To: ms.ReplyTo, Digest: &carobdigest.Digest{Partition: ms.Digest.Partition, Requested: requested}})
 	}
 }
 
@@ -140,14 +140,14 @@
 		their, ok := theirs[vs.Node]
 		delete(theirs, vs.Node)
 		switch {
-		case !ok && !vs.Standing.Lost() || ok && vs.Newer(their):
+		case !ok && !vs.Liveness.Down() || ok && vs.Newer(their):
 			missing = append(missing, vs.Node)
 		case ok && their.Newer(vs):
 			requested = append(requested, vs.Node)
 		}
 	}
 	for _, vs := range others {
-		if _, ok := theirs[vs.Node]; ok && !vs.Standing.Lost() {
+		if _, ok := theirs[vs.Node]; ok && !vs.Liveness.Down() {
 			requested = append(requested, vs.Node)
 		}
 	}
@@ -163,7 +163,7 @@
 		if len(members) == 0 || !s.throttle.Allow(now, size) {
 			return false
 		}
-		w.Tell(carobmessage.Message{To: to, Gossip: &carobgossip.Gossip{Members: members, Asked: true}})
+		w.SendMessage(carobmessage.Message{To: to, Gossip: &carobgossip.Gossip{Members: members, Requested: true}})
 		members, size = nil, 0
 		return true
 	}
@@ -173,8 +173,8 @@
 			continue
 		}
 		members = append(members, mb)
-		size += mb.Weight()
-		if len(members) == carobgossip.Most && !flush() {
+		size += mb.EncodedSize()
+		if len(members) == carobgossip.MaxMembers && !flush() {
 			return
 		}
 	}
--- a/pkg/carobregistry/system.go
+++ b/pkg/carobregistry/system.go
@@ -48,13 +48,13 @@
 			handleAnnouncement(w, now, an)
 		}
 	}
-	for id, gt := range w.Gates.All() {
+	for id, gt := range w.AdmissionStates.All() {
 		tg := w.Targets.Get(id)
 		switch {
 		case tg != nil && w.Owns(tg):
 			s.checkTimeout(w, now, tg)
 		case gt.Running == 0 && gt.Queued == 0:
-			w.Gates.Delete(id)
+			w.AdmissionStates.Delete(id)
 		}
 	}
 }
@@ -67,7 +67,7 @@
 		lf := newestLife(w, an.Target)
 		return lf != nil && an.Incarnation > 0 && an.Incarnation < lf.Incarnation
 	}
-	lf := w.Lives.Get(an.Address)
+	lf := w.Instances.Get(an.Address)
 	return lf != nil && lf.Outdated(an.Incarnation, an.Sequence)
 }
 
@@ -83,7 +83,7 @@
 // newestLife returns the record of a target's newest incarnation, or nil. The service
 // of id may be empty, because a target may withdraw without naming its service.
 func newestLife(w *carobworld.World, id carobtargetid.ID) *caroblife.Instance {
-	for _, lf := range w.Lives.All() {
+	for _, lf := range w.Instances.All() {
 		if lf.Target.Name == id.Name && (id.Service == "" || lf.Target.Service == id.Service) {
 			return lf
 		}
@@ -95,17 +95,17 @@
 // address. It removes another target that had the address before. A target that has
 // restarted has lost its connections and its memory, so its gate counts as new.
 func recordLife(w *carobworld.World, now carobinstant.Instant, an carobannouncement.Announcement) {
-	lf := w.Lives.Get(an.Address)
+	lf := w.Instances.Get(an.Address)
 	if lf != nil && lf.Target != an.Target && an.Incarnation > 0 {
 		removeTarget(w, carobannouncement.Announcement{Target: lf.Target})
 	}
 	if lf != nil && lf.Target == an.Target && lf.Incarnation != an.Incarnation {
 		auditChange(w, an.Target, "earlier life", "new life")
-		if gt := w.Gates.Get(an.Target); gt != nil {
+		if gt := w.AdmissionStates.Get(an.Target); gt != nil {
 			gt.Since = now
 		}
 	}
-	w.Lives.Put(an.Address, caroblife.Instance{Target: an.Target, Incarnation: an.Incarnation, Sequence: an.Sequence})
+	w.Instances.Put(an.Address, caroblife.Instance{Target: an.Target, Incarnation: an.Incarnation, Sequence: an.Sequence})
 }
 
 // handleAnnouncement adds or updates the target of an announcement and its gate.
@@ -124,9 +124,9 @@
 	if w.Targets.Put(an.Target, next) == nil {
 		return
 	}
-	gt := w.Gates.Get(an.Target)
+	gt := w.AdmissionStates.Get(an.Target)
 	if gt == nil {
-		gt = w.Gates.Put(an.Target, carobgate.Gate{Since: now})
+		gt = w.AdmissionStates.Put(an.Target, carobgate.Gate{Since: now})
 	}
 	gt.Slots, gt.Limit = an.Slots, an.Slots
 	if !changed {
@@ -168,12 +168,12 @@
 
 // auditChange adds a change of one of the node's own targets to the audit stream.
 func auditChange(w *carobworld.World, target carobtargetid.ID, from, to string) {
-	w.Note("target", string(w.Self.Node), target.String(), from, to)
+	w.Audit("target", string(w.Self.Node), target.String(), from, to)
 }
 
 // markTargetsChanged schedules the regrouping of targets and increments the version of
 // the node's own member, so that the change is gossiped to other nodes.
 func markTargetsChanged(w *carobworld.World) {
 	w.TargetsChanged = true
-	w.Self.Beat++
+	w.Self.Sequence++
 }
--- a/pkg/carobregistry/system_test.go
+++ b/pkg/carobregistry/system_test.go
@@ -35,7 +35,7 @@
 
 func (r *rig) step(ans ...carobannouncement.Announcement) {
 	r.now = r.now.Add(time.Millisecond)
-	r.world.Begin(carobinbox.Inbox{Announcements: ans})
+	r.world.BeginTick(carobinbox.Inbox{Announcements: ans})
 	r.system.Run(r.world, r.now)
 }
 
@@ -143,10 +143,10 @@
 	r := newRig()
 	r.step(announcement("a", 5, 1, carobreadiness.Ready))
 	id := carobtargetid.ID{Service: "lookups", Name: "a"}
-	r.world.Gates.Get(id).Running = 1
+	r.world.AdmissionStates.Get(id).Running = 1
 	r.step(leave("a", 5))
-	require.NotNil(t, r.world.Gates.Get(id), "a job is still running")
-	r.world.Gates.Get(id).Running = 0
+	require.NotNil(t, r.world.AdmissionStates.Get(id), "a job is still running")
+	r.world.AdmissionStates.Get(id).Running = 0
 	r.step()
-	require.Nil(t, r.world.Gates.Get(id))
+	require.Nil(t, r.world.AdmissionStates.Get(id))
 }
--- a/pkg/carobreport/report.go
+++ b/pkg/carobreport/report.go
@@ -17,5 +17,5 @@
 	// Slots is the number of calls that may run now, at least 1.
 	Slots int `json:"slots"`
 	// Latency is the estimated time that the target needs for a call.
-	Latency carobspan.Span `json:"latency"`
+	Latency carobspan.Duration `json:"latency"`
 }
--- a/pkg/carobroute/route.go
+++ b/pkg/carobroute/route.go
@@ -22,14 +22,14 @@
 	// Prefix is the path prefix of the calls. It begins and ends with a slash.
 	Prefix string `json:"prefix"`
 	// Guarantee says how often a call may run.
-	Guarantee carobonce.Once `json:"once"`
+	Guarantee carobonce.Guarantee `json:"once"`
 	// Attempts is the maximum number of targets that a call may run on, at least 1.
 	Attempts int `json:"tries"`
 	// Timeout limits the time until a call's final response; 0 is the caller's
 	// deadline.
-	Timeout carobspan.Span `json:"timeout"`
+	Timeout carobspan.Duration `json:"timeout"`
 	// SLO is the latency that callers expect; 0 if none is set.
-	SLO carobspan.Span `json:"slo"`
+	SLO carobspan.Duration `json:"slo"`
 	// Priority is the priority, 0 the highest.
 	Priority int `json:"rank"`
 	// WeightedServices has at least one part.
--- a/pkg/carobroutes/routes_test.go
+++ b/pkg/carobroutes/routes_test.go
@@ -14,7 +14,7 @@
 
 func newRoute(host, prefix string) carobroute.Route {
 	return carobroute.Route{
-		Name: "r", Host: host, Prefix: prefix, Guarantee: carobonce.No, Attempts: 2,
+		Name: "r", Host: host, Prefix: prefix, Guarantee: carobonce.Idempotent, Attempts: 2,
 		WeightedServices: []carobpart.WeightedService{{Service: "lookups", Weight: 1}},
 	}
 }
--- a/pkg/carobroutesync/system.go
+++ b/pkg/carobroutesync/system.go
@@ -41,18 +41,18 @@
 // Run applies newer tables, answers requests, and requests a newer table if a peer has
 // one.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	for _, rs := range w.Inbox.Routes {
+	for _, rs := range w.Inbox.RouteTables {
 		if apply(w, rs, "store") {
 			announce(w)
 		}
 	}
 	for i := range w.Inbox.Messages {
 		ms := &w.Inbox.Messages[i]
-		if ms.Routes != nil && apply(w, ms.Routes, string(ms.From)) {
+		if ms.RouteTable != nil && apply(w, ms.RouteTable, string(ms.From)) {
 			s.requestDeadline = carobinstant.Never
 		}
-		if ms.RouteFetch != nil && w.Routes != nil && w.Routes.Version > ms.RouteFetch.Have {
-			w.Tell(carobmessage.Message{To: ms.Back, Routes: w.Routes})
+		if ms.RouteFetch != nil && w.RouteTable != nil && w.RouteTable.Version > ms.RouteFetch.Have {
+			w.SendMessage(carobmessage.Message{To: ms.ReplyTo, RouteTable: w.RouteTable})
 		}
 		recordVersion(w, ms)
 	}
@@ -64,15 +64,15 @@
 	if rs.Version <= w.RoutesVersion() {
 		return false
 	}
-	w.NoteRoutes(from, rs)
-	w.Routes = rs
+	w.AuditRoutes(from, rs)
+	w.RouteTable = rs
 	return true
 }
 
 // recordVersion records which version of the route table a peer has.
 func recordVersion(w *carobworld.World, ms *carobmessage.Message) {
 	if pr := w.Peers.Get(ms.From); pr != nil && ms.Incarnation == pr.Member.Incarnation {
-		pr.Routes = max(pr.Routes, ms.RoutesVersion)
+		pr.RoutesVersion = max(pr.RoutesVersion, ms.RoutesVersion)
 	}
 }
 
@@ -80,8 +80,8 @@
 // older one.
 func announce(w *carobworld.World) {
 	for _, pr := range w.Peers.All() {
-		if pr.Member.Centre == w.Self.Centre && !pr.Member.Standing.Lost() && pr.Routes < w.Routes.Version {
-			w.Tell(carobmessage.Message{To: pr.Member.Peer})
+		if pr.Member.Centre == w.Self.Centre && !pr.Member.Liveness.Down() && pr.RoutesVersion < w.RouteTable.Version {
+			w.SendMessage(carobmessage.Message{To: pr.Member.PeerAddress})
 		}
 	}
 }
@@ -91,9 +91,9 @@
 // for its data centre.
 func (s *System) requestNewer(w *carobworld.World, now carobinstant.Instant) {
 	have := w.RoutesVersion()
-	ahead := func(pr *carobpeer.Peer) bool { return pr.Routes > have && !pr.Member.Standing.Lost() }
-	near := w.SomePeers(1, func(pr *carobpeer.Peer) bool { return ahead(pr) && pr.Member.Centre == w.Self.Centre })
-	far := w.SomePeers(1, ahead)
+	ahead := func(pr *carobpeer.Peer) bool { return pr.RoutesVersion > have && !pr.Member.Liveness.Down() }
+	near := w.SamplePeers(1, func(pr *carobpeer.Peer) bool { return ahead(pr) && pr.Member.Centre == w.Self.Centre })
+	far := w.SamplePeers(1, ahead)
 	if len(far) == 0 {
 		s.behindSince = carobinstant.Never
 		return
@@ -106,7 +106,7 @@
 		w.WakeAt(s.requestDeadline)
 	case len(near) > 0:
 		s.request(w, now, near[0])
-	case wait.Reached(now) || w.Routes == nil:
+	case wait.Reached(now) || w.RouteTable == nil:
 		s.request(w, now, far[0])
 	default:
 		w.WakeAt(wait)
@@ -116,5 +116,5 @@
 func (s *System) request(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer) {
 	s.requestDeadline = now.Add(answerTimeout)
 	w.WakeAt(s.requestDeadline)
-	w.Tell(carobmessage.Message{To: pr.Member.Peer, RouteFetch: &carobroutefetch.Fetch{Have: w.RoutesVersion()}})
+	w.SendMessage(carobmessage.Message{To: pr.Member.PeerAddress, RouteFetch: &carobroutefetch.Fetch{Have: w.RoutesVersion()}})
 }
--- a/pkg/carobroutesync/system_test.go
+++ b/pkg/carobroutesync/system_test.go
@@ -38,11 +38,11 @@
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	w := carobworld.NewWorld(carobworld.Config{
-		Self: carobmember.Member{Node: "self", Incarnation: 1, Centre: near, Peer: "127.0.0.1:1"}, Limits: caroblimits.NewLimits(),
+		Self: carobmember.Member{Node: "self", Incarnation: 1, Centre: near, PeerAddress: "127.0.0.1:1"}, Limits: caroblimits.NewLimits(),
 	})
 	for node, centre := range map[carobnodeid.ID]carobcentre.Centre{"near": near, "far": far} {
 		w.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{
-			Node: node, Incarnation: 1, Centre: centre, Peer: carobaddress.Address(node),
+			Node: node, Incarnation: 1, Centre: centre, PeerAddress: carobaddress.Address(node),
 		}})
 	}
 	return &rig{t: t, world: w, system: carobroutesync.NewSystem(), now: carobinstant.Instant(time.Hour)}
@@ -50,14 +50,14 @@
 
 func (r *rig) step(d time.Duration, in carobinbox.Inbox) []carobmessage.Message {
 	r.now = r.now.Add(d)
-	r.world.Begin(in)
+	r.world.BeginTick(in)
 	r.system.Run(r.world, r.now)
 	return r.world.Outbox.Messages
 }
 
 func (r *rig) receive(from carobnodeid.ID, version carobrouteversion.Version) []carobmessage.Message {
 	return r.step(time.Millisecond, carobinbox.Inbox{Messages: []carobmessage.Message{
-		{From: from, Incarnation: 1, Back: carobaddress.Address(from), RoutesVersion: version},
+		{From: from, Incarnation: 1, ReplyTo: carobaddress.Address(from), RoutesVersion: version},
 	}})
 }
 
@@ -72,9 +72,9 @@
 // replace a newer one.
 func TestVersionsNeverGoBack(t *testing.T) {
 	r := newRig(t)
-	r.step(0, carobinbox.Inbox{Routes: []*carobroutes.RouteTable{table(t, 9)}})
-	r.step(time.Millisecond, carobinbox.Inbox{Routes: []*carobroutes.RouteTable{table(t, 5)}})
-	r.step(time.Millisecond, carobinbox.Inbox{Messages: []carobmessage.Message{{From: "near", Incarnation: 1, Routes: table(t, 8)}}})
+	r.step(0, carobinbox.Inbox{RouteTables: []*carobroutes.RouteTable{table(t, 9)}})
+	r.step(time.Millisecond, carobinbox.Inbox{RouteTables: []*carobroutes.RouteTable{table(t, 5)}})
+	r.step(time.Millisecond, carobinbox.Inbox{Messages: []carobmessage.Message{{From: "near", Incarnation: 1, RouteTable: table(t, 8)}}})
 	require.EqualValues(t, 9, r.world.RoutesVersion())
 }
 
@@ -82,18 +82,18 @@
 // the node's data centre, where traffic is cheapest.
 func TestNewTableIsAnnouncedInTheDataCentre(t *testing.T) {
 	r := newRig(t)
-	sent := r.step(0, carobinbox.Inbox{Routes: []*carobroutes.RouteTable{table(t, 9)}})
+	sent := r.step(0, carobinbox.Inbox{RouteTables: []*carobroutes.RouteTable{table(t, 9)}})
 	require.Len(t, sent, 1)
 	require.EqualValues(t, "near", sent[0].To)
 	require.EqualValues(t, 9, sent[0].RoutesVersion)
-	require.Nil(t, sent[0].Routes, "the table is sent on request only")
+	require.Nil(t, sent[0].RouteTable, "the table is sent on request only")
 }
 
 // A node with an old table must leave the nodes of its data centre time to announce the
 // newer one before it requests it from elsewhere.
 func TestOutdatedNodeRequestsInItsDataCentreFirst(t *testing.T) {
 	r := newRig(t)
-	r.step(0, carobinbox.Inbox{Routes: []*carobroutes.RouteTable{table(t, 3)}})
+	r.step(0, carobinbox.Inbox{RouteTables: []*carobroutes.RouteTable{table(t, 3)}})
 	require.Empty(t, r.receive("far", 9), "nodes of its data centre get a head start")
 	sent := r.receive("near", 9)
 	require.Len(t, sent, 1)
@@ -105,7 +105,7 @@
 // elsewhere, and again if the answer is lost.
 func TestNodeRequestsElsewhereIfItsDataCentreHasNoNewerTable(t *testing.T) {
 	r := newRig(t)
-	r.step(0, carobinbox.Inbox{Routes: []*carobroutes.RouteTable{table(t, 3)}})
+	r.step(0, carobinbox.Inbox{RouteTables: []*carobroutes.RouteTable{table(t, 3)}})
 	r.receive("far", 9)
 	sent := r.step(200*time.Millisecond, carobinbox.Inbox{})
 	require.Len(t, sent, 1)
@@ -124,14 +124,14 @@
 // A request is answered only with a newer table, since any other would only cost traffic.
 func TestOnlyNewerTablesAreSent(t *testing.T) {
 	r := newRig(t)
-	r.step(0, carobinbox.Inbox{Routes: []*carobroutes.RouteTable{table(t, 9)}})
+	r.step(0, carobinbox.Inbox{RouteTables: []*carobroutes.RouteTable{table(t, 9)}})
 	request := func(have carobrouteversion.Version) []carobmessage.Message {
 		return r.step(time.Millisecond, carobinbox.Inbox{Messages: []carobmessage.Message{
-			{From: "far", Incarnation: 1, Back: "far", RoutesVersion: have, RouteFetch: &carobroutefetch.Fetch{Have: have}},
+			{From: "far", Incarnation: 1, ReplyTo: "far", RoutesVersion: have, RouteFetch: &carobroutefetch.Fetch{Have: have}},
 		}})
 	}
 	require.Empty(t, request(9))
 	sent := request(4)
 	require.Len(t, sent, 1)
-	require.EqualValues(t, 9, sent[0].Routes.Version)
+	require.EqualValues(t, 9, sent[0].RouteTable.Version)
 }
--- a/pkg/carobrouting/system.go
+++ b/pkg/carobrouting/system.go
@@ -57,7 +57,7 @@
 		switch {
 		case call.Stage == carobstage.Waiting:
 			s.place(world, now, call)
-		case call.Extra:
+		case call.HedgeDue:
 			s.placeHedge(world, now, call)
 		}
 	}
@@ -66,17 +66,17 @@
 // place sends an attempt for a call whose backoff has ended, or schedules the
 // next try if no target can receive it.
 func (s *System) place(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
-	if call.Rest != carobinstant.Never && !call.Rest.Reached(now) {
-		world.WakeAt(call.Rest)
+	if call.BackoffEnd != carobinstant.Never && !call.BackoffEnd.Reached(now) {
+		world.WakeAt(call.BackoffEnd)
 		return
 	}
 	if _, ok := s.withoutTarget[call.Arrival.Service]; ok {
-		call.Starved = true
+		call.NoTarget = true
 		return
 	}
 	s.collectCandidates(world, now, call)
-	call.Starved = len(s.candidates) == 0
-	if call.Starved {
+	call.NoTarget = len(s.candidates) == 0
+	if call.NoTarget {
 		s.withoutTarget[call.Arrival.Service] = struct{}{}
 		world.WakeAt(now.Add(retryInterval))
 		return
@@ -93,8 +93,8 @@
 // target that has a free slot and was not tried yet, and the retry budget of
 // the service allows it.
 func (s *System) placeHedge(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
-	call.Extra = false
-	if call.Stage != carobstage.Placed {
+	call.HedgeDue = false
+	if call.Stage != carobstage.Attempting {
 		return
 	}
 	s.collectCandidates(world, now, call)
@@ -103,7 +103,7 @@
 	}
 	estimateLoads(s.candidates)
 	chosen := s.candidates[policyOf(call.Profile.Policy).pick(world.Random, s.candidates)]
-	if chosen.inFlight < float64(chosen.slots) && !tried(call, chosen.targetID) && world.BudgetOf(call.Arrival.Service).Spend() {
+	if chosen.inFlight < float64(chosen.slots) && !tried(call, chosen.targetID) && world.RetryBudgetOf(call.Arrival.Service).TakeToken() {
 		s.sendAttempt(world, now, call, chosen)
 	}
 }
@@ -146,7 +146,7 @@
 		if peer == nil || peer.Member.Leaving {
 			return
 		}
-		added.peerAddress, added.incarnation = peer.Member.Peer, peer.Member.Incarnation
+		added.peerAddress, added.incarnation = peer.Member.PeerAddress, peer.Member.Incarnation
 		added.sameCentre = peer.Member.Centre == world.Self.Centre
 		added.distance = distance(added.sameCentre, call.Arrival.Size)
 	}
@@ -189,7 +189,7 @@
 // gate, which is always current; for others the newest report is used, plus the
 // attempts that this node has sent since.
 func setReportedLoad(world *carobworld.World, now carobinstant.Instant, target *carobtarget.Target, added *candidate) {
-	if gate := world.Gates.Get(target.ID); gate != nil && world.Owns(target) {
+	if gate := world.AdmissionStates.Get(target.ID); gate != nil && world.Owns(target) {
 		added.reportedCalls, added.latency, added.reportedAt = float64(gate.Running+gate.Queued), gate.Latency, now
 		return
 	}
@@ -211,15 +211,15 @@
 
 // sendAttempt records an attempt and orders it to be sent.
 func (s *System) sendAttempt(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, chosen candidate) {
-	call.Stage, call.Last = carobstage.Placed, carobkind.None
+	call.Stage, call.LastKind = carobstage.Attempting, carobkind.None
 	call.Attempts = append(call.Attempts, carobattempt.Attempt{
-		Target: chosen.targetID, Node: chosen.nodeID, Incarnation: chosen.incarnation, Sent: now,
+		Target: chosen.targetID, Node: chosen.nodeID, Incarnation: chosen.incarnation, SentAt: now,
 	})
 	s.turn++
 	chosen.load.SentSinceReport++
 	chosen.load.OpenAttempts++
 	chosen.load.LastSendNumber = s.turn
-	world.Decide(carobdecision.Decision{
+	world.RecordDecision(carobdecision.Decision{
 		Part: "route", Text: "attempt sent", Request: call.Arrival.Request, Call: call.Arrival.Call,
 		Attempt: len(call.Attempts), Target: chosen.targetID,
 		Inputs: []carobinput.Input{
@@ -230,11 +230,11 @@
 			carobinput.Age("reportms", now, chosen.reportedAt),
 		},
 	})
-	wish := call.Wish(now)
+	wish := call.Requirements(now)
 	wish.Movable = len(call.Attempts) == 1 && len(s.candidates) > 1 && call.Arrival.Size <= maxMovableSize
 	world.Outbox.Sends = append(world.Outbox.Sends, carobsend.Send{
 		Job:    carobjobid.ID{Call: call.Arrival.Call, Attempt: len(call.Attempts)},
-		Target: chosen.targetID, Peer: chosen.peerAddress, Incarnation: chosen.incarnation, Patience: call.Deadline.Sub(now),
-		Once: call.Profile.Once, Wish: wish,
+		Target: chosen.targetID, PeerAddress: chosen.peerAddress, Incarnation: chosen.incarnation, TimeLeft: call.Deadline.Sub(now),
+		Guarantee: call.Profile.Once, Requirements: wish,
 	})
 }
--- a/pkg/carobrouting/waiting_test.go
+++ b/pkg/carobrouting/waiting_test.go
@@ -46,13 +46,13 @@
 // a target in an earlier tick.
 func TestWaitingCallsAreAllPlacedWhenTargetsBecomeReady(t *testing.T) {
 	world, s := newWaitingWorld(100, 3, carobreadiness.Leaving), NewSystem()
-	world.Begin(carobinbox.Inbox{})
+	world.BeginTick(carobinbox.Inbox{})
 	s.Run(world, 1)
 	require.Empty(t, world.Outbox.Sends)
 	for _, target := range world.Targets.All() {
 		target.Readiness = carobreadiness.Ready
 	}
-	world.Begin(carobinbox.Inbox{})
+	world.BeginTick(carobinbox.Inbox{})
 	s.Run(world, 2)
 	require.Len(t, world.Outbox.Sends, 100)
 }
@@ -62,7 +62,7 @@
 func BenchmarkWaitingCallsWithoutTarget(b *testing.B) {
 	world, s := newWaitingWorld(10_000, 20, carobreadiness.Leaving), NewSystem()
 	for b.Loop() {
-		world.Begin(carobinbox.Inbox{})
+		world.BeginTick(carobinbox.Inbox{})
 		s.Run(world, 1)
 	}
 }
@@ -87,9 +87,9 @@
 			for _, call := range world.Calls.All() {
 				call.Arrival.Size, call.Attempts = c.size, make([]carobattempt.Attempt, c.attempts)
 			}
-			world.Begin(carobinbox.Inbox{})
+			world.BeginTick(carobinbox.Inbox{})
 			NewSystem().Run(world, 1)
-			require.Equal(t, c.movable, world.Outbox.Sends[0].Wish.Movable)
+			require.Equal(t, c.movable, world.Outbox.Sends[0].Requirements.Movable)
 		})
 	}
 }
--- a/pkg/carobsend/send.go
+++ b/pkg/carobsend/send.go
@@ -16,16 +16,16 @@
 type Send struct {
 	Job    carobjobid.ID
 	Target carobtargetid.ID
-	// Peer is the address of the target's node; empty if that is this node.
-	Peer carobaddress.Address
+	// PeerAddress is the address of the target's node; empty if that is this node.
+	PeerAddress carobaddress.Address
 	// Incarnation is that of the target's node; another incarnation refuses the job.
 	Incarnation carobincarnation.Incarnation
-	// Patience is the time left until the deadline of the call.
-	Patience time.Duration
-	// Once is how often the call may run.
-	Once carobonce.Once
-	// Wish holds the priority and the SLO, by which the target's node orders its queue.
-	Wish carobwish.Wish
-	// Trace is the W3C traceparent header for the target's node.
-	Trace string
+	// TimeLeft is the time left until the deadline of the call.
+	TimeLeft time.Duration
+	// Guarantee is how often the call may run.
+	Guarantee carobonce.Guarantee
+	// Requirements holds the priority and the SLO, by which the target's node orders its queue.
+	Requirements carobwish.Requirements
+	// Traceparent is the W3C traceparent header for the target's node.
+	Traceparent string
 }
--- a/pkg/carobsettlement/settlement.go
+++ b/pkg/carobsettlement/settlement.go
@@ -14,6 +14,6 @@
 	// Kind is None if the call ran and was answered. A kind for which the call did
 	// not run releases the key; with any other kind, it is unknown whether it ran.
 	Kind carobkind.Kind `json:"kind,omitempty"`
-	// Kept is the answer to store for resubmissions, or nil.
-	Kept *carobkept.Kept `json:"kept,omitempty"`
+	// StoredAnswer is the answer to store for resubmissions, or nil.
+	StoredAnswer *carobkept.StoredAnswer `json:"kept,omitempty"`
 }
--- a/pkg/carobshutdown/system.go
+++ b/pkg/carobshutdown/system.go
@@ -44,7 +44,7 @@
 		s.idleSince = now
 	}
 	due := s.idleSince.Add(s.config.Linger)
-	if w.Unsettled.Len() > 0 {
+	if w.PendingSettlements.Len() > 0 {
 		due = s.idleSince.Add(s.config.Patience)
 	}
 	if w.Outbox.Stopped = due.Reached(now); !w.Outbox.Stopped {
--- a/pkg/carobshutdown/system_test.go
+++ b/pkg/carobshutdown/system_test.go
@@ -43,8 +43,8 @@
 			func(w *carobworld.World) { w.Jobs.Delete(carobjobid.ID{Call: call}) },
 		},
 		"unsettled call": {
-			func(w *carobworld.World) { w.Unsettled.Put(call, carobunsettled.Unsettled{}) },
-			func(w *carobworld.World) { w.Unsettled.Delete(call) },
+			func(w *carobworld.World) { w.PendingSettlements.Put(call, carobunsettled.Unsettled{}) },
+			func(w *carobworld.World) { w.PendingSettlements.Delete(call) },
 		},
 	}
 	for name, c := range cases {
@@ -54,7 +54,7 @@
 			now := carobinstant.Instant(1)
 			step := func(in carobinbox.Inbox) bool {
 				now++
-				w.Begin(in)
+				w.BeginTick(in)
 				s.Run(w, now)
 				return w.Outbox.Stopped
 			}
@@ -62,7 +62,7 @@
 			c.add(w)
 			require.False(t, step(carobinbox.Inbox{Stop: true}))
 			require.False(t, step(carobinbox.Inbox{}))
-			if w.Unsettled.Len() > 0 {
+			if w.PendingSettlements.Len() > 0 {
 				now = w.Wake()
 				require.True(t, step(carobinbox.Inbox{}), "the home may be unreachable")
 				return
@@ -87,7 +87,7 @@
 		Job:    carobjobid.ID{Call: carobcallid.ID{Node: "entry", Sequence: 1}, Attempt: 1},
 		Target: target, Incarnation: 7, Patience: time.Second,
 	}
-	out := core.Step(now, carobinbox.Inbox{Stop: true, Offers: []caroboffer.Offer{of}})
+	out := core.Tick(now, carobinbox.Inbox{Stop: true, Offers: []caroboffer.Offer{of}})
 	require.Empty(t, out.Starts)
 	require.Len(t, out.Refusals, 1)
 	require.Equal(t, carobkind.Leaving, out.Refusals[0].Kind)
--- a/pkg/carobspan/span.go
+++ b/pkg/carobspan/span.go
@@ -7,27 +7,27 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Span is a duration that is encoded with its unit, such as "250ms" or "5s".
-type Span time.Duration
+// Duration is a duration that is encoded with its unit, such as "250ms" or "5s".
+type Duration time.Duration
 
 // Duration converts the span to a time.Duration.
-func (s Span) Duration() time.Duration {
+func (s Duration) Duration() time.Duration {
 	return time.Duration(s)
 }
 
 // String returns the span with its unit.
-func (s Span) String() string {
+func (s Duration) String() string {
 	return time.Duration(s).String()
 }
 
 // MarshalText encodes the span with its unit.
-func (s Span) MarshalText() ([]byte, error) {
+func (s Duration) MarshalText() ([]byte, error) {
 	return []byte(s.String()), nil
 }
 
 // UnmarshalText decodes a span. It returns an Invalid error if the unit is missing
 // or the span is negative.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
 		return carobkind.New(carobkind.Invalid, "span %q is not a number with a unit such as \"250ms\"", text)
@@ -35,6 +35,6 @@
 	if d < 0 {
 		return carobkind.New(carobkind.Invalid, "span %q is negative", text)
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
--- a/pkg/carobstage/stage.go
+++ b/pkg/carobstage/stage.go
@@ -11,12 +11,12 @@
 	Claiming Stage = iota - 1
 	// Waiting: the call waits until a target is chosen for the next attempt.
 	Waiting
-	// Placed: at least one attempt is open.
-	Placed
+	// Attempting: at least one attempt is open.
+	Attempting
 	// Fencing: fences are sent to find out whether the attempts ran.
 	Fencing
 	// Delivering: an answer is being forwarded to the caller.
 	Delivering
-	// Settled: the caller has its response.
-	Settled
+	// Concluded: the caller has its response.
+	Concluded
 )
--- a/pkg/carobstanding/standing.go
+++ b/pkg/carobstanding/standing.go
@@ -3,36 +3,36 @@
 
 import "github.com/carobknot/carobknot/pkg/carobkind"
 
-// Standing is the liveness state that nodes assign to another node. Of two descriptions
+// Liveness is the liveness state that nodes assign to another node. Of two descriptions
 // with the same update sequence the one with the higher state is newer. The node itself
 // refutes a state by increasing its update sequence.
-type Standing uint8
+type Liveness uint8
 
 // The liveness states, in increasing order of precedence.
 const (
 	// Alive: the node answers heartbeats.
-	Alive Standing = iota
+	Alive Liveness = iota
 	// Suspect: the node did not answer, and may still refute the suspicion.
 	Suspect
 	// Unreachable: the node did not refute the suspicion in time. It may recover.
 	Unreachable
-	// Gone: the node announced that it leaves.
-	Gone
+	// Left: the node announced that it leaves.
+	Left
 )
 
 // String returns the name of the state, as it appears in the audit trail.
-func (s Standing) String() string {
-	return [...]string{"alive", "suspect", "unreachable", "gone"}[min(s, Gone)]
+func (s Liveness) String() string {
+	return [...]string{"alive", "suspect", "unreachable", "gone"}[min(s, Left)]
 }
 
-// Lost reports whether the node is down: unreachable or left. Calls are not sent to it.
-func (s Standing) Lost() bool {
+// Down reports whether the node is down: unreachable or left. Calls are not sent to it.
+func (s Liveness) Down() bool {
 	return s >= Unreachable
 }
 
 // Check returns an error of kind Invalid if the state is not one of those above.
-func (s Standing) Check() error {
-	if s > Gone {
+func (s Liveness) Check() error {
+	if s > Left {
 		return carobkind.New(carobkind.Invalid, "standing %d is unknown", uint8(s))
 	}
 	return nil
--- a/pkg/carobstart/start.go
+++ b/pkg/carobstart/start.go
@@ -17,7 +17,7 @@
 	// Patience is the time left until the call's deadline.
 	Patience time.Duration
 	// Once states how often the call may run.
-	Once carobonce.Once
+	Once carobonce.Guarantee
 	// Trace is the trace context for the target in W3C format; empty if it is not
 	// propagated.
 	Trace string
--- a/pkg/carobsupply/supply.go
+++ b/pkg/carobsupply/supply.go
@@ -8,25 +8,25 @@
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
 )
 
-// Supply answers a request for profile records.
-type Supply struct {
+// FetchReply answers a request for profile records.
+type FetchReply struct {
 	// Records have consecutive offsets, beginning with the requested one.
 	Records []carobrecord.Record `json:"records,omitempty"`
 	// Snapshot replaces the records if the sender no longer has all of them; nil
 	// otherwise.
 	Snapshot *carobsnapshot.Snapshot `json:"snapshot,omitempty"`
-	// Read is the offset up to which the sender has applied the stream of profiles.
-	Read caroboffset.Offset `json:"read"`
+	// ProfilesRead is the offset up to which the sender has applied the stream of profiles.
+	ProfilesRead caroboffset.Offset `json:"read"`
 }
 
-// Most is the maximum number of records in one answer.
-const Most = 64
+// MaxRecords is the maximum number of records in one answer.
+const MaxRecords = 64
 
 // Check returns an error of kind Invalid if the records are too many or not consecutive,
 // or the snapshot is out of bounds.
-func (s Supply) Check() error {
-	if len(s.Records) > Most {
-		return carobkind.New(carobkind.Invalid, "supply: more than %d records", Most)
+func (s FetchReply) Check() error {
+	if len(s.Records) > MaxRecords {
+		return carobkind.New(carobkind.Invalid, "supply: more than %d records", MaxRecords)
 	}
 	for i, rc := range s.Records {
 		if rc.Offset < 0 || rc.Offset != s.Records[0].Offset+caroboffset.Offset(i) {
--- a/pkg/carobtrace/trace.go
+++ b/pkg/carobtrace/trace.go
@@ -12,9 +12,9 @@
 // target's node.
 type Trace struct {
 	// Own is the hop's own span, which is the parent of the next hop's span.
-	Own carobparent.Parent
+	Own carobparent.SpanContext
 	// Parent is the span of the previous hop; zero if the trace began here.
-	Parent carobparent.Parent
+	Parent carobparent.SpanContext
 	// Start is when the hop started.
 	Start carobinstant.Instant
 	// Targets holds the target of attempt n of a call at index n-1. For a job it holds
--- a/pkg/carobtracing/system.go
+++ b/pkg/carobtracing/system.go
@@ -62,13 +62,13 @@
 func (s *System) openHops(w *carobworld.World, now carobinstant.Instant) {
 	for i := range w.Inbox.Arrivals {
 		ar := &w.Inbox.Arrivals[i]
-		w.CallTraces.Put(ar.Call, s.newTrace(ar.Trace, now))
+		w.OpenCallHops.Put(ar.Call, s.newTrace(ar.Traceparent, now))
 	}
 	for i := range w.Inbox.Offers {
 		of := &w.Inbox.Offers[i]
 		tr := s.newTrace(of.Trace, now)
 		tr.Targets = []carobtargetid.ID{of.Target}
-		w.JobTraces.Put(of.Job, tr)
+		w.OpenJobHops.Put(of.Job, tr)
 	}
 }
 
@@ -77,7 +77,7 @@
 func (s *System) newTrace(header string, now carobinstant.Instant) carobtrace.Trace {
 	parent, ok := carobparent.Parse(header)
 	if !ok {
-		return carobtrace.Trace{Own: carobparent.NewParent(s.random), Start: now}
+		return carobtrace.Trace{Own: carobparent.NewSpanContext(s.random), Start: now}
 	}
 	return carobtrace.Trace{Own: parent.Child(s.random), Parent: parent, Start: now}
 }
@@ -87,16 +87,16 @@
 func propagate(w *carobworld.World, noPropagation bool) {
 	for i := range w.Outbox.Sends {
 		sd := &w.Outbox.Sends[i]
-		if tr := w.CallTraces.Get(sd.Job.Call); tr != nil {
+		if tr := w.OpenCallHops.Get(sd.Job.Call); tr != nil {
 			tr.Targets = append(tr.Targets, sd.Target)
 			if !noPropagation {
-				sd.Trace = tr.Own.String()
+				sd.Traceparent = tr.Own.String()
 			}
 		}
 	}
 	for i := range w.Outbox.Starts {
 		st := &w.Outbox.Starts[i]
-		if tr := w.JobTraces.Get(st.Job); tr != nil && !noPropagation {
+		if tr := w.OpenJobHops.Get(st.Job); tr != nil && !noPropagation {
 			st.Trace = tr.Own.String()
 		}
 	}
@@ -117,7 +117,7 @@
 // closeCall records the hop of a call that has ended. An attempt of 0 means the last one
 // sent. It does nothing if the call's hop has been recorded already.
 func closeCall(w *carobworld.World, now carobinstant.Instant, call carobcallid.ID, attempt int, kind carobkind.Kind) {
-	tr := w.CallTraces.Get(call)
+	tr := w.OpenCallHops.Get(call)
 	if tr == nil {
 		return
 	}
@@ -130,7 +130,7 @@
 		hp.Target = tr.Targets[attempt-1]
 	}
 	w.Outbox.Hops = append(w.Outbox.Hops, hp)
-	w.CallTraces.Delete(call)
+	w.OpenCallHops.Delete(call)
 }
 
 // closeJobs records the jobs that were refused or finished in this tick.
@@ -146,14 +146,14 @@
 // closeJob records the hop of a job that has ended. It does nothing if the job's hop has
 // been recorded already.
 func closeJob(w *carobworld.World, now carobinstant.Instant, job carobjobid.ID, kind carobkind.Kind) {
-	tr := w.JobTraces.Get(job)
+	tr := w.OpenJobHops.Get(job)
 	if tr == nil {
 		return
 	}
 	hp := newHop(w, now, tr)
 	hp.Role, hp.Call, hp.Attempt, hp.Target, hp.Kind = target, job.Call, job.Attempt, tr.Targets[0], kind
 	w.Outbox.Hops = append(w.Outbox.Hops, hp)
-	w.JobTraces.Delete(job)
+	w.OpenJobHops.Delete(job)
 }
 
 // newHop returns the record of a hop that ends now, without its role, call, attempt,
@@ -161,10 +161,10 @@
 func newHop(w *carobworld.World, now carobinstant.Instant, tr *carobtrace.Trace) carobhop.Hop {
 	hp := carobhop.Hop{
 		Node: w.Self.Node, Trace: tr.Own.String(),
-		Start: time.Unix(0, int64(tr.Start)).UTC(), Took: carobspan.Span(now.Sub(tr.Start)),
+		Start: time.Unix(0, int64(tr.Start)).UTC(), Took: carobspan.Duration(now.Sub(tr.Start)),
 	}
-	if tr.Parent != (carobparent.Parent{}) {
-		hp.Parent = hex.EncodeToString(tr.Parent.Span[:])
+	if tr.Parent != (carobparent.SpanContext{}) {
+		hp.Parent = hex.EncodeToString(tr.Parent.SpanID[:])
 	}
 	return hp
 }
--- a/pkg/carobtracing/system_test.go
+++ b/pkg/carobtracing/system_test.go
@@ -53,14 +53,14 @@
 // tick runs one tick, a millisecond after the previous one, and returns its hops.
 func (n *node) tick(in carobinbox.Inbox, out caroboutbox.Outbox) []carobhop.Hop {
 	n.now = n.now.Add(time.Millisecond)
-	n.world.Begin(in)
+	n.world.BeginTick(in)
 	n.world.Outbox = out
 	n.system.Run(n.world, n.now)
 	return n.world.Outbox.Hops
 }
 
 // parse requires a header to be a valid trace context and returns the context.
-func parse(t *testing.T, header string) carobparent.Parent {
+func parse(t *testing.T, header string) carobparent.SpanContext {
 	t.Helper()
 	p, ok := carobparent.Parse(header)
 	require.True(t, ok, header)
@@ -73,14 +73,14 @@
 	near, far := newNode(), newNode()
 	arrival := carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{Call: call}}}
 	require.Empty(t, near.tick(arrival, caroboutbox.Outbox{Sends: []carobsend.Send{{Job: job(1), Target: first}}}))
-	sent := near.world.Outbox.Sends[0].Trace
+	sent := near.world.Outbox.Sends[0].Traceparent
 	require.Empty(t, near.tick(carobinbox.Inbox{}, caroboutbox.Outbox{Sends: []carobsend.Send{{Job: job(2), Target: other}}}))
-	require.Equal(t, sent, near.world.Outbox.Sends[0].Trace, "all attempts have the call's span as their parent")
+	require.Equal(t, sent, near.world.Outbox.Sends[0].Traceparent, "all attempts have the call's span as their parent")
 
 	offer := carobinbox.Inbox{Offers: []caroboffer.Offer{{Job: job(1), Target: first, Trace: sent}}}
 	require.Empty(t, far.tick(offer, caroboutbox.Outbox{Starts: []carobstart.Start{{Job: job(1)}}}))
 	started := far.world.Outbox.Starts[0].Trace
-	require.Equal(t, parse(t, sent).Trace, parse(t, started).Trace)
+	require.Equal(t, parse(t, sent).TraceID, parse(t, started).TraceID)
 	require.NotEqual(t, sent, started)
 
 	hops := far.tick(carobinbox.Inbox{Finishes: []carobfinish.Finish{{Job: job(1), Status: 200}}}, caroboutbox.Outbox{})
@@ -94,7 +94,7 @@
 	require.Len(t, hops, 1)
 	require.Equal(t, entry, hops[0].Role)
 	require.Equal(t, first, hops[0].Target, "the target is that of the delivered attempt, not of the last one")
-	require.Equal(t, carobspan.Span(2*time.Millisecond), hops[0].Took)
+	require.Equal(t, carobspan.Duration(2*time.Millisecond), hops[0].Took)
 	require.Equal(t, sent, hops[0].Trace)
 	require.Empty(t, hops[0].Parent)
 }
@@ -112,7 +112,7 @@
 	require.Len(t, hops, 1)
 	require.Equal(t, carobkind.NoTarget, hops[0].Kind)
 	require.Zero(t, hops[0].Attempt)
-	require.Zero(t, near.world.CallTraces.Len()+far.world.JobTraces.Len(), "no row is left")
+	require.Zero(t, near.world.OpenCallHops.Len()+far.world.OpenJobHops.Len(), "no row is left")
 }
 
 // Guards against two records of one call. The traffic side may report the end of a call
--- a/pkg/carobversion/version.go
+++ b/pkg/carobversion/version.go
@@ -12,12 +12,12 @@
 type Version struct {
 	Node        carobnodeid.ID               `json:"node"`
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
-	// Beat is the update sequence, which the node increases with every change of its
+	// Sequence is the update sequence, which the node increases with every change of its
 	// description. Within an incarnation the higher one is newer.
-	Beat uint64 `json:"beat"`
-	// Standing is the liveness state that other nodes assign to the node. Within an update
+	Sequence uint64 `json:"beat"`
+	// Liveness is the liveness state that other nodes assign to the node. Within an update
 	// sequence the higher one is newer.
-	Standing carobstanding.Standing `json:"standing,omitempty"`
+	Liveness carobstanding.Liveness `json:"standing,omitempty"`
 }
 
 // Newer reports whether v is the version of a newer description of the same node than o.
@@ -25,16 +25,16 @@
 	if v.Incarnation != o.Incarnation {
 		return v.Incarnation > o.Incarnation
 	}
-	if v.Beat != o.Beat {
-		return v.Beat > o.Beat
+	if v.Sequence != o.Sequence {
+		return v.Sequence > o.Sequence
 	}
-	return v.Standing > o.Standing
+	return v.Liveness > o.Liveness
 }
 
-// Sum returns a checksum of the version.
-func (v Version) Sum() uint64 {
+// Checksum returns a checksum of the version.
+func (v Version) Checksum() uint64 {
 	sum := Hash(v.Node)
-	for _, n := range []uint64{uint64(v.Incarnation), v.Beat, uint64(v.Standing)} {
+	for _, n := range []uint64{uint64(v.Incarnation), v.Sequence, uint64(v.Liveness)} {
 		sum = (sum ^ n) * fnvPrime
 		sum ^= sum >> 32
 	}
@@ -62,5 +62,5 @@
 	if err := v.Node.Check(); err != nil {
 		return err
 	}
-	return v.Standing.Check()
+	return v.Liveness.Check()
 }
--- a/pkg/carobwish/wish.go
+++ b/pkg/carobwish/wish.go
@@ -9,21 +9,21 @@
 	"github.com/carobknot/carobknot/pkg/carobrequestid"
 )
 
-// Wish is sent with each attempt. The target's node uses it to decide which queued
+// Requirements is sent with each attempt. The target's node uses it to decide which queued
 // job to start first and which to shed.
-type Wish struct {
+type Requirements struct {
 	// Request is the caller's ID of the request; empty if it sent none.
 	Request carobrequestid.ID
-	// Rank is the priority of the call; 0 is the highest.
-	Rank int
-	// Slo is the time left until the SLO of the call is missed, negative if it has
+	// Priority is the priority of the call; 0 is the highest.
+	Priority int
+	// SLOTimeLeft is the time left until the SLO of the call is missed, negative if it has
 	// been missed; 0 if the call has no SLO.
-	Slo time.Duration
-	// Whole is the SLO of the call, counted from its arrival at the entry node; 0 if
+	SLOTimeLeft time.Duration
+	// SLO is the SLO of the call, counted from its arrival at the entry node; 0 if
 	// the call has none.
-	Whole time.Duration
-	// Once is how often the call may run.
-	Once carobonce.Once
+	SLO time.Duration
+	// Guarantee is how often the call may run.
+	Guarantee carobonce.Guarantee
 	// Movable is set if the call can be sent to another target at little cost,
 	// instead of waiting for a slow one.
 	Movable bool
--- a/pkg/carobworld/calls.go
+++ b/pkg/carobworld/calls.go
@@ -22,10 +22,10 @@
 func (w *World) makeCallTables(lm caroblimits.Limits) {
 	w.Calls = carobtable.NewTable[carobcallid.ID, carobcall.Call](carobtable.Config{Limit: lm.Calls})
 	w.Jobs = carobtable.NewTable[carobjobid.ID, carobjob.Job](carobtable.Config{Limit: lm.Jobs})
-	w.Budgets = carobtable.NewTable[carobservice.Service, carobbudget.Budget](carobtable.Config{Limit: lm.Targets})
-	w.Ended = carobring.NewEvictingMap[carobjobid.ID, carobfinish.Finish](carobring.Config{Limit: lm.Jobs})
+	w.RetryBudgets = carobtable.NewTable[carobservice.Service, carobbudget.RetryBudget](carobtable.Config{Limit: lm.Targets})
+	w.EndedJobs = carobring.NewEvictingMap[carobjobid.ID, carobfinish.Finish](carobring.Config{Limit: lm.Jobs})
 	w.Tombstones = carobring.NewEvictingMap[carobjobid.ID, struct{}](carobring.Config{Limit: lm.Jobs})
 	w.Homes = carobtable.NewTable[carobshard.Shard, carobhome.Home](carobtable.Config{Limit: carobshard.Count})
-	w.Unsettled = carobtable.NewTable[carobcallid.ID, carobunsettled.Unsettled](carobtable.Config{Limit: lm.Calls})
+	w.PendingSettlements = carobtable.NewTable[carobcallid.ID, carobunsettled.Unsettled](carobtable.Config{Limit: lm.Calls})
 	w.Watermarks = carobring.NewEvictingMap[carobnodeid.ID, carobwatermark.Watermark](carobring.Config{Limit: lm.Peers})
 }
--- a/pkg/carobworld/members.go
+++ b/pkg/carobworld/members.go
@@ -14,37 +14,37 @@
 	mb := w.Self
 	mb.Leaving = w.Stopping
 	mb.Targets = nil
-	for id := range w.Gates.All() {
-		if tg := w.Targets.Get(id); tg != nil && w.Owns(tg) && len(mb.Targets) < carobmember.MostTargets {
+	for id := range w.AdmissionStates.All() {
+		if tg := w.Targets.Get(id); tg != nil && w.Owns(tg) && len(mb.Targets) < carobmember.MaxTargets {
 			mb.Targets = append(mb.Targets, *tg)
 		}
 	}
 	return mb
 }
 
-// PartOf returns the partition of the peer table that a node belongs to. It depends on the
+// PartitionOf returns the partition of the peer table that a node belongs to. It depends on the
 // node's id alone, so all nodes agree on it.
-func PartOf(node carobnodeid.ID) int {
-	return int(carobversion.Hash(node) % carobprobe.Parts)
+func PartitionOf(node carobnodeid.ID) int {
+	return int(carobversion.Hash(node) % carobprobe.Partitions)
 }
 
-// Sums returns a checksum of each partition of the peer table, this node's own description
+// Checksums returns a checksum of each partition of the peer table, this node's own description
 // included. Nodes that are down don't count, because other nodes may already have dropped
 // their rows.
-func (w *World) Sums() []uint64 {
-	sums := make([]uint64, carobprobe.Parts)
-	sums[PartOf(w.Self.Node)] = w.Self.Version().Sum()
+func (w *World) Checksums() []uint64 {
+	sums := make([]uint64, carobprobe.Partitions)
+	sums[PartitionOf(w.Self.Node)] = w.Self.Version().Checksum()
 	for id, pr := range w.Peers.All() {
-		if !pr.Member.Standing.Lost() {
-			sums[PartOf(id)] ^= pr.Member.Version().Sum()
+		if !pr.Member.Liveness.Down() {
+			sums[PartitionOf(id)] ^= pr.Member.Version().Checksum()
 		}
 	}
 	return sums
 }
 
-// SomePeers returns up to n peers for which eligible returns true, sampled uniformly at
+// SamplePeers returns up to n peers for which eligible returns true, sampled uniformly at
 // random.
-func (w *World) SomePeers(n int, eligible func(pr *carobpeer.Peer) bool) []*carobpeer.Peer {
+func (w *World) SamplePeers(n int, eligible func(pr *carobpeer.Peer) bool) []*carobpeer.Peer {
 	var sample []*carobpeer.Peer
 	seen := 0
 	for _, pr := range w.Peers.All() {
--- a/pkg/carobworld/world.go
+++ b/pkg/carobworld/world.go
@@ -57,8 +57,8 @@
 	// Self is this node's description of itself.
 	Self    carobmember.Member
 	Limits  caroblimits.Limits
-	Measure carobmeasure.ProbeLimits
-	Retries carobretries.Retries
+	ProbeLimits carobmeasure.ProbeLimits
+	RetryLimits carobretries.RetryLimits
 	// Seed is the seed of the random number generator.
 	Seed uint64
 }
@@ -70,22 +70,22 @@
 	// gossiped.
 	Self    carobmember.Member
 	Limits  caroblimits.Limits
-	Measure carobmeasure.ProbeLimits
-	Retries carobretries.Retries
+	ProbeLimits carobmeasure.ProbeLimits
+	RetryLimits carobretries.RetryLimits
 	// Random is the only random number generator that systems use, so that a run is
 	// reproducible from its seed.
 	Random *rand.Rand
 	// Stopping is true once a graceful shutdown has begun.
 	Stopping bool
-	// Ending is the deadline of the shutdown; Never until a shutdown begins.
-	Ending carobinstant.Instant
+	// ShutdownDeadline is the deadline of the shutdown; Never until a shutdown begins.
+	ShutdownDeadline carobinstant.Instant
 
 	// Membership and targets.
 
 	// Targets has all known targets, including the node's own.
 	Targets *carobtable.Table[carobtargetid.ID, carobtarget.Target]
-	// Lives has the newest incarnation of a target at each address on the VM.
-	Lives *carobtable.Table[carobaddress.Address, caroblife.Instance]
+	// Instances has the newest incarnation of a target at each address on the VM.
+	Instances *carobtable.Table[carobaddress.Address, caroblife.Instance]
 	// TargetsChanged is true while Groups is out of date with respect to Targets.
 	TargetsChanged bool
 	// Groups has the targets by service, derived from Targets.
@@ -95,15 +95,15 @@
 	// PeerChanges counts the changes of Peers, so that systems can detect when values
 	// derived from it are out of date.
 	PeerChanges uint64
-	// News has the peers whose newest description this node still has to gossip.
-	News *carobtable.Table[carobnodeid.ID, struct{}]
-	// Hints has the addresses that the log records for nodes that are not known as peers.
+	// PendingGossip has the peers whose newest description this node still has to gossip.
+	PendingGossip *carobtable.Table[carobnodeid.ID, struct{}]
+	// LoggedAddresses has the addresses that the log records for nodes that are not known as peers.
 	// A node may no longer be at its address.
-	Hints *carobtable.Table[carobnodeid.ID, carobaddress.Address]
-	// Inquiries has the heartbeats that have not been answered, by their number.
-	Inquiries *carobtable.Table[uint64, carobinquiry.PendingHeartbeat]
-	// Farewell is true once this node has announced to other nodes that it leaves.
-	Farewell bool
+	LoggedAddresses *carobtable.Table[carobnodeid.ID, carobaddress.Address]
+	// PendingHeartbeats has the heartbeats that have not been answered, by their number.
+	PendingHeartbeats *carobtable.Table[uint64, carobinquiry.PendingHeartbeat]
+	// LeaveAnnounced is true once this node has announced to other nodes that it leaves.
+	LeaveAnnounced bool
 
 	// Routing and measuring.
 
@@ -111,69 +111,69 @@
 	Loads *carobtable.Table[carobtargetid.ID, carobload.Load]
 	// Buckets has the token buckets that limit the cost of measuring.
 	Buckets *carobtable.Table[carobword.Word, carobbucket.TokenBucket]
-	// Paces has the latency statistics of each service.
-	Paces *carobtable.Table[carobservice.Service, carobpace.Latency]
+	// Latencies has the latency statistics of each service.
+	Latencies *carobtable.Table[carobservice.Service, carobpace.Latency]
 
 	// Calls, admission and claims.
 
 	// Calls has the calls that this node is the entry of.
 	Calls *carobtable.Table[carobcallid.ID, carobcall.Call]
-	// Gates has the admission state of the node's own targets.
-	Gates *carobtable.Table[carobtargetid.ID, carobgate.Gate]
+	// AdmissionStates has the admission state of the node's own targets.
+	AdmissionStates *carobtable.Table[carobtargetid.ID, carobgate.Gate]
 	// Jobs has the jobs at the node's own targets.
 	Jobs *carobtable.Table[carobjobid.ID, carobjob.Job]
-	// Ended has the most recent jobs that were started and have ended.
-	Ended *carobring.EvictingMap[carobjobid.ID, carobfinish.Finish]
+	// EndedJobs has the most recent jobs that were started and have ended.
+	EndedJobs *carobring.EvictingMap[carobjobid.ID, carobfinish.Finish]
 	// Tombstones has the most recent fenced jobs: those that must never run.
 	Tombstones *carobring.EvictingMap[carobjobid.ID, struct{}]
 	// Watermarks has, for each entry node, bounds that stand for the rows evicted from
 	// Ended and Tombstones.
 	Watermarks *carobring.EvictingMap[carobnodeid.ID, carobwatermark.Watermark]
-	// Forgotten and Barred stand for evicted watermarks. Forgotten is the highest
-	// incarnation of an evicted watermark, and Barred the highest of one that covered
+	// EvictedIncarnation and EvictedFencedIncarnation stand for evicted watermarks. EvictedIncarnation is the highest
+	// incarnation of an evicted watermark, and EvictedFencedIncarnation the highest of one that covered
 	// tombstones. Neither ever decreases.
-	Forgotten, Barred carobincarnation.Incarnation
-	// Budgets has each service's budget of retries and hedges.
-	Budgets *carobtable.Table[carobservice.Service, carobbudget.Budget]
+	EvictedIncarnation, EvictedFencedIncarnation carobincarnation.Incarnation
+	// RetryBudgets has each service's budget of retries and hedges.
+	RetryBudgets *carobtable.Table[carobservice.Service, carobbudget.RetryBudget]
 	// Homes has the shards of idempotency keys that this node is home of.
 	Homes *carobtable.Table[carobshard.Shard, carobhome.Home]
-	// Commits counts the batches of claims that this node has appended.
-	Commits uint64
-	// Unsettled has the ended calls whose outcome their homes have not confirmed yet.
-	Unsettled *carobtable.Table[carobcallid.ID, carobunsettled.Unsettled]
+	// AppendCount counts the batches of claims that this node has appended.
+	AppendCount uint64
+	// PendingSettlements has the ended calls whose outcome their homes have not confirmed yet.
+	PendingSettlements *carobtable.Table[carobcallid.ID, carobunsettled.Unsettled]
 	// Paused is true if more time passed before this tick than is allowed between two
 	// ticks.
 	Paused bool
 
 	// Profiles and routes.
 
-	// Routes is the route table in force; nil if none is known. Its version never
+	// RouteTable is the route table in force; nil if none is known. Its version never
 	// decreases.
-	Routes *carobroutes.RouteTable
-	// Behind is true after a start until the node has read the log, which may hold newer
+	RouteTable *carobroutes.RouteTable
+	// AwaitingLog is true after a start until the node has read the log, which may hold newer
 	// profiles. Until then no profile from the log is in force.
-	Behind bool
+	AwaitingLog bool
 	// ProfilesRead is the offset of the newest profile change that was applied; None if
 	// there is none. It never decreases.
 	ProfilesRead caroboffset.Offset
 	// Profiles has the profiles in force.
 	Profiles *carobtable.Table[carobword.Word, carobrevision.Revision]
-	// Changes has the most recently applied records, to send to nodes that lack them.
-	Changes *carobtable.Table[caroboffset.Offset, carobrecord.Record]
-	// HeldChanges has the records that follow a gap in the offsets. All their offsets are
+	// RecentChanges has the most recently applied records, to send to nodes that lack them.
+	RecentChanges *carobtable.Table[caroboffset.Offset, carobrecord.Record]
+	// ChangesAfterGap has the records that follow a gap in the offsets. All their offsets are
 	// above ProfilesRead.
-	HeldChanges *carobtable.Table[caroboffset.Offset, carobrecord.Record]
-	// Snapshot is the offset of the newest snapshot in the log, and SnapshotThrough the
+	ChangesAfterGap *carobtable.Table[caroboffset.Offset, carobrecord.Record]
+	// SnapshotOffset is the offset of the newest snapshot in the log, and SnapshotThrough the
 	// last offset that the snapshot covers. Both are None if no snapshot is known.
-	Snapshot        caroboffset.Offset
-	SnapshotThrough caroboffset.Offset
+	SnapshotOffset        caroboffset.Offset
+	SnapshotLastOffset caroboffset.Offset
 
 	// Tracing.
 
-	// CallTraces has the hops of the calls that this node is the entry of.
-	CallTraces *carobtable.Table[carobcallid.ID, carobtrace.Trace]
-	// JobTraces has the hops of the jobs at the node's own targets.
-	JobTraces *carobtable.Table[carobjobid.ID, carobtrace.Trace]
+	// OpenCallHops has the hops of the calls that this node is the entry of.
+	OpenCallHops *carobtable.Table[carobcallid.ID, carobtrace.Trace]
+	// OpenJobHops has the hops of the jobs at the node's own targets.
+	OpenJobHops *carobtable.Table[carobjobid.ID, carobtrace.Trace]
 
 	// The tick at hand.
 
@@ -200,32 +200,32 @@
 		// measureBuckets is the number of things whose measuring cost is limited.
 		measureBuckets = 2
 	)
-	if c.Retries == (carobretries.Retries{}) {
-		c.Retries = carobretries.NewRetries()
+	if c.RetryLimits == (carobretries.RetryLimits{}) {
+		c.RetryLimits = carobretries.NewRetryLimits()
 	}
 	w := &World{
 		Self:         c.Self,
-		ProfilesRead: caroboffset.None,
-		Snapshot:     caroboffset.None, SnapshotThrough: caroboffset.None,
-		Changes:     carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: maxRecentChanges}),
-		HeldChanges: carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: maxHeldChanges}),
+		ProfilesRead: caroboffset.BeforeFirst,
+		SnapshotOffset:     caroboffset.BeforeFirst, SnapshotLastOffset: caroboffset.BeforeFirst,
+		RecentChanges:     carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: maxRecentChanges}),
+		ChangesAfterGap: carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: maxHeldChanges}),
 		Limits:      c.Limits,
-		Measure:     c.Measure,
+		ProbeLimits:     c.ProbeLimits,
 		Random:      rand.New(rand.NewPCG(c.Seed, randomStream)), //nolint:gosec // runs must be reproducible from a seed
 		Targets:     carobtable.NewTable[carobtargetid.ID, carobtarget.Target](carobtable.Config{Limit: c.Limits.Targets}),
-		Lives:       carobtable.NewTable[carobaddress.Address, caroblife.Instance](carobtable.Config{Limit: carobmember.MostTargets}),
-		Retries:     c.Retries,
+		Instances:       carobtable.NewTable[carobaddress.Address, caroblife.Instance](carobtable.Config{Limit: carobmember.MaxTargets}),
+		RetryLimits:     c.RetryLimits,
 		Groups:      carobtable.NewTable[carobservice.Service, carobgroup.Group](carobtable.Config{Limit: c.Limits.Targets}),
 		Buckets:     carobtable.NewTable[carobword.Word, carobbucket.TokenBucket](carobtable.Config{Limit: measureBuckets}),
-		Paces:       carobtable.NewTable[carobservice.Service, carobpace.Latency](carobtable.Config{Limit: c.Limits.Targets}),
+		Latencies:       carobtable.NewTable[carobservice.Service, carobpace.Latency](carobtable.Config{Limit: c.Limits.Targets}),
 		Loads:       carobtable.NewTable[carobtargetid.ID, carobload.Load](carobtable.Config{Limit: c.Limits.Targets}),
-		Gates:       carobtable.NewTable[carobtargetid.ID, carobgate.Gate](carobtable.Config{Limit: c.Limits.Targets}),
-		News:        carobtable.NewTable[carobnodeid.ID, struct{}](carobtable.Config{Limit: c.Limits.Peers}),
-		Hints:       carobtable.NewTable[carobnodeid.ID, carobaddress.Address](carobtable.Config{Limit: c.Limits.Peers}),
-		Inquiries:   carobtable.NewTable[uint64, carobinquiry.PendingHeartbeat](carobtable.Config{Limit: maxUnansweredHeartbeats}),
+		AdmissionStates:       carobtable.NewTable[carobtargetid.ID, carobgate.Gate](carobtable.Config{Limit: c.Limits.Targets}),
+		PendingGossip:        carobtable.NewTable[carobnodeid.ID, struct{}](carobtable.Config{Limit: c.Limits.Peers}),
+		LoggedAddresses:       carobtable.NewTable[carobnodeid.ID, carobaddress.Address](carobtable.Config{Limit: c.Limits.Peers}),
+		PendingHeartbeats:   carobtable.NewTable[uint64, carobinquiry.PendingHeartbeat](carobtable.Config{Limit: maxUnansweredHeartbeats}),
 		Peers:       carobtable.NewTable[carobnodeid.ID, carobpeer.Peer](carobtable.Config{Limit: c.Limits.Peers}),
-		CallTraces:  carobtable.NewTable[carobcallid.ID, carobtrace.Trace](carobtable.Config{Limit: 2 * c.Limits.Calls}),
-		JobTraces:   carobtable.NewTable[carobjobid.ID, carobtrace.Trace](carobtable.Config{Limit: 2 * c.Limits.Jobs}),
+		OpenCallHops:  carobtable.NewTable[carobcallid.ID, carobtrace.Trace](carobtable.Config{Limit: 2 * c.Limits.Calls}),
+		OpenJobHops:   carobtable.NewTable[carobjobid.ID, carobtrace.Trace](carobtable.Config{Limit: 2 * c.Limits.Jobs}),
 		Profiles:    carobtable.NewTable[carobword.Word, carobrevision.Revision](carobtable.Config{Limit: carobrevision.Most}),
 	}
 	w.makeCallTables(c.Limits)
@@ -243,18 +243,18 @@
 	return w.wake
 }
 
-// Begin starts a tick: it sets the input, clears the effects and the wake time, and
+// BeginTick starts a tick: it sets the input, clears the effects and the wake time, and
 // applies a requested shutdown, which increases this node's update sequence.
-func (w *World) Begin(input carobinbox.Inbox) {
+func (w *World) BeginTick(input carobinbox.Inbox) {
 	w.Inbox = input
 	w.Outbox = caroboutbox.Outbox{}
 	w.wake = carobinstant.Never
-	if input.Ending != carobinstant.Never {
-		w.Ending = input.Ending
+	if input.ShutdownDeadline != carobinstant.Never {
+		w.ShutdownDeadline = input.ShutdownDeadline
 	}
 	if input.Stop && !w.Stopping {
 		w.Stopping = true
-		w.Self.Beat++
+		w.Self.Sequence++
 	}
 }
 
@@ -267,33 +267,33 @@
 		return nil
 	}
 	rv := w.Profiles.Get(gp.Profile)
-	if rv == nil || w.Behind && rv.Offset != caroboffset.None {
+	if rv == nil || w.AwaitingLog && rv.Offset != caroboffset.BeforeFirst {
 		return nil
 	}
 	return &rv.Change.Profile
 }
 
-// BudgetOf returns a service's budget of retries and hedges. If the table is full, a
+// RetryBudgetOf returns a service's budget of retries and hedges. If the table is full, a
 // service without a row gets an empty budget, which allows none.
-func (w *World) BudgetOf(service carobservice.Service) *carobbudget.Budget {
-	if bg := w.Budgets.Get(service); bg != nil {
+func (w *World) RetryBudgetOf(service carobservice.Service) *carobbudget.RetryBudget {
+	if bg := w.RetryBudgets.Get(service); bg != nil {
 		return bg
 	}
-	if bg := w.Budgets.Put(service, carobbudget.Budget{Tokens: w.maxRetryTokens()}); bg != nil {
+	if bg := w.RetryBudgets.Put(service, carobbudget.RetryBudget{Tokens: w.maxRetryTokens()}); bg != nil {
 		return bg
 	}
-	return &carobbudget.Budget{}
+	return &carobbudget.RetryBudget{}
 }
 
-// EarnRetry credits the budget of a service for a call.
-func (w *World) EarnRetry(service carobservice.Service) {
-	w.BudgetOf(service).Earn(float64(w.Retries.Share), w.maxRetryTokens())
+// CreditRetryBudget credits the budget of a service for a call.
+func (w *World) CreditRetryBudget(service carobservice.Service) {
+	w.RetryBudgetOf(service).AddCall(float64(w.RetryLimits.TokensPerCall), w.maxRetryTokens())
 }
 
 // maxRetryTokens returns the maximum number of retries that this node's budget of a service
 // can accumulate. It depends on the number of nodes.
 func (w *World) maxRetryTokens() float64 {
-	return w.Retries.Most(w.Peers.Len() + 1)
+	return w.RetryLimits.MaxTokens(w.Peers.Len() + 1)
 }
 
 // TakeSnapshot returns a snapshot of the profiles in force.
@@ -313,32 +313,32 @@
 // RoutesVersion returns the version of the route table in force; None if there is no
 // table.
 func (w *World) RoutesVersion() carobrouteversion.Version {
-	if w.Routes == nil {
+	if w.RouteTable == nil {
 		return carobrouteversion.None
 	}
-	return w.Routes.Version
+	return w.RouteTable.Version
 }
 
-// NoteRoutes records in the audit trail that a newer route table came from a source.
-func (w *World) NoteRoutes(from string, rs *carobroutes.RouteTable) {
-	w.Note("routes", from, "route table",
+// AuditRoutes records in the audit trail that a newer route table came from a source.
+func (w *World) AuditRoutes(from string, rs *carobroutes.RouteTable) {
+	w.Audit("routes", from, "route table",
 		strconv.FormatUint(uint64(w.RoutesVersion()), 10), strconv.FormatUint(uint64(rs.Version), 10))
 }
 
-// Tell enqueues a control message and fills in this node as its sender.
-func (w *World) Tell(ms carobmessage.Message) {
-	ms.From, ms.Incarnation, ms.Back = w.Self.Node, w.Self.Incarnation, w.Self.Peer
+// SendMessage enqueues a control message and fills in this node as its sender.
+func (w *World) SendMessage(ms carobmessage.Message) {
+	ms.From, ms.Incarnation, ms.ReplyTo = w.Self.Node, w.Self.Incarnation, w.Self.PeerAddress
 	ms.RoutesVersion = w.RoutesVersion()
 	w.Outbox.Messages = append(w.Outbox.Messages, ms)
 }
 
-// Decide records a decision for later lookup by operators.
-func (w *World) Decide(dc carobdecision.Decision) {
+// RecordDecision records a decision for later lookup by operators.
+func (w *World) RecordDecision(dc carobdecision.Decision) {
 	w.Outbox.Decisions = append(w.Outbox.Decisions, dc)
 }
 
-// Note records a change in the audit trail: the part of the system that saw it, who made
+// Audit records a change in the audit trail: the part of the system that saw it, who made
 // it, what changed, and the old and new value.
-func (w *World) Note(part, who, what, from, to string) {
+func (w *World) Audit(part, who, what, from, to string) {
 	w.Outbox.Audits = append(w.Outbox.Audits, carobaudit.Audit{Part: part, Who: who, What: what, From: from, To: to})
 }
--- a/test/capacity/cluster_test.go
+++ b/test/capacity/cluster_test.go
@@ -114,13 +114,13 @@
 		Node: carobnodeid.ID(fmt.Sprintf("node-%d", number)), Incarnation: carobincarnation.Incarnation(c.now) + incarnation,
 		Region: carobregion.Region(fmt.Sprint("region-", number%regions)),
 		Centre: carobcentre.Centre(fmt.Sprint("centre-", number%centres)),
-		Peer:   carobaddress.Address(fmt.Sprintf("10.0.%d.%d:7002", number/250, number%250)),
+		PeerAddress:   carobaddress.Address(fmt.Sprintf("10.0.%d.%d:7002", number/250, number%250)),
 	}}
 	n.core = carobcore.NewCore(carobcore.Config{World: carobworld.Config{
 		Self: n.self, Limits: caroblimits.NewLimits(), Seed: uint64(number)<<8 + uint64(incarnation),
 	}})
 	c.nodes = append(c.nodes, n)
-	c.there[n.self.Peer] = n
+	c.there[n.self.PeerAddress] = n
 	for stream, records := range c.streams {
 		c.give(n, stream, records)
 	}
@@ -152,7 +152,7 @@
 		}
 	}
 	next := caroboffset.Offset(len(c.streams[stream]))
-	c.send(n, logLatency, carobinbox.Inbox{Records: kept, Marks: []carobmark.Mark{{Stream: stream, First: first, Next: next}}})
+	c.send(n, logLatency, carobinbox.Inbox{Records: kept, StreamBounds: []carobmark.Mark{{Stream: stream, First: first, Next: next}}})
 }
 
 // append appends a record and passes it on to all.
@@ -175,7 +175,7 @@
 	if n.dead {
 		return
 	}
-	out := n.core.Step(c.now, in)
+	out := n.core.Tick(c.now, in)
 	n.stopped = n.stopped || out.Stopped
 	for _, au := range out.Audits {
 		n.audits[au.Part+" "+au.To]++
--- a/test/capacity/membership_test.go
+++ b/test/capacity/membership_test.go
@@ -31,12 +31,12 @@
 }
 
 // standing returns what a node says of another, or Gone if it knows nothing.
-func (n *node) standing(other *node) carobstanding.Standing {
+func (n *node) standing(other *node) carobstanding.Liveness {
 	pr := n.core.World().Peers.Get(other.self.Node)
 	if pr == nil || pr.Member.Incarnation != other.self.Incarnation {
-		return carobstanding.Gone
+		return carobstanding.Left
 	}
-	return pr.Member.Standing
+	return pr.Member.Liveness
 }
 
 // together reports whether all living nodes know all others as alive, with their
@@ -51,7 +51,7 @@
 	return c.all(func(n *node) bool {
 		known := 0
 		for _, pr := range n.core.World().Peers.All() {
-			if pr.Member.Standing == carobstanding.Alive {
+			if pr.Member.Liveness == carobstanding.Alive {
 				known++
 			}
 		}
@@ -168,13 +168,13 @@
 	c := newCluster(t)
 	c.gather(5)
 	elder := c.nodes[1]
-	c.start(1, 2).self.Peer = "10.9.9.9:7002"
+	c.start(1, 2).self.PeerAddress = "10.9.9.9:7002"
 	twin := c.nodes[len(c.nodes)-1]
-	c.there[elder.self.Peer] = elder
-	twin.core.World().Self.Peer = twin.self.Peer
-	c.there[twin.self.Peer] = twin
+	c.there[elder.self.PeerAddress] = elder
+	twin.core.World().Self.PeerAddress = twin.self.PeerAddress
+	c.there[twin.self.PeerAddress] = twin
 	c.run(10 * time.Second)
-	require.Equal(t, 1, elder.audits["member "+string(twin.self.Peer)])
+	require.Equal(t, 1, elder.audits["member "+string(twin.self.PeerAddress)])
 }
 
 func TestLeavingTargetIsKnownWithinSeconds(t *testing.T) {
@@ -237,7 +237,7 @@
 	require.Less(t, c.runUntil(10*time.Second, func() bool { return leaver.stopped }), 10*time.Second)
 	leaver.dead = true
 	took := c.runUntil(10*time.Second, func() bool {
-		return c.all(func(n *node) bool { return n.standing(leaver) == carobstanding.Gone })
+		return c.all(func(n *node) bool { return n.standing(leaver) == carobstanding.Left })
 	})
 	require.Less(t, took, time.Second)
 	c.run(11 * time.Minute)
@@ -256,14 +256,14 @@
 	if rv := n.core.World().Profiles.Get("lookups"); rv != nil {
 		return rv.Offset
 	}
-	return caroboffset.None
+	return caroboffset.BeforeFirst
 }
 
 // One node has read a change when the log fails; all get it.
 func TestChangeReachesAllThoughTheLogFails(t *testing.T) {
 	c := newCluster(t)
 	c.gather(40)
-	first := c.publish(caroboffset.None)
+	first := c.publish(caroboffset.BeforeFirst)
 	c.run(time.Second)
 	require.True(t, c.all(func(n *node) bool { return n.revision() == first }))
 	c.out = true
@@ -281,7 +281,7 @@
 func TestProfilesOutlastTheirRecords(t *testing.T) {
 	c := newCluster(t)
 	c.gather(5)
-	newest := c.publish(caroboffset.None)
+	newest := c.publish(caroboffset.BeforeFirst)
 	for range 5 {
 		newest = c.publish(newest)
 	}
@@ -302,7 +302,7 @@
 func TestSnapshotIsRenewed(t *testing.T) {
 	c := newCluster(t)
 	c.gather(5)
-	c.publish(caroboffset.None)
+	c.publish(caroboffset.BeforeFirst)
 	c.run(3*time.Hour + 10*time.Minute)
 	count := len(c.streams[carobstream.Profiles]) - 1
 	require.GreaterOrEqual(t, count, 3)
--- a/test/capacity/tables_test.go
+++ b/test/capacity/tables_test.go
@@ -34,7 +34,7 @@
 	_, _ = fmt.Fprintln(table, "members\topen calls\tempty tick us\tarrival us\tB a call\t")
 	for _, members := range []int{10, 100} {
 		c := settledCluster(t, members)
-		c.publish(caroboffset.None)
+		c.publish(caroboffset.BeforeFirst)
 		c.heartbeat(2 * time.Second)
 		n := c.nodes[0]
 		opened := 0
@@ -50,7 +50,7 @@
 			}
 			opened = calls
 			const ticks = 1000
-			empty := micros(ticks, func(int) { n.core.Step(c.now, carobinbox.Inbox{}) })
+			empty := micros(ticks, func(int) { n.core.Tick(c.now, carobinbox.Inbox{}) })
 			_, _ = fmt.Fprintf(table, "%d\t%d\t%.2f\t%.2f\t%.0f\t\n", members, n.core.World().Calls.Len(), empty, arrival, bytes)
 		}
 	}
@@ -59,9 +59,9 @@
 
 // open has a call come that waits for an answer for long.
 func (n *node) open(now carobinstant.Instant, sequence uint64) {
-	n.core.Step(now, carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{
+	n.core.Tick(now, carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{
 		Call:    carobcallid.ID{Node: n.self.Node, Incarnation: n.self.Incarnation, Sequence: sequence},
-		Service: "service-0", Patience: time.Hour,
+		Service: "service-0", Timeout: time.Hour,
 	}}})
 }
 
@@ -95,7 +95,7 @@
 	w := carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()})
 	fold := carobfold.NewSystem()
 	each := micros(records, func(i int) {
-		w.Begin(carobinbox.Inbox{Records: log[i : i+1]})
+		w.BeginTick(carobinbox.Inbox{Records: log[i : i+1]})
 		fold.Run(w, 1)
 	})
 	require.EqualValues(t, records-1, w.Profiles.Get("p").Offset)
--- a/test/fuzz/checks_test.go
+++ b/test/fuzz/checks_test.go
@@ -38,6 +38,6 @@
 		}
 	}
 	n.do(wait, func() {
-		n.post(func(in *carobinbox.Inbox) { in.Healths = append(in.Healths, hl) })
+		n.post(func(in *carobinbox.Inbox) { in.CheckResults = append(in.CheckResults, hl) })
 	})
 }
--- a/test/fuzz/claims_test.go
+++ b/test/fuzz/claims_test.go
@@ -15,13 +15,13 @@
 
 // carryClaims does what the claim log does with the effects of a tick.
 func (n *node) carryClaims(out *caroboutbox.Outbox) {
-	for _, fl := range out.Follows {
+	for _, fl := range out.Subscriptions {
 		n.follows[fl.Stream]++
 		if fl.On {
 			n.follow(fl.Stream, 0, n.follows[fl.Stream])
 		}
 	}
-	for _, cm := range out.Commits {
+	for _, cm := range out.AppendRequests {
 		n.commit(cm)
 	}
 }
@@ -48,7 +48,7 @@
 		if len(records) > 0 {
 			n.do(n.s.jitter(hopTime), func() {
 				n.post(func(in *carobinbox.Inbox) {
-					in.Records, in.Marks = append(in.Records, records...), append(in.Marks, mark)
+					in.Records, in.StreamBounds = append(in.Records, records...), append(in.StreamBounds, mark)
 				})
 				n.follow(stream, mark.Next, order)
 			})
@@ -66,7 +66,7 @@
 			cd.Kind = carobkind.Unsure
 		}
 		n.do(0, func() {
-			n.post(func(in *carobinbox.Inbox) { in.Committed = append(in.Committed, cd) })
+			n.post(func(in *carobinbox.Inbox) { in.AppendResults = append(in.AppendResults, cd) })
 		})
 	})
 }
--- a/test/fuzz/decoders_test.go
+++ b/test/fuzz/decoders_test.go
@@ -141,12 +141,12 @@
 func FuzzMessage(f *testing.F) {
 	codec, err := carobcodec.NewCodec()
 	require.NoError(f, err)
-	base := carobmessage.Message{From: "n1", Incarnation: 7, Back: "10.0.0.1:7"}
+	base := carobmessage.Message{From: "n1", Incarnation: 7, ReplyTo: "10.0.0.1:7"}
 	gossip, supply := base, base
-	gossip.Gossip = &carobgossip.Gossip{Members: []carobmember.Member{{Node: "n2", Region: "r", Centre: "c", Peer: "10.0.0.2:7", Targets: []carobtarget.Target{
+	gossip.Gossip = &carobgossip.Gossip{Members: []carobmember.Member{{Node: "n2", Region: "r", Centre: "c", PeerAddress: "10.0.0.2:7", Targets: []carobtarget.Target{
 		{ID: carobtargetid.ID{Service: "a", Name: "b"}, Node: "n2", Profile: "a", Slots: 1, Connections: 1, Readiness: carobreadiness.Ready},
 	}}}}
-	supply.Supply = &carobsupply.Supply{Snapshot: &carobsnapshot.Snapshot{Through: 3}}
+	supply.FetchReply = &carobsupply.FetchReply{Snapshot: &carobsnapshot.Snapshot{Through: 3}}
 	for _, ms := range []carobmessage.Message{base, gossip, supply, everything()} {
 		data, err := codec.Marshal(ms)
 		require.NoError(f, err)
@@ -170,7 +170,7 @@
 // everything returns a message with a zero value of each kind of content, those
 // that do not exist yet included.
 func everything() carobmessage.Message {
-	ms := carobmessage.Message{From: "n1", Back: carobaddress.Address("10.0.0.1:7")}
+	ms := carobmessage.Message{From: "n1", ReplyTo: carobaddress.Address("10.0.0.1:7")}
 	v := reflect.ValueOf(&ms).Elem()
 	for i := range v.NumField() {
 		if field := v.Field(i); field.Kind() == reflect.Pointer {
--- a/test/fuzz/entry_test.go
+++ b/test/fuzz/entry_test.go
@@ -79,7 +79,7 @@
 	}
 	sv := services[service]
 	x := &exchange{body: body, attempts: map[int]*attempt{}, arrival: carobarrival.Arrival{
-		Call: id, Service: sv.name, Patience: patience, Key: key,
+		Call: id, Service: sv.name, Timeout: patience, Key: key,
 	}}
 	n.s.oracle.came(id.String(), history{service: string(sv.name), once: sv.once, key: key, body: body})
 	n.calls[id] = x
@@ -93,7 +93,7 @@
 	}
 	n.s.oracle.told(x.arrival.Call.String(), "gone", "")
 	delete(n.calls, x.arrival.Call)
-	n.post(func(in *carobinbox.Inbox) { in.Hangups = append(in.Hangups, x.arrival.Call) })
+	n.post(func(in *carobinbox.Inbox) { in.Disconnects = append(in.Disconnects, x.arrival.Call) })
 	for number := range len(x.attempts) {
 		x.attempts[number+1].drop()
 	}
@@ -108,8 +108,8 @@
 		n.s.oracle.told(call.String(), string(cn.Kind.Outcome()), "")
 		return
 	}
-	if cn.Kept != nil {
-		n.s.oracle.told(call.String(), "answered", string(cn.Kept.Body))
+	if cn.StoredAnswer != nil {
+		n.s.oracle.told(call.String(), "answered", string(cn.StoredAnswer.Body))
 		return
 	}
 	at := x.attempts[cn.Attempt]
@@ -120,7 +120,7 @@
 	n.s.oracle.told(call.String(), "answered", strings.Clone(at.body))
 	n.post(func(in *carobinbox.Inbox) {
 		in.Deliveries = append(in.Deliveries, carobdelivery.Delivery{
-			Job: carobjobid.ID{Call: call, Attempt: cn.Attempt}, Kept: &carobkept.Kept{Body: []byte(at.body)},
+			Job: carobjobid.ID{Call: call, Attempt: cn.Attempt}, StoredAnswer: &carobkept.StoredAnswer{Body: []byte(at.body)},
 		})
 	})
 }
@@ -142,14 +142,14 @@
 	}
 	at.fail = func(kind carobkind.Kind) { reply(kind, 0, nil, "") }
 	of := caroboffer.Offer{
-		Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, Patience: sd.Patience, Key: x.arrival.Key,
+		Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, Patience: sd.TimeLeft, Key: x.arrival.Key,
 	}
-	if sd.Peer == "" {
+	if sd.PeerAddress == "" {
 		n.offer(of, x.body, reply)
 		return
 	}
 	for place := range n.s.nodes {
-		if peerAddress(place) == sd.Peer {
+		if peerAddress(place) == sd.PeerAddress {
 			at.peer = place
 		}
 	}
--- a/test/fuzz/faults_test.go
+++ b/test/fuzz/faults_test.go
@@ -171,7 +171,7 @@
 // content, and what a request and its empty answer take at the least.
 func measuring(s *simulation, ms carobmessage.Message) int {
 	const frames = 300
-	if ms.Poll == nil && ms.Report == nil {
+	if ms.LoadProbe == nil && ms.Report == nil {
 		return 0
 	}
 	data, err := s.codec.Marshal(ms)
--- a/test/fuzz/found_test.go
+++ b/test/fuzz/found_test.go
@@ -53,7 +53,7 @@
 		s.nodes[0].call(1, "", 0)
 	}
 	s.advance(20 * time.Millisecond)
-	require.Positive(t, s.nodes[0].core.World().Gates.Get(leaving.id).Queued)
+	require.Positive(t, s.nodes[0].core.World().AdmissionStates.Get(leaving.id).Queued)
 	leaving.turn(carobreadiness.Leaving)
 	s.advance(4 * time.Second)
 	s.oracle.settled()
--- a/test/fuzz/mutations_test.go
+++ b/test/fuzz/mutations_test.go
@@ -105,12 +105,12 @@
 		n.core.World().Tombstones = carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()}).Tombstones
 	}},
 	{name: "forget what has ended", decide: func(n *node, _ *carobinbox.Inbox, _ *caroboutbox.Outbox) {
-		n.core.World().Ended = carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()}).Ended
+		n.core.World().EndedJobs = carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()}).EndedJobs
 	}},
 	{name: "grant every claim", resubmit: true, decide: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
 		for _, ms := range out.Messages {
 			if ms.ClaimReply != nil {
-				ms.ClaimReply.Grant = carobgrant.Granted
+				ms.ClaimReply.Result = carobgrant.Granted
 			}
 		}
 	}},
@@ -121,7 +121,7 @@
 	}},
 	{name: "spend past the budget", decide: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
 		for _, ms := range out.Messages {
-			if ms.Poll != nil || ms.Report != nil {
+			if ms.LoadProbe != nil || ms.Report != nil {
 				out.Messages = append(out.Messages, ms, ms)
 			}
 		}
@@ -193,7 +193,7 @@
 		}
 	}},
 	{name: "read profiles once only", hear: func(n *node, in *carobinbox.Inbox) {
-		if n.core.World().ProfilesRead != caroboffset.None {
+		if n.core.World().ProfilesRead != caroboffset.BeforeFirst {
 			in.Records = nil
 		}
 	}},
--- a/test/fuzz/node_test.go
+++ b/test/fuzz/node_test.go
@@ -100,7 +100,7 @@
 		calls: map[carobcallid.ID]*exchange{}, tasks: map[carobjobid.ID]*task{}, reports: map[carobtargetid.ID]carobreport.Report{},
 		self: carobmember.Member{
 			Node: carobnodeid.ID(fmt.Sprintf("n%d", place)), Incarnation: carobincarnation.Incarnation(s.lives),
-			Region: "bavaria", Centre: "west", Peer: peerAddress(place),
+			Region: "bavaria", Centre: "west", PeerAddress: peerAddress(place),
 		},
 	}
 	measure := carobmeasure.NewProbeLimits()
@@ -108,7 +108,7 @@
 		measure.ChecksPerSecond = checks
 	}
 	n.core = carobcore.NewCore(carobcore.Config{
-		World: carobworld.Config{Self: n.self, Limits: caroblimits.NewLimits(), Measure: measure, Seed: s.random.Uint64()},
+		World: carobworld.Config{Self: n.self, Limits: caroblimits.NewLimits(), ProbeLimits: measure, Seed: s.random.Uint64()},
 		Seeds: []carobaddress.Address{peerAddress(0), peerAddress(1)},
 	})
 	s.nodes[place] = n
@@ -216,7 +216,7 @@
 	}
 	in.Announcements = slices.Clone(in.Announcements)
 	n.s.plan.mutation.before(n, &in)
-	out := n.core.Step(n.clock(), in)
+	out := n.core.Tick(n.clock(), in)
 	n.s.plan.mutation.after(n, &in, out)
 	n.observe(out)
 	n.carry(out)
@@ -251,14 +251,14 @@
 		}
 	}
 	for name, rv := range n.core.World().Profiles.All() {
-		if n.core.World().Behind {
+		if n.core.World().AwaitingLog {
 			break
 		}
 		o.holds(string(n.self.Node), string(name), int64(rv.Offset), rv.Change.Profile.Deadline.String())
 	}
 	for _, ms := range out.Messages {
 		if bytes := measuring(n.s, ms); bytes > 0 {
-			o.measured(string(n.self.Node), bytes, now, float64(n.core.World().Measure.BytesPerSecond))
+			o.measured(string(n.self.Node), bytes, now, float64(n.core.World().ProbeLimits.BytesPerSecond))
 		}
 	}
 }
@@ -268,7 +268,7 @@
 	n.carryJobs(out)
 	n.carryCalls(out)
 	n.carryClaims(out)
-	for _, ck := range out.Checks {
+	for _, ck := range out.HealthChecks {
 		n.check(ck)
 	}
 	for _, ms := range out.Messages {
@@ -302,7 +302,7 @@
 	n.s.parted[link{n.place, n.place}] = n.s.elapsed()
 	n.post(func(in *carobinbox.Inbox) {
 		if in.Stop = true; n.s.plan.checked {
-			in.Ending = n.clock().Add(ending)
+			in.ShutdownDeadline = n.clock().Add(ending)
 		}
 	})
 }
@@ -328,7 +328,7 @@
 		if mark != n.marks[stream] || len(records) > 0 {
 			n.marks[stream] = mark
 			n.post(func(in *carobinbox.Inbox) {
-				in.Records, in.Marks = append(in.Records, records...), append(in.Marks, mark)
+				in.Records, in.StreamBounds = append(in.Records, records...), append(in.StreamBounds, mark)
 			})
 		}
 		n.do(tailPause, func() { n.tail(stream, end) })
--- a/test/fuzz/simulation_test.go
+++ b/test/fuzz/simulation_test.go
@@ -126,7 +126,7 @@
 // at returns the running node at a peer address, or nil.
 func (s *simulation) at(ad carobaddress.Address) *node {
 	for _, n := range s.nodes {
-		if n.alive && n.self.Peer == ad {
+		if n.alive && n.self.PeerAddress == ad {
 			return n
 		}
 	}
