--- a/internal/carobadmin/admin.go
+++ b/internal/carobadmin/admin.go
@@ -125,7 +125,7 @@
 
 func targetOf(c fiber.Ctx) (carobtargetid.ID, error) {
 	id := carobtargetid.ID{
-		Service: carobservice.Service(c.Params("service")), Name: carobword.Word(c.Params("name")),
+		Service: carobservice.Service(c.Params("service")), Name: carobword.Name(c.Params("name")),
 	}
 	var checked carobtargetid.ID
 	err := checked.UnmarshalText([]byte(id.String()))
--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -45,7 +45,7 @@
 	// Check fills in a request that asks the target at an address how it is.
 	Check(rq *fasthttp.Request, address carobaddress.Address)
 	// Identity reads which target answered such a request, and how many slots it has.
-	Identity(rs *fasthttp.Response) (carobword.Word, int)
+	Identity(rs *fasthttp.Response) (carobword.Name, int)
 	// Judge reads what an answer says besides: None if it is the target's answer to
 	// the call, or why it is not; and the target's load, or nil.
 	Judge(rs *fasthttp.Response) (carobkind.Kind, *carobpressure.TargetLoad)
@@ -148,17 +148,17 @@
 func (a *Admitter) run(cx context.Context, st *carobstart.Start, rq *fasthttp.Request, target carobtargetid.ID) (*carobanswer.Answer, error) {
 	carobheader.CleanRequest(&rq.Header)
 	a.config.Dialect.Ask(rq, st, target)
-	an, err := a.config.Targets.Do(cx, st.Address, rq, st.Once != carobonce.Idempotent)
+	an, err := a.config.Targets.Do(cx, st.Address, rq, st.Guarantee != carobonce.Idempotent)
 	if err != nil {
 		a.finish(carobfinish.Finish{Job: st.Job, Kind: carobkind.Of(err)})
 		return nil, err
 	}
 	fn := carobfinish.Finish{Job: st.Job, Status: an.Response.StatusCode()}
 	kind, pressure := a.config.Dialect.Judge(an.Response)
-	fn.Pressure = pressure
+	fn.TargetLoad = pressure
 	if most := int(a.config.Gather); most > 0 && an.Length <= most {
 		if errGather := an.Gather(most); errGather != nil && kind == carobkind.None {
-			kind = carobkind.Cut
+			kind = carobkind.ConnectionLost
 		}
 	}
 	if kind != carobkind.None {
--- a/internal/carobadmitter/check.go
+++ b/internal/carobadmitter/check.go
@@ -18,13 +18,13 @@
 )
 
 // check asks a target how it is, and tells what came of it.
-func (a *Admitter) check(ck carobcheck.Check) {
-	hl := carobhealth.Health{Target: ck.Target, Pressure: a.ask(ck)}
+func (a *Admitter) check(ck carobcheck.HealthCheck) {
+	hl := carobhealth.CheckResult{Target: ck.Target, TargetLoad: a.ask(ck)}
 	a.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.CheckResults = append(in.CheckResults, hl) })
 }
 
 // ask returns what the target tells of its load, or nil if it does not answer.
-func (a *Admitter) ask(ck carobcheck.Check) *carobpressure.TargetLoad {
+func (a *Admitter) ask(ck carobcheck.HealthCheck) *carobpressure.TargetLoad {
 	an, err := a.health(context.Background(), ck.Address, checkPatience)
 	if err != nil {
 		return nil
--- a/internal/carobadmitter/native.go
+++ b/internal/carobadmitter/native.go
@@ -21,10 +21,10 @@
 // Ask adds the time left, the call's id and its trace.
 func (native) Ask(rq *fasthttp.Request, st *carobstart.Start, _ carobtargetid.ID) {
 	const base = 10
-	rq.Header.Set(carobheader.Deadline, strconv.FormatInt(max(1, int64(st.Patience/time.Millisecond)), base))
+	rq.Header.Set(carobheader.Deadline, strconv.FormatInt(max(1, int64(st.TimeLeft/time.Millisecond)), base))
 	rq.Header.Set(carobheader.Call, st.Job.Call.String())
-	if st.Trace != "" {
-		rq.Header.Set(carobheader.Trace, st.Trace)
+	if st.Traceparent != "" {
+		rq.Header.Set(carobheader.Trace, st.Traceparent)
 	}
 }
 
@@ -32,7 +32,7 @@
 func (native) Check(*fasthttp.Request, carobaddress.Address) {}
 
 // Identity reads nothing.
-func (native) Identity(*fasthttp.Response) (carobword.Word, int) { return "", 0 }
+func (native) Identity(*fasthttp.Response) (carobword.Name, int) { return "", 0 }
 
 // Judge takes every answer for the call's.
 func (native) Judge(*fasthttp.Response) (carobkind.Kind, *carobpressure.TargetLoad) {
--- a/internal/carobadmitter/serve.go
+++ b/internal/carobadmitter/serve.go
@@ -84,6 +84,6 @@
 
 func parseOffer(hd *fasthttp.RequestHeader) (caroboffer.Offer, error) {
 	of, err := carobheader.ParseOffer(string(hd.Peek(carobheader.Offer)))
-	of.Key, of.Trace = string(hd.Peek(carobheader.Key)), string(hd.Peek(carobheader.Trace))
+	of.Key, of.Traceparent = string(hd.Peek(carobheader.Key)), string(hd.Peek(carobheader.Trace))
 	return of, err
 }
--- a/internal/carobadmitter/visit.go
+++ b/internal/carobadmitter/visit.go
@@ -63,8 +63,8 @@
 		Conn: rc.Conn(), Timer: cf.Timer, Stall: cf.Stall,
 	})
 	if err != nil {
-		v.admitter.finish(carobfinish.Finish{Job: v.offer.Job, Kind: carobkind.Cut})
-		return carobkind.Wrap(carobkind.Cut, err, "read body")
+		v.admitter.finish(carobfinish.Finish{Job: v.offer.Job, Kind: carobkind.ConnectionLost})
+		return carobkind.Wrap(carobkind.ConnectionLost, err, "read body")
 	}
 	rq := &fasthttp.Request{}
 	rc.Request.Header.CopyTo(&rq.Header)
@@ -72,7 +72,7 @@
 		return err
 	}
 	deadline := cf.Timer.Subscribe(v.cancel)
-	deadline(cf.Timer.Now().Add(v.start.Patience))
+	deadline(cf.Timer.Now().Add(v.start.TimeLeft))
 	an, err := v.admitter.run(v.context, v.start, rq, v.offer.Target)
 	deadline(carobinstant.Never)
 	if err != nil {
--- a/internal/carobbody/body.go
+++ b/internal/carobbody/body.go
@@ -57,7 +57,7 @@
 func (b *Body) Close() error {
 	err := b.stream.Close()
 	b.once.Do(func() {
-		kind := carobkind.Cut
+		kind := carobkind.ConnectionLost
 		if b.whole {
 			kind = carobkind.None
 		}
--- a/internal/carobclaimlog/claimlog.go
+++ b/internal/carobclaimlog/claimlog.go
@@ -46,7 +46,7 @@
 func (c *ClaimLog) Carry(out *caroboutbox.Outbox) {
 	for _, fl := range out.Subscriptions {
 		c.stop(fl.Stream)
-		if fl.On {
+		if fl.Active {
 			c.follow(fl.Stream)
 		}
 	}
@@ -72,8 +72,8 @@
 }
 
 // commit appends once. Whether the record landed in doubt is found out by reading.
-func (c *ClaimLog) commit(cm carobcommit.Commit) {
+func (c *ClaimLog) commit(cm carobcommit.AppendRequest) {
 	_, err := c.config.Log.Append(c.context, cm.Stream, cm.Data)
-	cd := carobcommitted.Committed{Stream: cm.Stream, Number: cm.Number, Kind: carobkind.Of(err)}
+	cd := carobcommitted.AppendResult{Stream: cm.Stream, Number: cm.Number, Kind: carobkind.Of(err)}
 	c.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.AppendResults = append(in.AppendResults, cd) })
 }
--- a/internal/carobcommand/command.go
+++ b/internal/carobcommand/command.go
@@ -114,9 +114,9 @@
 	switch carobkind.Of(err) {
 	case carobkind.Conflict:
 		return exitConflict
-	case carobkind.LogOut:
+	case carobkind.LogUnavailable:
 		return exitLogOut
-	case carobkind.Unsure:
+	case carobkind.AppendUncertain:
 		return exitUnsure
 	default:
 		return exitFailed
--- a/internal/carobcommand/emulate.go
+++ b/internal/carobcommand/emulate.go
@@ -37,13 +37,13 @@
 			return err
 		}
 		if *policy != "" {
-			sc.Profile.Policy = carobword.Word(*policy)
+			sc.Profile.Policy = carobword.Name(*policy)
 		}
 		if *checks >= 0 {
 			sc.Measure.ChecksPerSecond = *checks
 		}
 		if *queue >= 0 {
-			sc.Profile.Queue = *queue
+			sc.Profile.QueueLimit = *queue
 		}
 		if err := sc.Check(); err != nil {
 			return err
--- a/internal/carobcommand/profiles.go
+++ b/internal/carobcommand/profiles.go
@@ -47,7 +47,7 @@
 		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Patience: *patience})
 		lg := carobledger.NewLedger(carobledger.Config{Log: client})
 		if err := lg.Read(cx); err != nil {
-			return carobkind.Wrap(carobkind.Unsure, err, "the log cannot be read")
+			return carobkind.Wrap(carobkind.AppendUncertain, err, "the log cannot be read")
 		}
 		switch {
 		case *settle != "":
@@ -66,9 +66,9 @@
 		return tell(sd, cr)
 	}
 	if !lg.Whole() {
-		return carobkind.New(carobkind.Unsure, "unknown: the log does not keep the first changes any more")
+		return carobkind.New(carobkind.AppendUncertain, "unknown: the log does not keep the first changes any more")
 	}
-	return carobkind.New(carobkind.LogOut, "not accepted: the log has no change %s up to offset %d; publish it again", id, lg.Next()-1)
+	return carobkind.New(carobkind.LogUnavailable, "not accepted: the log has no change %s up to offset %d; publish it again", id, lg.Next()-1)
 }
 
 func printJSON(out io.Writer, lg *carobledger.Ledger) error {
@@ -88,7 +88,7 @@
 	_, _ = fmt.Fprintln(table, "PROFILE\tREVISION\tONCE\tDEADLINE\tTRIES\tWHO\tWHEN")
 	for _, rv := range inForce(lg) {
 		pf := rv.Change.Profile
-		_, _ = fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%d\t%s\t%s\n", pf.Name, rv.Offset, pf.Once, pf.Deadline, pf.Tries,
+		_, _ = fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%d\t%s\t%s\n", pf.Name, rv.Offset, pf.Guarantee, pf.Deadline, pf.Attempts,
 			rv.Change.Who, rv.Change.When.Format(time.RFC3339))
 	}
 	_, _ = fmt.Fprintln(table, "\nCHANGE\tPROFILE\tBASE\tEND\tWHO\tWHEN")
@@ -115,8 +115,8 @@
 }
 
 func end(cr carobchangeresult.ChangeResult) string {
-	if cr.Won {
+	if cr.Applied {
 		return "accepted"
 	}
-	return fmt.Sprintf("conflict with %s", base(cr.Before.Offset))
+	return fmt.Sprintf("conflict with %s", base(cr.Previous.Offset))
 }
--- a/internal/carobcommand/publish.go
+++ b/internal/carobcommand/publish.go
@@ -71,10 +71,10 @@
 		return err
 	}
 	if err := p.ledger.Read(cx); err != nil {
-		return carobkind.New(carobkind.LogOut, "not accepted: the log cannot be read: %s", err)
+		return carobkind.New(carobkind.LogUnavailable, "not accepted: the log cannot be read: %s", err)
 	}
 	if !p.ledger.Whole() {
-		return carobkind.New(carobkind.LogOut, "not accepted: the log keeps neither the first changes nor a snapshot of them; "+
+		return carobkind.New(carobkind.LogUnavailable, "not accepted: the log keeps neither the first changes nor a snapshot of them; "+
 			"nodes that run append one within seconds, so try again")
 	}
 	if !based {
@@ -95,8 +95,8 @@
 	unsure := false
 	for range appends {
 		_, err := p.log.Append(cx, carobstream.Profiles, data)
-		if carobkind.Of(err) == carobkind.LogOut && !unsure {
-			return carobkind.New(carobkind.LogOut, "not accepted: the log is out: %s", err)
+		if carobkind.Of(err) == carobkind.LogUnavailable && !unsure {
+			return carobkind.New(carobkind.LogUnavailable, "not accepted: the log is out: %s", err)
 		}
 		unsure = unsure || err != nil
 		if err := p.ledger.Read(cx); err != nil {
@@ -106,23 +106,23 @@
 			return tell(p.streams, cr)
 		}
 	}
-	return carobkind.New(carobkind.Unsure, "unknown: the log's answer is lost; settle it with:\n  carobknot profiles -log %s -settle %s",
+	return carobkind.New(carobkind.AppendUncertain, "unknown: the log's answer is lost; settle it with:\n  carobknot profiles -log %s -settle %s",
 		p.url, p.change.ID)
 }
 
 // tell says what became of a change.
 func tell(sd *streams, cr carobchangeresult.ChangeResult) error {
 	name := cr.Change.Profile.Name
-	if cr.Won {
+	if cr.Applied {
 		_, _ = fmt.Fprintf(sd.out, "accepted: profile %s at offset %d\n", name, cr.Offset)
 		return nil
 	}
-	if cr.Before.Offset < 0 {
+	if cr.Previous.Offset < 0 {
 		return carobkind.New(carobkind.Conflict, "conflict: profile %s has no revision %d", name, cr.Change.Profile.Base)
 	}
-	winner := cr.Before.Change
+	winner := cr.Previous.Change
 	return carobkind.New(carobkind.Conflict, "conflict: profile %s is at offset %d, published by %s at %s, and not at %d",
-		name, cr.Before.Offset, winner.Who, winner.When.Format(time.RFC3339), cr.Change.Profile.Base)
+		name, cr.Previous.Offset, winner.Who, winner.When.Format(time.RFC3339), cr.Change.Profile.Base)
 }
 
 func operator() string {
--- a/internal/carobcommand/status.go
+++ b/internal/carobcommand/status.go
@@ -70,7 +70,7 @@
 	defer func() { _ = rs.Body.Close() }()
 	data, err := io.ReadAll(rs.Body)
 	if err != nil {
-		return nil, carobkind.Wrap(carobkind.Cut, err, "read the node's answer")
+		return nil, carobkind.Wrap(carobkind.ConnectionLost, err, "read the node's answer")
 	}
 	if rs.StatusCode != http.StatusOK {
 		return nil, carobkind.New(carobkind.Internal, "the node answers status %d: %.200s", rs.StatusCode, data)
--- a/internal/carobcommand/target.go
+++ b/internal/carobcommand/target.go
@@ -28,7 +28,7 @@
 	listen := flags.String("listen", "127.0.0.1:0", "`ADDR` to listen at")
 	flags.TextVar(&c.ID, "id", c.ID, "`SERVICE/NAME` of the target")
 	flags.Func("profile", "`NAME` of the routing profile that the service picks", func(text string) error {
-		c.Profile = carobword.Word(text)
+		c.Profile = carobword.Name(text)
 		return c.Profile.Check("profile")
 	})
 	flags.Func("admin", "`ADDR` of the node's admin side", func(text string) error {
--- a/internal/carobdemo/ask.go
+++ b/internal/carobdemo/ask.go
@@ -95,7 +95,7 @@
 	defer func() { _ = rs.Body.Close() }()
 	data, err := io.ReadAll(rs.Body)
 	if err != nil {
-		return nil, nil, carobkind.Wrap(carobkind.Cut, err, "read answer")
+		return nil, nil, carobkind.Wrap(carobkind.ConnectionLost, err, "read answer")
 	}
 	return rs.Header, data, nil
 }
--- a/internal/carobdemo/parts.go
+++ b/internal/carobdemo/parts.go
@@ -104,9 +104,9 @@
 	}
 	bh := carobbehaviour.NewBehaviour()
 	bh.Latency, bh.Shape = carobspan.Duration(latency), carobbehaviour.LogNormal
-	id := carobtargetid.ID{Service: sv.name, Name: carobword.Word(fmt.Sprintf("t%d", i))}
+	id := carobtargetid.ID{Service: sv.name, Name: carobword.Name(fmt.Sprintf("t%d", i))}
 	tg := carobstandtarget.NewTarget(carobstandtarget.Config{
-		ID: id, Profile: carobword.Word(sv.name), Slots: slots, Conns: slots * slots, Behaviour: bh,
+		ID: id, Profile: carobword.Name(sv.name), Slots: slots, Conns: slots * slots, Behaviour: bh,
 		Seed: d.config.Seed + uint64(len(d.targets)), Admin: nd.admin, Timer: d.timer, Logger: d.logger,
 	})
 	d.targets = append(d.targets, runningTarget{
@@ -138,8 +138,8 @@
 }
 
 func publish(cx context.Context, log string, sv service) error {
-	pf := carobprofile.NewProfile(carobword.Word(sv.name))
-	pf.Once = sv.once
+	pf := carobprofile.NewProfile(carobword.Name(sv.name))
+	pf.Guarantee = sv.once
 	data, err := json.Marshal(carobchange.Change{Profile: pf, Who: "demo"})
 	if err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "encode change")
--- a/internal/carobemulator/caller.go
+++ b/internal/carobemulator/caller.go
@@ -109,7 +109,7 @@
 	}
 	after := cn.RetryAfter
 	if after == 0 {
-		after = cn.Kind.Retry()
+		after = cn.Kind.RetryAfter()
 	}
 	v.retries--
 	e.returns.Set(id, e.now.Add(min(after, left/patient)))
--- a/internal/carobemulator/node.go
+++ b/internal/carobemulator/node.go
@@ -84,7 +84,7 @@
 		self: carobmember.Member{
 			Node: carobnodeid.ID(fmt.Sprintf("n%d", place)), Incarnation: 1, Region: "here", Centre: centre, PeerAddress: peer,
 		},
-		target: target{id: carobtargetid.ID{Service: service, Name: carobword.Word(fmt.Sprintf("t%d", place))}, slots: slots},
+		target: target{id: carobtargetid.ID{Service: service, Name: carobword.Name(fmt.Sprintf("t%d", place))}, slots: slots},
 	}
 	var known []carobaddress.Address
 	for _, other := range e.nodes[:min(seeds, place)] {
@@ -99,8 +99,8 @@
 	})
 	n.inbox.RouteTables = []*carobroutes.RouteTable{e.routes}
 	n.inbox.Announcements = []carobannouncement.Announcement{{
-		Target: n.target.id, Address: peer, Profile: e.scenario.Profile.Name, Slots: slots, Conns: slots,
-		State: carobreadiness.Ready,
+		Target: n.target.id, Address: peer, Profile: e.scenario.Profile.Name, Slots: slots, Connections: slots,
+		Readiness: carobreadiness.Ready,
 	}}
 	e.nodes = append(e.nodes, n)
 	e.places[peer], e.homes[n.self.Node] = place, place
@@ -143,7 +143,7 @@
 		e.start(n, st)
 	}
 	for range out.HealthChecks {
-		hl := carobhealth.Health{Target: n.target.id, Pressure: e.pressure(n)}
+		hl := carobhealth.CheckResult{Target: n.target.id, TargetLoad: e.pressure(n)}
 		e.post(n.place, checkTime, func(in *carobinbox.Inbox) { in.CheckResults = append(in.CheckResults, hl) })
 	}
 	for _, id := range out.Cancels {
@@ -161,7 +161,7 @@
 		to = e.places[sd.PeerAddress]
 	}
 	n.open[sd.Job] = to
-	of := caroboffer.Offer{Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, Patience: sd.TimeLeft, Wish: sd.Requirements}
+	of := caroboffer.Offer{Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, TimeLeft: sd.TimeLeft, Requirements: sd.Requirements}
 	e.post(to, e.hop(n.place, to), func(in *carobinbox.Inbox) { in.Offers = append(in.Offers, of) })
 }
 
--- a/internal/carobemulator/target.go
+++ b/internal/carobemulator/target.go
@@ -71,7 +71,7 @@
 	}
 	n.target.running++
 	kd := &e.scenario.Kinds[v.kind]
-	jb := job{place: n.place, kind: v.kind, deadline: e.now.Add(st.Patience), status: http.StatusOK}
+	jb := job{place: n.place, kind: v.kind, deadline: e.now.Add(st.TimeLeft), status: http.StatusOK}
 	if e.random.Float64() < float64(kd.Share) {
 		jb.calls = kd.Times
 	}
@@ -116,7 +116,7 @@
 // end has a job answered.
 func (e *Emulator) end(id carobjobid.ID, jb *job) {
 	n, status := e.nodes[jb.place], jb.status
-	fn := carobfinish.Finish{Job: id, Status: status, Pressure: e.pressure(n)}
+	fn := carobfinish.Finish{Job: id, Status: status, TargetLoad: e.pressure(n)}
 	n.target.running--
 	e.jobs.Delete(id)
 	e.reply(n, id, n.target.id, carobkind.None, status)
--- a/internal/carobentrance/caller.go
+++ b/internal/carobentrance/caller.go
@@ -33,7 +33,7 @@
 	}
 	cf := c.entrance.config
 	unwatch := cf.Watch.Add(c.ctx.Conn(), abandon)
-	carobbody.Attach(c.ctx, an, cf.Timer, cf.Limits.Stall.Duration(), func(kind carobkind.Kind) {
+	carobbody.Attach(c.ctx, an, cf.Timer, cf.Limits.StallTimeout.Duration(), func(kind carobkind.Kind) {
 		unwatch()
 		if kind != carobkind.None {
 			over(kind, nil)
--- a/internal/carobentrance/entrance.go
+++ b/internal/carobentrance/entrance.go
@@ -72,11 +72,11 @@
 		Handler:                      e.serve,
 		ExpectHandler:                e.expect,
 		ErrorHandler:                 e.fail,
-		ReadBufferSize:               int(c.Limits.Header),
+		ReadBufferSize:               int(c.Limits.HeaderSize),
 		MaxRequestBodySize:           maxWholeBody,
-		ReadTimeout:                  c.Limits.Head.Duration(),
-		IdleTimeout:                  c.Limits.Idle.Duration(),
-		WriteTimeout:                 c.Limits.Stall.Duration(),
+		ReadTimeout:                  c.Limits.HeaderTimeout.Duration(),
+		IdleTimeout:                  c.Limits.IdleTimeout.Duration(),
+		WriteTimeout:                 c.Limits.StallTimeout.Duration(),
 		StreamRequestBody:            true,
 		DisablePreParseMultipartForm: true,
 		NoDefaultServerHeader:        true,
@@ -89,7 +89,7 @@
 
 // Serve answers calls until Shutdown.
 func (e *Entrance) Serve(ls net.Listener) error {
-	return e.server.Serve(&boundedListener{Listener: ls, timer: e.config.Timer, limit: int64(e.config.Limits.Conns)})
+	return e.server.Serve(&boundedListener{Listener: ls, timer: e.config.Timer, limit: int64(e.config.Limits.Connections)})
 }
 
 // Drain does nothing: Shutdown closes each connection behind its answer.
@@ -138,8 +138,8 @@
 func (e *Entrance) open(rc *fasthttp.RequestCtx, keep carobsize.Size) (*carobupload.Upload, error) {
 	return carobupload.NewUpload(carobupload.Config{
 		Stream: rc.RequestBodyStream(), Length: rc.Request.Header.ContentLength(),
-		Keep: max(keep, small), Limit: e.config.Limits.Body,
-		Conn: rc.Conn(), Timer: e.config.Timer, Stall: e.config.Limits.Stall.Duration(),
+		Keep: max(keep, small), Limit: e.config.Limits.BodySize,
+		Conn: rc.Conn(), Timer: e.config.Timer, Stall: e.config.Limits.StallTimeout.Duration(),
 	})
 }
 
@@ -160,7 +160,7 @@
 	if length >= 0 {
 		keep = length
 	}
-	if e.kept.Add(int64(keep)) > int64(e.config.Limits.Kept) {
+	if e.kept.Add(int64(keep)) > int64(e.config.Limits.BufferedBodySize) {
 		e.kept.Add(-int64(keep))
 		return 0
 	}
@@ -172,7 +172,7 @@
 	var keep carobsize.Size
 	_ = e.config.Control.Ask(context.Background(), func(w *carobworld.World) {
 		if pf := w.ProfileOf(service); pf != nil {
-			keep = pf.Keep
+			keep = pf.BufferedBodyLimit
 		}
 	})
 	return keep
@@ -182,8 +182,8 @@
 func (e *Entrance) expect(rc *fasthttp.RequestCtx) int {
 	call := e.newCall()
 	_, err := parseArrival(call, &rc.Request.Header)
-	if length := rc.Request.Header.ContentLength(); err == nil && length > int(e.config.Limits.Body) {
-		err = carobkind.New(carobkind.TooLarge, "the body is longer than the limit of %s", e.config.Limits.Body)
+	if length := rc.Request.Header.ContentLength(); err == nil && length > int(e.config.Limits.BodySize) {
+		err = carobkind.New(carobkind.TooLarge, "the body is longer than the limit of %s", e.config.Limits.BodySize)
 	}
 	if err != nil {
 		e.reject(rc, call, err)
--- a/internal/carobentrance/listener.go
+++ b/internal/carobentrance/listener.go
@@ -95,7 +95,7 @@
 	answer := fmt.Sprintf("HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Type: text/plain; charset=utf-8\r\n"+
 		"%s: %s\r\n%s: %s\r\nRetry-After: %d\r\nContent-Length: %d\r\n\r\n%s",
 		kind.Status(), http.StatusText(kind.Status()), carobheader.Outcome, kind.Outcome(), carobheader.Kind, kind,
-		int(kind.Retry()/time.Second), len(text), text)
+		int(kind.RetryAfter()/time.Second), len(text), text)
 	_ = c.SetWriteDeadline(c.listener.timer.Wall().Add(lingering))
 	_, _ = io.WriteString(c.Conn, answer)
 	c.linger.Store(true)
--- a/internal/carobentrance/refuse.go
+++ b/internal/carobentrance/refuse.go
@@ -22,7 +22,7 @@
 	rc.Response.Header.Set(carobheader.Outcome, string(kind.Outcome()))
 	rc.Response.Header.Set(carobheader.Call, call.String())
 	rc.Response.Header.Set(carobheader.Kind, string(kind))
-	if retry := kind.Retry(); retry > 0 {
+	if retry := kind.RetryAfter(); retry > 0 {
 		rc.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(retry/time.Second)))
 	}
 	rc.Response.SetBodyString(string(kind) + ": " + err.Error() + "\n")
@@ -55,9 +55,9 @@
 	var network net.Error
 	switch {
 	case errors.As(err, &small):
-		err = carobkind.New(carobkind.HeaderTooLarge, "the header is longer than the limit of %s", e.config.Limits.Header)
+		err = carobkind.New(carobkind.HeaderTooLarge, "the header is longer than the limit of %s", e.config.Limits.HeaderSize)
 	case errors.As(err, &network) && network.Timeout():
-		err = carobkind.New(carobkind.Slow, "the header did not come within %s", e.config.Limits.Head)
+		err = carobkind.New(carobkind.RequestTimeout, "the header did not come within %s", e.config.Limits.HeaderTimeout)
 	default:
 		err = carobkind.New(carobkind.Invalid, "the request is malformed")
 	}
--- a/internal/carobeventlog/log.go
+++ b/internal/carobeventlog/log.go
@@ -120,7 +120,7 @@
 	if au := ln.audit; au != nil {
 		l.config.Logger.WithFields(logrus.Fields{
 			"who": au.Who, "what": au.What, "from": au.From, "to": au.To,
-		}).Info(au.Part + ": changed")
+		}).Info(au.Component + ": changed")
 		return
 	}
 	dc := ln.decision
@@ -141,5 +141,5 @@
 	if dc.Kind != carobkind.None {
 		fields["outcome"] = string(dc.Kind)
 	}
-	l.config.Logger.WithFields(fields).Info(dc.Part + ": " + dc.Text)
+	l.config.Logger.WithFields(fields).Info(dc.Component + ": " + dc.Text)
 }
--- a/internal/carobeventlog/log_test.go
+++ b/internal/carobeventlog/log_test.go
@@ -23,11 +23,11 @@
 	})
 	out := &caroboutbox.Outbox{}
 	for range 10 {
-		out.Decisions = append(out.Decisions, carobdecision.Decision{Part: "route", Text: "attempt sent", Request: "r1"})
+		out.Decisions = append(out.Decisions, carobdecision.Decision{Component: "route", Text: "attempt sent", Request: "r1"})
 	}
 	for range 3 {
 		out.Decisions = append(out.Decisions, carobdecision.Decision{
-			Part: "entry", Text: "call ended", Request: "r2", Kind: carobkind.Busy,
+			Component: "entry", Text: "call ended", Request: "r2", Kind: carobkind.Busy,
 			Inputs: []carobinput.Input{{Name: "agems", Value: 12.5}},
 		})
 	}
--- a/internal/carobexchange/exchange.go
+++ b/internal/carobexchange/exchange.go
@@ -98,7 +98,7 @@
 		an, report, err := x.exchanges.config.Relay.Do(cx, sd, rq)
 		if most := int(x.exchanges.config.Gather); an != nil && most > 0 {
 			if errGather := an.Gather(most); errGather != nil {
-				an, err = nil, carobkind.Wrap(carobkind.Cut, errGather, "read answer")
+				an, err = nil, carobkind.Wrap(carobkind.ConnectionLost, errGather, "read answer")
 			}
 		}
 		x.keep(at, an)
--- a/internal/carobheader/offer.go
+++ b/internal/carobheader/offer.go
@@ -74,13 +74,13 @@
 	}
 	of.Job = carobjobid.ID{Call: call, Attempt: int(numbers[0])}
 	of.Incarnation = carobincarnation.Incarnation(incarnation)
-	of.Patience = micros(numbers[1])
-	of.Wish = carobwish.Requirements{
+	of.TimeLeft = micros(numbers[1])
+	of.Requirements = carobwish.Requirements{
 		Priority: int(numbers[2]), SLOTimeLeft: micros(numbers[3]), SLO: micros(numbers[4]),
 		Guarantee: carobonce.Guarantee(fields[8]), Movable: movable,
 	}
 	if len(fields) > offerFields {
-		of.Wish.Request = carobrequestid.ID(fields[offerFields])
+		of.Requirements.Request = carobrequestid.ID(fields[offerFields])
 	}
 	return of, nil
 }
--- a/internal/carobheader/offer_test.go
+++ b/internal/carobheader/offer_test.go
@@ -38,8 +38,8 @@
 		require.Equal(t, sd.Job, of.Job)
 		require.Equal(t, sd.Target, of.Target)
 		require.Equal(t, sd.Incarnation, of.Incarnation)
-		require.Equal(t, sd.TimeLeft, of.Patience)
-		require.Equal(t, sd.Requirements, of.Wish)
+		require.Equal(t, sd.TimeLeft, of.TimeLeft)
+		require.Equal(t, sd.Requirements, of.Requirements)
 	}
 }
 
--- a/internal/carobingress/ingress.go
+++ b/internal/carobingress/ingress.go
@@ -67,8 +67,8 @@
 func NewIngress(c Config) *Ingress {
 	i := &Ingress{config: c}
 	i.server = carobserver.NewServer(carobserver.Config{
-		Handler: i, Timer: c.Timer, Header: c.Limits.Header, Body: c.Limits.Body,
-		Head: c.Limits.Head.Duration(), Stall: c.Limits.Stall.Duration(), Idle: c.Limits.Idle.Duration(),
+		Handler: i, Timer: c.Timer, Header: c.Limits.HeaderSize, Body: c.Limits.BodySize,
+		Head: c.Limits.HeaderTimeout.Duration(), Stall: c.Limits.StallTimeout.Duration(), Idle: c.Limits.IdleTimeout.Duration(),
 		Most: pipelined,
 	})
 	return i
@@ -106,8 +106,8 @@
 	}
 	held := int64(len(rq.Body()))
 	defer i.kept.Add(-held)
-	if i.kept.Add(held) > int64(i.config.Limits.Kept) {
-		c.Refuse(carobkind.Busy, carobkind.Busy.Retry(), "too many bodies are on their way")
+	if i.kept.Add(held) > int64(i.config.Limits.BufferedBodySize) {
+		c.Refuse(carobkind.Busy, carobkind.Busy.RetryAfter(), "too many bodies are on their way")
 		return
 	}
 	ar.Call = carobcallid.ID{
@@ -150,7 +150,7 @@
 // Refuse tells an error.
 func (c *caller) Refuse(kind carobkind.Kind, after time.Duration, detail string) {
 	rs := &fasthttp.Response{}
-	after = cmp.Or(after, kind.Retry())
+	after = cmp.Or(after, kind.RetryAfter())
 	c.ingress.config.Dialect.Refuse(rs, c.visit.Request(), kind, after, detail)
 	c.visit.Reply(rs)
 }
--- a/internal/carobledger/ledger.go
+++ b/internal/carobledger/ledger.go
@@ -81,7 +81,7 @@
 }
 
 // Of returns the offset of the profile in force under a name, or None.
-func (l *Ledger) Of(name carobword.Word) caroboffset.Offset {
+func (l *Ledger) Of(name carobword.Name) caroboffset.Offset {
 	if rv := l.world.Profiles.Get(name); rv != nil {
 		return rv.Offset
 	}
@@ -92,16 +92,16 @@
 // more than once won if one of its records did.
 func (l *Ledger) Find(id string) (found carobchangeresult.ChangeResult, ok bool) {
 	for _, cr := range l.History {
-		if cr.Change.ID == id && (cr.Won || !ok) {
+		if cr.Change.ID == id && (cr.Applied || !ok) {
 			found, ok = cr, true
 		}
-		if ok && found.Won {
+		if ok && found.Applied {
 			return found, true
 		}
 	}
 	for _, rv := range l.InForce() {
 		if rv.Change.ID == id {
-			return carobchangeresult.ChangeResult{Change: rv.Change, Offset: rv.Offset, Won: true}, true
+			return carobchangeresult.ChangeResult{Change: rv.Change, Offset: rv.Offset, Applied: true}, true
 		}
 	}
 	return found, ok
--- a/internal/carobmeter/meter.go
+++ b/internal/carobmeter/meter.go
@@ -77,7 +77,7 @@
 		ld.slots.Update(float64(rp.Slots))
 	}
 	for i := range out.Hops {
-		m.histogram(out.Hops[i].Role).RecordDuration(out.Hops[i].Took.Duration())
+		m.histogram(out.Hops[i].Role).RecordDuration(out.Hops[i].Duration.Duration())
 	}
 	m.add("attempts", len(out.Sends))
 	m.add("starts", len(out.Starts))
--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -63,7 +63,7 @@
 	Refuse(rs *fasthttp.Response, rq *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
 	Ask(rq *fasthttp.Request, st *carobstart.Start, target carobtargetid.ID)
 	Check(rq *fasthttp.Request, address carobaddress.Address)
-	Identity(rs *fasthttp.Response) (carobword.Word, int)
+	Identity(rs *fasthttp.Response) (carobword.Name, int)
 	Mine(rq *fasthttp.Request, rs *fasthttp.Response) bool
 	Judge(rs *fasthttp.Response) (carobkind.Kind, *carobpressure.TargetLoad)
 }
--- a/internal/carobnode/wire_traffic.go
+++ b/internal/carobnode/wire_traffic.go
@@ -46,12 +46,12 @@
 	do.Provide(i, func(i do.Injector) (*carobadmitter.Admitter, error) {
 		targets := carobpool.Config{
 			Timer: do.MustInvoke[*carobtimer.Timer](i), Dial: dialPatience, Idle: targetIdle, Kept: idleConns,
-			Header: int(st.Limits.Header), Stall: st.Limits.Stall.Duration(),
+			Header: int(st.Limits.HeaderSize), Stall: st.Limits.StallTimeout.Duration(),
 		}
 		c := carobadmitter.Config{
 			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](i),
 			Watch:   do.MustInvoke[*carobwatch.Watch](i), Timer: do.MustInvoke[*carobtimer.Timer](i),
-			Stall: st.Limits.Stall.Duration(),
+			Stall: st.Limits.StallTimeout.Duration(),
 		}
 		if n.config.Dialect != nil {
 			targets.Recent, targets.Alive, targets.Unframed, targets.Mine = recent, alive, true, n.config.Dialect.Mine
@@ -63,7 +63,7 @@
 	do.Provide(i, func(i do.Injector) (*carobrelay.Relay, error) {
 		peers := carobpool.Config{
 			Timer: do.MustInvoke[*carobtimer.Timer](i), Dial: dialPatience, Idle: peerIdle, Kept: idleConns, Ask: true,
-			Header: peerRoom + int(st.Limits.Header), Stall: st.Limits.Stall.Duration(),
+			Header: peerRoom + int(st.Limits.HeaderSize), Stall: st.Limits.StallTimeout.Duration(),
 		}
 		if n.config.Dialect != nil {
 			peers.Dial, peers.Recent, peers.Alive = peerPatience, recent, alive
@@ -93,11 +93,11 @@
 			Handler:              do.MustInvoke[*carobadmitter.Admitter](i).Serve,
 			ExpectHandler:        do.MustInvoke[*carobadmitter.Admitter](i).Expect,
 			ErrorHandler:         do.MustInvoke[*carobadmitter.Admitter](i).Fail,
-			ReadBufferSize:       peerRoom + int(st.Limits.Header),
+			ReadBufferSize:       peerRoom + int(st.Limits.HeaderSize),
 			MaxRequestBodySize:   math.MaxInt,
-			ReadTimeout:          st.Limits.Head.Duration(),
+			ReadTimeout:          st.Limits.HeaderTimeout.Duration(),
 			IdleTimeout:          2 * peerIdle,
-			WriteTimeout:         st.Limits.Stall.Duration(),
+			WriteTimeout:         st.Limits.StallTimeout.Duration(),
 			StreamRequestBody:    true,
 			NoDefaultContentType: true, NoDefaultServerHeader: true, CloseOnShutdown: true,
 			DisablePreParseMultipartForm: true,
--- a/internal/carobplatform/client.go
+++ b/internal/carobplatform/client.go
@@ -86,16 +86,16 @@
 	defer func() { _ = rs.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(rs.Body, longest))
 	if err != nil {
-		return carobkind.Wrap(carobkind.Unsure, err, "read the log's answer")
+		return carobkind.Wrap(carobkind.AppendUncertain, err, "read the log's answer")
 	}
 	if rs.StatusCode == http.StatusServiceUnavailable {
-		return carobkind.New(carobkind.LogOut, "the log answers status %d", rs.StatusCode)
+		return carobkind.New(carobkind.LogUnavailable, "the log answers status %d", rs.StatusCode)
 	}
 	if rs.StatusCode != http.StatusOK {
-		return carobkind.New(carobkind.Unsure, "the log answers status %d", rs.StatusCode)
+		return carobkind.New(carobkind.AppendUncertain, "the log answers status %d", rs.StatusCode)
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return carobkind.Wrap(carobkind.Unsure, err, "decode the log's answer")
+		return carobkind.Wrap(carobkind.AppendUncertain, err, "decode the log's answer")
 	}
 	return nil
 }
--- a/internal/carobplatform/unsent.go
+++ b/internal/carobplatform/unsent.go
@@ -13,7 +13,7 @@
 func unsent(err error) carobkind.Kind {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return carobkind.LogOut
+		return carobkind.LogUnavailable
 	}
-	return carobkind.Unsure
+	return carobkind.AppendUncertain
 }
--- a/internal/carobpool/exchange.go
+++ b/internal/carobpool/exchange.go
@@ -177,17 +177,17 @@
 			continue
 		}
 		if rs.StatusCode() == fasthttp.StatusSwitchingProtocols {
-			return nil, carobkind.New(carobkind.Cut, "the other end switched protocols unasked")
+			return nil, carobkind.New(carobkind.ConnectionLost, "the other end switched protocols unasked")
 		}
 	}
-	return nil, carobkind.New(carobkind.Cut, "too many interim answers")
+	return nil, carobkind.New(carobkind.ConnectionLost, "too many interim answers")
 }
 
 // passOver reads an answer to an earlier request to its end.
 func (x *exchange) passOver(rs *fasthttp.Response) error {
 	length := rs.Header.ContentLength()
 	if length < 0 || length > chunkSize || rs.ConnectionClose() {
-		return carobkind.New(carobkind.Cut, "the answer belongs to another request")
+		return carobkind.New(carobkind.ConnectionLost, "the answer belongs to another request")
 	}
 	if rs.BodyStream() == nil {
 		return nil
@@ -213,7 +213,7 @@
 		return rs, nil
 	}
 	if rs.Header.ContentLength() < -1 && !x.config.Unframed {
-		return nil, carobkind.New(carobkind.Cut, "the answer has neither a length nor chunks")
+		return nil, carobkind.New(carobkind.ConnectionLost, "the answer has neither a length nor chunks")
 	}
 	return rs, rs.ReadBody(x.conn.reader, 0)
 }
@@ -233,7 +233,7 @@
 	}
 	head = bytes.ToLower(head)
 	if bytes.Contains(head, lengthName) && bytes.Contains(head, codingName) {
-		return carobkind.New(carobkind.Cut, "the answer has both a length and a transfer encoding")
+		return carobkind.New(carobkind.ConnectionLost, "the answer has both a length and a transfer encoding")
 	}
 	return nil
 }
--- a/internal/carobpool/pool.go
+++ b/internal/carobpool/pool.go
@@ -121,7 +121,7 @@
 		if cx.Err() != nil {
 			return nil, carobkind.Wrap(carobkind.Cancelled, err, "exchange")
 		}
-		return nil, carobkind.Wrap(carobkind.Cut, err, "exchange")
+		return nil, carobkind.Wrap(carobkind.ConnectionLost, err, "exchange")
 	}
 	bd := &body{pool: p, conn: cn, stop: stop, exchange: x, keep: !rs.ConnectionClose(), stream: rs.BodyStream()}
 	length := max(rs.Header.ContentLength(), -1)
--- a/internal/carobpool/pool_test.go
+++ b/internal/carobpool/pool_test.go
@@ -357,7 +357,7 @@
 			broken := io.MultiReader(strings.NewReader(strings.Repeat("x", 50_000)), failing{})
 			rq.SetBodyStream(broken, length)
 			_, _, err := ask(t, newPool(t, nil), pr, rq)
-			require.Equal(t, carobkind.Cut, carobkind.Of(err))
+			require.Equal(t, carobkind.ConnectionLost, carobkind.Of(err))
 			require.Error(t, <-seen)
 		})
 	}
--- a/internal/carobpool/strict_test.go
+++ b/internal/carobpool/strict_test.go
@@ -61,7 +61,7 @@
 		return false
 	})
 	_, err := fetch(t, newPool(t, func(c *Config) { c.Mine = mine }), pr, "r1", false)
-	require.Equal(t, carobkind.Cut, carobkind.Of(err))
+	require.Equal(t, carobkind.ConnectionLost, carobkind.Of(err))
 }
 
 func TestAnswerMayEndWithItsConnection(t *testing.T) {
--- a/internal/carobrelay/relay.go
+++ b/internal/carobrelay/relay.go
@@ -78,8 +78,8 @@
 
 func (r *Relay) own(cx context.Context, sd carobsend.Send, rq *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error) {
 	of := caroboffer.Offer{
-		Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, Patience: sd.TimeLeft, Wish: sd.Requirements,
-		Key: string(rq.Header.Peek(carobheader.Key)), Trace: string(rq.Header.Peek(carobheader.Trace)),
+		Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, TimeLeft: sd.TimeLeft, Requirements: sd.Requirements,
+		Key: string(rq.Header.Peek(carobheader.Key)), Traceparent: string(rq.Header.Peek(carobheader.Trace)),
 	}
 	an, err := r.config.Own.Do(cx, of, rq)
 	return an, r.config.Own.Report(sd.Target), err
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -59,7 +59,7 @@
 
 // kind is a kind of calls.
 type kind struct {
-	Name    carobword.Word       `json:"name"`
+	Name    carobword.Name       `json:"name"`
 	Service carobservice.Service `json:"service"`
 	// Rate is how many calls come a second from outside; 0 if only targets make them.
 	Rate float64 `json:"rate"`
@@ -79,7 +79,7 @@
 	Retries int `json:"retries"`
 	// Calls is the kind of the calls that a target makes while it runs one of this kind,
 	// Times how many one after the other, and Share how many of the runs make them.
-	Calls carobword.Word   `json:"calls"`
+	Calls carobword.Name   `json:"calls"`
 	Times int              `json:"times"`
 	Share carobshare.Share `json:"share"`
 }
@@ -88,7 +88,7 @@
 func NewScenario() Scenario {
 	const centre = carobcentre.Centre("here")
 	pf := carobprofile.NewProfile("emulated")
-	pf.Hedge, pf.Near, pf.Policy = 0, 0, "local"
+	pf.HedgeQuantile, pf.LocalLoadLimit, pf.Policy = 0, 0, "local"
 	return Scenario{
 		Centres: []carobcentre.Centre{centre}, Measure: carobmeasure.NewProbeLimits(), Retries: carobretries.NewRetryLimits(), Profile: pf,
 	}
@@ -124,7 +124,7 @@
 	if err := s.Profile.Check(); err != nil {
 		return err
 	}
-	services, kinds := map[carobservice.Service]bool{}, map[carobword.Word]bool{}
+	services, kinds := map[carobservice.Service]bool{}, map[carobword.Name]bool{}
 	for i := range s.Services {
 		sv := &s.Services[i]
 		if sv.Targets < 1 || sv.Slots < 1 {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (k *kind) check(services map[carobservice.Service]bool, before map[carobword.Word]bool) error {
+func (k *kind) check(services map[carobservice.Service]bool, before map[carobword.Name]bool) error {
 	switch {
 	case !services[k.Service]:
 		return carobkind.New(carobkind.Invalid, "kind %s: there is no service %q", k.Name, k.Service)
--- a/internal/carobserver/conn.go
+++ b/internal/carobserver/conn.go
@@ -292,7 +292,7 @@
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		return carobkind.Wrap(carobkind.TooLarge, err, "read body")
 	case errors.As(err, &network) && network.Timeout():
-		return carobkind.Wrap(carobkind.Slow, err, "read request")
+		return carobkind.Wrap(carobkind.RequestTimeout, err, "read request")
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &network):
 		return carobkind.Wrap(carobkind.Internal, err, "read request")
 	default:
--- a/internal/carobstandlog/log_test.go
+++ b/internal/carobstandlog/log_test.go
@@ -90,11 +90,11 @@
 		there int
 	}{
 		{"none", `{}`, carobkind.None, carobkind.None, 2},
-		{"outage", `{"out": true}`, carobkind.LogOut, carobkind.LogOut, 1},
-		{"deaf", `{"deaf": true}`, carobkind.None, carobkind.LogOut, 2},
-		{"answer lost", `{"lose": 1}`, carobkind.Unsure, carobkind.None, 2},
-		{"append dropped", `{"drop": 1}`, carobkind.Unsure, carobkind.None, 1},
-		{"slow", `{"slow": "1h"}`, carobkind.Unsure, carobkind.Unsure, 1},
+		{"outage", `{"out": true}`, carobkind.LogUnavailable, carobkind.LogUnavailable, 1},
+		{"deaf", `{"deaf": true}`, carobkind.None, carobkind.LogUnavailable, 2},
+		{"answer lost", `{"lose": 1}`, carobkind.AppendUncertain, carobkind.None, 2},
+		{"append dropped", `{"drop": 1}`, carobkind.AppendUncertain, carobkind.None, 1},
+		{"slow", `{"slow": "1h"}`, carobkind.AppendUncertain, carobkind.AppendUncertain, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cl, url := start(t, 200*time.Millisecond)
--- a/internal/carobstandtarget/announce.go
+++ b/internal/carobstandtarget/announce.go
@@ -46,7 +46,7 @@
 
 func (t *Target) announce(cx context.Context, address carobaddress.Address, state carobreadiness.Readiness) {
 	data, err := json.Marshal(carobannouncement.Announcement{
-		Address: address, Profile: t.config.Profile, Slots: t.config.Slots, Conns: t.config.Conns, State: state,
+		Address: address, Profile: t.config.Profile, Slots: t.config.Slots, Connections: t.config.Conns, Readiness: state,
 	})
 	if err == nil {
 		t.tell(cx, http.MethodPut, data)
--- a/internal/carobstandtarget/target.go
+++ b/internal/carobstandtarget/target.go
@@ -21,7 +21,7 @@
 // Config is how a target is made.
 type Config struct {
 	ID      carobtargetid.ID
-	Profile carobword.Word
+	Profile carobword.Name
 	Slots   int
 	Conns   int
 	// Behaviour is the one to begin with.
--- a/internal/carobstatus/status.go
+++ b/internal/carobstatus/status.go
@@ -54,7 +54,7 @@
 type target struct {
 	ID      carobtargetid.ID         `json:"id"`
 	Node    carobnodeid.ID           `json:"node"`
-	Profile carobword.Word           `json:"profile"`
+	Profile carobword.Name           `json:"profile"`
 	State   carobreadiness.Readiness `json:"state"`
 	Slots   int                      `json:"slots"`
 	Running int                      `json:"running"`
@@ -77,7 +77,7 @@
 }
 
 type profile struct {
-	Name   carobword.Word     `json:"name"`
+	Name   carobword.Name     `json:"name"`
 	Offset caroboffset.Offset `json:"offset"`
 	Who    string             `json:"who"`
 }
--- a/internal/carobtail/tail.go
+++ b/internal/carobtail/tail.go
@@ -70,7 +70,7 @@
 func (t *Tail) post(pg carobpage.Page) {
 	t.config.Mailbox.Post(func(in *carobinbox.Inbox) {
 		in.Records = append(in.Records, pg.Records...)
-		in.StreamBounds = append(in.StreamBounds, carobmark.Mark{Stream: t.config.Stream, First: pg.First, Next: pg.Next})
+		in.StreamBounds = append(in.StreamBounds, carobmark.StreamBounds{Stream: t.config.Stream, First: pg.First, Next: pg.Next})
 	})
 }
 
--- a/internal/carobtracewriter/writer.go
+++ b/internal/carobtracewriter/writer.go
@@ -112,9 +112,9 @@
 		au.When = t.config.Timer.Wall().UTC()
 	}
 	t.config.Logger.WithFields(logrus.Fields{
-		"part": au.Part, "who": au.Who, "what": au.What, "from": au.From, "to": au.To,
+		"part": au.Component, "who": au.Who, "what": au.What, "from": au.From, "to": au.To,
 	}).Info("audit: changed")
-	if !au.Local {
+	if !au.LocalOnly {
 		t.bundles[carobstream.Audit].add(au)
 	}
 }
--- a/internal/carobtracewriter/writer_test.go
+++ b/internal/carobtracewriter/writer_test.go
@@ -42,7 +42,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.out {
-		return 0, carobkind.LogOut
+		return 0, carobkind.LogUnavailable
 	}
 	l.records[stream] = append(l.records[stream], data)
 	l.grown <- stream
@@ -102,7 +102,7 @@
 	sc, lines := newTraceWriter(t, log)
 	sc.Carry(&caroboutbox.Outbox{
 		Hops:   make([]carobhop.Hop, 3),
-		Audits: []carobaudit.Audit{{Part: "target", Who: "first", What: "rota/a", From: "ready", To: "leaving"}, {Part: "profile", Local: true}},
+		Audits: []carobaudit.Audit{{Component: "target", Who: "first", What: "rota/a", From: "ready", To: "leaving"}, {Component: "profile", LocalOnly: true}},
 	})
 	require.Contains(t, lines.String(), "audit: changed")
 	go sc.Run(t.Context())
@@ -157,7 +157,7 @@
 				random = random*6364136223846793005 + 1442695040888963407
 				trace[j] = 'a' + byte(random>>59)
 			}
-			out.Hops[i].Trace = string(trace)
+			out.Hops[i].Traceparent = string(trace)
 		}
 		sc.Carry(out)
 	}
--- a/internal/carobtransport/cost_test.go
+++ b/internal/carobtransport/cost_test.go
@@ -72,7 +72,7 @@
 			To: carobaddress.Address(ls.Addr().String()), From: w.Self.Node, Incarnation: w.Self.Incarnation, ReplyTo: w.Self.PeerAddress,
 		}
 		if i%2 == 0 {
-			ms.LoadProbe = &carobpoll.Poll{Target: target}
+			ms.LoadProbe = &carobpoll.LoadProbe{Target: target}
 		} else {
 			ms.Report = &carobreport.Report{Target: target, Running: 1 << 20, Queued: 1 << 20, Slots: 1 << 20, Latency: 1<<62 + 1}
 		}
--- a/internal/carobupload/upload.go
+++ b/internal/carobupload/upload.go
@@ -125,7 +125,7 @@
 func (u *Upload) Attach(rq *fasthttp.Request) error {
 	switch {
 	case u.Spent():
-		return carobkind.New(carobkind.Spent, "the body was sent already and is too long to be kept")
+		return carobkind.New(carobkind.NotResendable, "the body was sent already and is too long to be kept")
 	case u.streamed:
 		rq.SetBodyStream(&claim{upload: u}, u.config.Length)
 	case u.config.Stream != nil || len(u.kept) > 0:
@@ -192,7 +192,7 @@
 func (c *claim) Read(into []byte) (int, error) {
 	if !c.mine {
 		if !c.upload.claimed.CompareAndSwap(false, true) {
-			return 0, carobkind.New(carobkind.Spent, "the body is being sent by another attempt")
+			return 0, carobkind.New(carobkind.NotResendable, "the body is being sent by another attempt")
 		}
 		c.mine = true
 	}
@@ -215,7 +215,7 @@
 	case carobkind.Of(err) == carobkind.TooLarge:
 		return err
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return carobkind.Wrap(carobkind.Slow, err, "read body")
+		return carobkind.Wrap(carobkind.RequestTimeout, err, "read body")
 	default:
 		return carobkind.Wrap(carobkind.Invalid, err, "read body")
 	}
--- a/internal/carobupload/upload_test.go
+++ b/internal/carobupload/upload_test.go
@@ -64,7 +64,7 @@
 			require.Equal(t, c.body, body)
 			again, err := read(t, u)
 			if c.streamed {
-				require.Equal(t, carobkind.Spent, carobkind.Of(err))
+				require.Equal(t, carobkind.NotResendable, carobkind.Of(err))
 				require.True(t, u.Spent())
 				return
 			}
@@ -107,7 +107,7 @@
 	_, err = first.BodyStream().Read(make([]byte, 10))
 	require.NoError(t, err)
 	_, err = second.BodyStream().Read(make([]byte, 10))
-	require.Equal(t, carobkind.Spent, carobkind.Of(err))
+	require.Equal(t, carobkind.NotResendable, carobkind.Of(err))
 	rest, err := io.ReadAll(first.BodyStream())
 	require.NoError(t, err)
 	require.Len(t, rest, 40)
@@ -131,7 +131,7 @@
 	require.Error(t, <-ended)
 	_, err = rq.BodyStream().Read(make([]byte, 10))
 	require.Error(t, err, "nothing is read after the release")
-	require.Equal(t, carobkind.Spent, carobkind.Of(u.Attach(rq)))
+	require.Equal(t, carobkind.NotResendable, carobkind.Of(u.Attach(rq)))
 }
 
 // A sender that stands still is cut off, and told so.
@@ -141,5 +141,5 @@
 	_, err := newUpload(t, "", 5, func(c *Config) {
 		c.Stream, c.Conn, c.Stall = near, near, 10*time.Millisecond
 	})
-	require.Equal(t, carobkind.Slow, carobkind.Of(err))
+	require.Equal(t, carobkind.RequestTimeout, carobkind.Of(err))
 }
--- a/internal/carobvisit/visit.go
+++ b/internal/carobvisit/visit.go
@@ -100,7 +100,7 @@
 	errClose := an.Body.Close()
 	v.end(err == nil)
 	if err != nil || errClose != nil && !an.Bodiless {
-		return carobkind.Cut
+		return carobkind.ConnectionLost
 	}
 	return carobkind.None
 }
--- a/pkg/carobadmission/latency_test.go
+++ b/pkg/carobadmission/latency_test.go
@@ -15,7 +15,7 @@
 func TestLatencyFollowsMostRecentStarts(t *testing.T) {
 	const ms = time.Millisecond
 	start := carobinstant.Instant(time.Hour)
-	gt := &carobgate.Gate{}
+	gt := &carobgate.AdmissionState{}
 	for i := range 50 {
 		at := start.Add(time.Duration(i) * 2 * ms)
 		updateLatency(gt, at, at.Add(20*ms))
--- a/pkg/carobadmission/limit.go
+++ b/pkg/carobadmission/limit.go
@@ -26,9 +26,9 @@
 // jobLimit returns how many jobs may run at a target now, at least 1. The limit is
 // lower while neighbours of the VM use its processor: jobs then take several times as
 // long, and starting more of them would only delay all of them.
-func jobLimit(gt *carobgate.Gate, now carobinstant.Instant) int {
+func jobLimit(gt *carobgate.AdmissionState, now carobinstant.Instant) int {
 	slots := float64(gt.Slots)
-	if gt.Slowness > slownessThreshold && now.Sub(gt.Told) < maxLimitReadingAge {
+	if gt.Slowness > slownessThreshold && now.Sub(gt.SlownessReadAt) < maxLimitReadingAge {
 		slots *= slowSlotShare
 	}
 	return max(1, int(slots+0.5))
@@ -37,8 +37,8 @@
 // jobLimitFor returns the number of running jobs below which the job may start, at
 // least 1. Some slots are reserved for nested calls because targets that call each
 // other would deadlock if jobs waiting for nested calls held every slot.
-func jobLimitFor(gt *carobgate.Gate, now carobinstant.Instant, jb *carobjob.Job) int {
-	if isNested(jb) || gt.Awaited == carobinstant.Never || now.Sub(gt.Awaited) > reservationPeriod {
+func jobLimitFor(gt *carobgate.AdmissionState, now carobinstant.Instant, jb *carobjob.Job) int {
+	if isNested(jb) || gt.LastNestedAt == carobinstant.Never || now.Sub(gt.LastNestedAt) > reservationPeriod {
 		return gt.Limit
 	}
 	return max(1, gt.Limit-int(reservedSlotShare*float64(gt.Limit)+0.5))
--- a/pkg/carobadmission/slowness.go
+++ b/pkg/carobadmission/slowness.go
@@ -48,48 +48,48 @@
 )
 
 // handleHealth records the result of a health check and updates the job limit.
-func handleHealth(w *carobworld.World, now carobinstant.Instant, hl carobhealth.Health) {
+func handleHealth(w *carobworld.World, now carobinstant.Instant, hl carobhealth.CheckResult) {
 	gt := w.AdmissionStates.Get(hl.Target)
 	if gt == nil {
 		return
 	}
-	gt.Asked = carobinstant.Never
+	gt.CheckSentAt = carobinstant.Never
 	switch {
-	case hl.Pressure == nil:
-		gt.QuietUntil = now.Add(unansweredBackoff)
+	case hl.TargetLoad == nil:
+		gt.CheckBackoffEnd = now.Add(unansweredBackoff)
 		return
-	case hl.Pressure.Slowness == 0:
-		gt.QuietUntil = now.Add(noReadingBackoff)
+	case hl.TargetLoad.Slowness == 0:
+		gt.CheckBackoffEnd = now.Add(noReadingBackoff)
 		return
 	}
-	recordReading(gt, now, hl.Pressure.Slowness)
+	recordReading(gt, now, hl.TargetLoad.Slowness)
 	gt.Limit = jobLimit(gt, now)
-	gt.Changed = true
+	gt.ReportDue = true
 }
 
 // recordReading records a slowness reading of a target's VM. A reading that is not slow
 // becomes the baseline at once. If all readings are slow for baselineDelay, at most
 // maxReadingGap apart, their minimum becomes the baseline.
-func recordReading(gt *carobgate.Gate, now carobinstant.Instant, slowness float64) {
-	previous := gt.Told
-	gt.Slowness, gt.Told = slowness, now
+func recordReading(gt *carobgate.AdmissionState, now carobinstant.Instant, slowness float64) {
+	previous := gt.SlownessReadAt
+	gt.Slowness, gt.SlownessReadAt = slowness, now
 	switch {
 	case !isSlow(gt):
-		gt.Usual, gt.SlowSince = max(1, slowness), carobinstant.Never
+		gt.Baseline, gt.SlowSince = max(1, slowness), carobinstant.Never
 	case gt.SlowSince == carobinstant.Never || now.Sub(previous) > maxReadingGap:
-		gt.SlowSince, gt.SlowLeast = now, slowness
+		gt.SlowSince, gt.MinSlowness = now, slowness
 	default:
-		gt.SlowLeast = min(gt.SlowLeast, slowness)
+		gt.MinSlowness = min(gt.MinSlowness, slowness)
 		if gt.SlowSince.Add(baselineDelay).Reached(now) {
-			gt.Usual, gt.SlowSince = gt.SlowLeast, carobinstant.Never
+			gt.Baseline, gt.SlowSince = gt.MinSlowness, carobinstant.Never
 		}
 	}
 }
 
 // isSlow reports whether the newest reading is above slownessThreshold times the
 // baseline.
-func isSlow(gt *carobgate.Gate) bool {
-	return gt.Slowness > slownessThreshold*max(1, gt.Usual)
+func isSlow(gt *carobgate.AdmissionState) bool {
+	return gt.Slowness > slownessThreshold*max(1, gt.Baseline)
 }
 
 // mayStart reports whether the VM of a target is fast enough to start a job now. It
@@ -97,42 +97,42 @@
 // can be obtained: if checks are disabled or backing off, if a check takes longer than
 // checkTimeout, or if the check budget is spent and there is no slow reading younger
 // than maxReadingGap.
-func mayStart(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target, gt *carobgate.Gate) bool {
+func mayStart(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target, gt *carobgate.AdmissionState) bool {
 	rate := float64(w.ProbeLimits.ChecksPerSecond)
-	if rate == 0 || gt.QuietUntil != carobinstant.Never && !gt.QuietUntil.Reached(now) {
+	if rate == 0 || gt.CheckBackoffEnd != carobinstant.Never && !gt.CheckBackoffEnd.Reached(now) {
 		return true
 	}
-	if gt.Told != carobinstant.Never && !isSlow(gt) && now.Sub(gt.Told) < maxReadingAge {
+	if gt.SlownessReadAt != carobinstant.Never && !isSlow(gt) && now.Sub(gt.SlownessReadAt) < maxReadingAge {
 		return true
 	}
-	if until := gt.Told.Add(maxSlowReadingAge); isSlow(gt) && !until.Reached(now) {
+	if until := gt.SlownessReadAt.Add(maxSlowReadingAge); isSlow(gt) && !until.Reached(now) {
 		w.WakeAt(until)
 		return false
 	}
-	if gt.Asked != carobinstant.Never {
-		due := gt.Asked.Add(checkTimeout)
+	if gt.CheckSentAt != carobinstant.Never {
+		due := gt.CheckSentAt.Add(checkTimeout)
 		w.WakeAt(due)
 		return due.Reached(now)
 	}
-	gt.Checks.Fill(now, rate, checkBurst*rate)
-	if !gt.Checks.Take(1) {
+	gt.CheckBudget.Fill(now, rate, checkBurst*rate)
+	if !gt.CheckBudget.Take(1) {
 		w.WakeAt(now.Add(maxSlowReadingAge))
-		return !isSlow(gt) || now.Sub(gt.Told) >= maxReadingGap
+		return !isSlow(gt) || now.Sub(gt.SlownessReadAt) >= maxReadingGap
 	}
-	gt.Asked = now
-	w.Outbox.HealthChecks = append(w.Outbox.HealthChecks, carobcheck.Check{Target: tg.ID, Address: tg.Address})
+	gt.CheckSentAt = now
+	w.Outbox.HealthChecks = append(w.Outbox.HealthChecks, carobcheck.HealthCheck{Target: tg.ID, Address: tg.Address})
 	w.WakeAt(now.Add(checkTimeout))
 	return false
 }
 
 // refuseMovable refuses the queued jobs that can move to another target while this
 // target's VM is slow, because another target may run them sooner.
-func refuseMovable(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobgate.Gate) {
-	if w.ProbeLimits.ChecksPerSecond == 0 || !isSlow(gt) || now.Sub(gt.Told) > maxSlowReadingAge {
+func refuseMovable(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobgate.AdmissionState) {
+	if w.ProbeLimits.ChecksPerSecond == 0 || !isSlow(gt) || now.Sub(gt.SlownessReadAt) > maxSlowReadingAge {
 		return
 	}
 	for _, jb := range w.Jobs.All() {
-		if jb.Offer.Target == id && jb.Started == carobinstant.Never && jb.Offer.Wish.Movable {
+		if jb.Offer.Target == id && jb.StartedAt == carobinstant.Never && jb.Offer.Requirements.Movable {
 			shed(w, now, jb, gt, "VM is slow")
 		}
 	}
--- a/pkg/carobadmission/slowness_test.go
+++ b/pkg/carobadmission/slowness_test.go
@@ -27,8 +27,8 @@
 // completeCheck steps with a health check result of the given slowness and returns how
 // many jobs the step started.
 func (r *rig) completeCheck(slowness float64) int {
-	r.step(time.Millisecond, carobinbox.Inbox{CheckResults: []carobhealth.Health{
-		{Target: target, Pressure: &carobpressure.TargetLoad{Slots: 12, Slowness: slowness}},
+	r.step(time.Millisecond, carobinbox.Inbox{CheckResults: []carobhealth.CheckResult{
+		{Target: target, TargetLoad: &carobpressure.TargetLoad{Slots: 12, Slowness: slowness}},
 	}})
 	return len(r.world.Outbox.Starts)
 }
@@ -108,7 +108,7 @@
 		}},
 		{"the check fails", func(_ *testing.T, r *rig) {
 			r.offer(wish(1, usualSlo))
-			r.step(time.Millisecond, carobinbox.Inbox{CheckResults: []carobhealth.Health{{Target: target}}})
+			r.step(time.Millisecond, carobinbox.Inbox{CheckResults: []carobhealth.CheckResult{{Target: target}}})
 		}},
 		{"the check takes long", func(t *testing.T, r *rig) {
 			t.Helper()
--- a/pkg/carobadmission/system.go
+++ b/pkg/carobadmission/system.go
@@ -65,8 +65,8 @@
 // calls again.
 func withdrawQueued(w *carobworld.World) {
 	for _, jb := range w.Jobs.All() {
-		if jb.Started == carobinstant.Never {
-			carobfencing.Withdraw(w, jb, carobkind.Withdrawn)
+		if jb.StartedAt == carobinstant.Never {
+			carobfencing.RefuseQueued(w, jb, carobkind.Withdrawn)
 		}
 	}
 }
@@ -87,11 +87,11 @@
 		refuse(w, of, carobkind.Busy)
 		return
 	}
-	jb := w.Jobs.Put(of.Job, carobjob.Job{Offer: of, Came: now, Deadline: now.Add(of.Patience)})
-	gt.Changed = true
+	jb := w.Jobs.Put(of.Job, carobjob.Job{Offer: of, ArrivedAt: now, Deadline: now.Add(of.TimeLeft)})
+	gt.ReportDue = true
 	gt.Limit = jobLimit(gt, now)
 	if isNested(jb) {
-		gt.Awaited = now
+		gt.LastNestedAt = now
 	}
 	if gt.Running < jobLimitFor(gt, now, jb) && gt.Queued == 0 && mayStart(w, now, tg, gt) {
 		startJob(w, now, jb, tg, gt)
@@ -105,12 +105,12 @@
 }
 
 // shed refuses a queued job with kind Busy and records the reason as a decision.
-func shed(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, gt *carobgate.Gate, reason string) {
+func shed(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, gt *carobgate.AdmissionState, reason string) {
 	w.RecordDecision(carobdecision.Decision{
-		Part: "admit", Text: reason, Request: jb.Offer.Wish.Request, Call: jb.Offer.Job.Call,
-		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Kind: carobkind.Busy, Inputs: decisionInputs(gt, now, jb.Came),
+		Component: "admit", Text: reason, Request: jb.Offer.Requirements.Request, Call: jb.Offer.Job.Call,
+		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Kind: carobkind.Busy, Inputs: decisionInputs(gt, now, jb.ArrivedAt),
 	})
-	carobfencing.Withdraw(w, jb, carobkind.Busy)
+	carobfencing.RefuseQueued(w, jb, carobkind.Busy)
 }
 
 // isDuplicate reports whether an offer of the job was accepted before. A duplicate
@@ -129,13 +129,13 @@
 	switch {
 	case of.Incarnation != w.Self.Incarnation, tg == nil, !w.Owns(tg):
 		return carobkind.Stale
-	case w.Paused, carobfencing.Fenced(w, of.Job):
+	case w.Paused, carobfencing.IsFenced(w, of.Job):
 		return carobkind.Withdrawn
 	case w.Stopping, tg.Readiness == carobreadiness.Leaving:
 		return carobkind.Leaving
-	case of.Patience <= 0:
-		return carobkind.Late
-	case of.Wish.Guarantee != carobonce.Idempotent && w.ShutdownDeadline.Before(now.Add(of.Patience)):
+	case of.TimeLeft <= 0:
+		return carobkind.NotStartedInTime
+	case of.Requirements.Guarantee != carobonce.Idempotent && w.ShutdownDeadline.Before(now.Add(of.TimeLeft)):
 		// If the node ended before the response, the entry node could not find out
 		// whether the job ran.
 		return carobkind.Leaving
@@ -151,20 +151,20 @@
 	if rv == nil {
 		return 0
 	}
-	return rv.Change.Profile.Queue
+	return rv.Change.Profile.QueueLimit
 }
 
 // startJob marks the job as started and adds the start to the outbox.
-func startJob(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, tg *carobtarget.Target, gt *carobgate.Gate) {
-	jb.Started = now
+func startJob(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, tg *carobtarget.Target, gt *carobgate.AdmissionState) {
+	jb.StartedAt = now
 	gt.Running++
 	w.RecordDecision(carobdecision.Decision{
-		Part: "admit", Text: "job started", Request: jb.Offer.Wish.Request, Call: jb.Offer.Job.Call,
-		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Inputs: decisionInputs(gt, now, jb.Came),
+		Component: "admit", Text: "job started", Request: jb.Offer.Requirements.Request, Call: jb.Offer.Job.Call,
+		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Inputs: decisionInputs(gt, now, jb.ArrivedAt),
 	})
 	w.Outbox.Starts = append(w.Outbox.Starts, carobstart.Start{
-		Job: jb.Offer.Job, Address: tg.Address, Patience: jb.Deadline.Sub(now),
-		Once: jb.Offer.Wish.Guarantee,
+		Job: jb.Offer.Job, Address: tg.Address, TimeLeft: jb.Deadline.Sub(now),
+		Guarantee: jb.Offer.Requirements.Guarantee,
 	})
 }
 
@@ -176,18 +176,18 @@
 		return
 	}
 	gt := w.AdmissionStates.Get(jb.Offer.Target)
-	if jb.Started == carobinstant.Never {
-		carobfencing.Withdraw(w, jb, carobkind.Withdrawn)
+	if jb.StartedAt == carobinstant.Never {
+		carobfencing.RefuseQueued(w, jb, carobkind.Withdrawn)
 		return
 	}
 	gt.Running--
-	gt.Changed = true
-	if ps := fn.Pressure; ps != nil {
+	gt.ReportDue = true
+	if ps := fn.TargetLoad; ps != nil {
 		recordReading(gt, now, ps.Slowness)
 	}
 	gt.Limit = jobLimit(gt, now)
-	updateLatency(gt, jb.Started, now)
-	carobfencing.Remember(w, fn)
+	updateLatency(gt, jb.StartedAt, now)
+	carobfencing.RecordEnded(w, fn)
 	w.Jobs.Delete(fn.Job)
 }
 
@@ -206,12 +206,12 @@
 // when the call started: slow calls of a short load spike end long after the spike and
 // must not outweigh fast calls that started later. After an interval without calls the
 // next call replaces nearly the whole estimate.
-func updateLatency(gt *carobgate.Gate, started, now carobinstant.Instant) {
+func updateLatency(gt *carobgate.AdmissionState, started, now carobinstant.Instant) {
 	const weight = 1.0 / 8
-	duration, sinceNewest := float64(now.Sub(started)), started.Sub(gt.Learned)
+	duration, sinceNewest := float64(now.Sub(started)), started.Sub(gt.LatencyStart)
 	var share float64
 	switch {
-	case gt.Learned == carobinstant.Never:
+	case gt.LatencyStart == carobinstant.Never:
 		share = 1
 	case sinceNewest < 0:
 		share = weight * math.Exp(float64(sinceNewest)/float64(earlierStartTimeConstant))
@@ -220,7 +220,7 @@
 	}
 	gt.Latency += time.Duration(share * (duration - float64(gt.Latency)))
 	if sinceNewest > 0 {
-		gt.Learned = started
+		gt.LatencyStart = started
 	}
 }
 
@@ -228,24 +228,24 @@
 // unknown or leaving.
 func expireQueued(w *carobworld.World, now carobinstant.Instant) {
 	for _, jb := range w.Jobs.All() {
-		if jb.Started != carobinstant.Never {
+		if jb.StartedAt != carobinstant.Never {
 			continue
 		}
 		if tg := w.Targets.Get(jb.Offer.Target); tg == nil || tg.Readiness == carobreadiness.Leaving {
-			carobfencing.Withdraw(w, jb, carobkind.Leaving)
+			carobfencing.RefuseQueued(w, jb, carobkind.Leaving)
 			continue
 		}
 		if !jb.Deadline.Reached(now) {
 			w.WakeAt(jb.Deadline)
 			continue
 		}
-		carobfencing.Withdraw(w, jb, carobkind.Late)
+		carobfencing.RefuseQueued(w, jb, carobkind.NotStartedInTime)
 	}
 }
 
 // startQueued starts the target's queued jobs, the most urgent first, while slots are
 // free and the VM is not slow.
-func startQueued(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobgate.Gate) {
+func startQueued(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobgate.AdmissionState) {
 	tg := w.Targets.Get(id)
 	for tg != nil && gt.Queued > 0 && gt.Running < gt.Limit && mayStart(w, now, tg, gt) {
 		jb := mostUrgent(w, now, id)
@@ -253,7 +253,7 @@
 			return
 		}
 		gt.Queued--
-		gt.Changed = true
+		gt.ReportDue = true
 		startJob(w, now, jb, tg, gt)
 	}
 }
@@ -262,29 +262,29 @@
 func refuse(w *carobworld.World, of caroboffer.Offer, kind carobkind.Kind) {
 	w.Outbox.Refusals = append(w.Outbox.Refusals, carobrefusal.Refusal{Job: of.Job, Kind: kind})
 	w.RecordDecision(carobdecision.Decision{
-		Part: "admit", Text: "job refused", Request: of.Wish.Request, Call: of.Job.Call,
+		Component: "admit", Text: "job refused", Request: of.Requirements.Request, Call: of.Job.Call,
 		Attempt: of.Job.Attempt, Target: of.Target, Kind: kind,
 	})
 }
 
 // decisionInputs returns the values that admission decisions are based on.
-func decisionInputs(gt *carobgate.Gate, now, arrived carobinstant.Instant) []carobinput.Input {
+func decisionInputs(gt *carobgate.AdmissionState, now, arrived carobinstant.Instant) []carobinput.Input {
 	return []carobinput.Input{
 		{Name: "running", Value: float64(gt.Running)},
 		{Name: "queued", Value: float64(gt.Queued)},
 		{Name: "limit", Value: float64(gt.Limit)},
 		{Name: "slowness", Value: gt.Slowness},
-		carobinput.Age("toldms", now, gt.Told), carobinput.Age("waitedms", now, arrived),
+		carobinput.Age("toldms", now, gt.SlownessReadAt), carobinput.Age("waitedms", now, arrived),
 	}
 }
 
 // publishReports adds a report to the outbox for each target whose load changed.
 func publishReports(w *carobworld.World) {
 	for id, gt := range w.AdmissionStates.All() {
-		if !gt.Changed {
+		if !gt.ReportDue {
 			continue
 		}
-		gt.Changed = false
+		gt.ReportDue = false
 		w.Outbox.Reports = append(w.Outbox.Reports, carobreport.Report{
 			Target: id, Running: gt.Running, Queued: gt.Queued, Slots: gt.Limit, Latency: carobspan.Duration(gt.Latency),
 		})
--- a/pkg/carobadmission/urgency.go
+++ b/pkg/carobadmission/urgency.go
@@ -29,7 +29,7 @@
 func selectQueued(w *carobworld.World, id carobtargetid.ID, precedes func(a, b *carobjob.Job) bool) *carobjob.Job {
 	var best *carobjob.Job
 	for _, jb := range w.Jobs.All() {
-		if jb.Offer.Target != id || jb.Started != carobinstant.Never {
+		if jb.Offer.Target != id || jb.StartedAt != carobinstant.Never {
 			continue
 		}
 		if best == nil || precedes(jb, best) {
@@ -52,31 +52,31 @@
 	return cmp.Or(
 		cmp.Compare(boolToInt(isLate(now, a)), boolToInt(isLate(now, b))),
 		cmp.Compare(boolToInt(!isNested(a)), boolToInt(!isNested(b))),
-		cmp.Compare(a.Offer.Wish.Priority, b.Offer.Wish.Priority),
+		cmp.Compare(a.Offer.Requirements.Priority, b.Offer.Requirements.Priority),
 		cmp.Compare(dueAt(a), dueAt(b)),
-		cmp.Compare(a.Came, b.Came),
+		cmp.Compare(a.ArrivedAt, b.ArrivedAt),
 	)
 }
 
 // isLate reports whether the job has missed its SLO. Nested calls and calls without an
 // SLO are never late.
 func isLate(now carobinstant.Instant, jb *carobjob.Job) bool {
-	return jb.Offer.Wish.SLO > 0 && !isNested(jb) && dueAt(jb).Reached(now)
+	return jb.Offer.Requirements.SLO > 0 && !isNested(jb) && dueAt(jb).Reached(now)
 }
 
 // dueAt returns when the response is due by the caller's SLO, or the deadline if the
 // call has no SLO.
 func dueAt(jb *carobjob.Job) carobinstant.Instant {
-	if jb.Offer.Wish.SLO == 0 {
+	if jb.Offer.Requirements.SLO == 0 {
 		return jb.Deadline
 	}
-	return jb.Came.Add(jb.Offer.Wish.SLOTimeLeft)
+	return jb.ArrivedAt.Add(jb.Offer.Requirements.SLOTimeLeft)
 }
 
 // isNested reports whether another job waits for this call. Nested calls are identified
 // by their SLO, which is shorter than that of any external caller.
 func isNested(jb *carobjob.Job) bool {
-	return jb.Offer.Wish.SLO > 0 && jb.Offer.Wish.SLO <= maxNestedSlo
+	return jb.Offer.Requirements.SLO > 0 && jb.Offer.Requirements.SLO <= maxNestedSlo
 }
 
 func boolToInt(b bool) int {
--- a/pkg/carobadmission/urgency_test.go
+++ b/pkg/carobadmission/urgency_test.go
@@ -42,10 +42,10 @@
 func newRig(slots, queue int) *rig {
 	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "here", Incarnation: 1}, Limits: caroblimits.NewLimits()})
 	pf := carobprofile.NewProfile("p")
-	pf.Queue = queue
+	pf.QueueLimit = queue
 	w.Profiles.Put("p", carobrevision.Revision{Change: carobchange.Change{Profile: pf}})
 	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: slots, Readiness: carobreadiness.Ready})
-	w.AdmissionStates.Put(target, carobgate.Gate{Slots: slots, Limit: slots})
+	w.AdmissionStates.Put(target, carobgate.AdmissionState{Slots: slots, Limit: slots})
 	return &rig{world: w, system: carobadmission.NewSystem(), now: carobinstant.Instant(time.Hour)}
 }
 
@@ -60,7 +60,7 @@
 	r.next++
 	job := carobjobid.ID{Call: carobcallid.ID{Node: "there", Incarnation: 1, Sequence: r.next}, Attempt: 1}
 	r.step(time.Millisecond, carobinbox.Inbox{Offers: []caroboffer.Offer{
-		{Job: job, Target: target, Incarnation: 1, Patience: 10 * time.Second, Wish: ws},
+		{Job: job, Target: target, Incarnation: 1, TimeLeft: 10 * time.Second, Requirements: ws},
 	}})
 	return job
 }
@@ -68,7 +68,7 @@
 // finish steps with the end of a job and returns the jobs that the step started.
 func (r *rig) finish(job carobjobid.ID, slowness float64) []carobjobid.ID {
 	r.step(time.Millisecond, carobinbox.Inbox{Finishes: []carobfinish.Finish{
-		{Job: job, Status: 200, Pressure: &carobpressure.TargetLoad{Slots: 12, Slowness: slowness}},
+		{Job: job, Status: 200, TargetLoad: &carobpressure.TargetLoad{Slots: 12, Slowness: slowness}},
 	}})
 	var started []carobjobid.ID
 	for _, st := range r.world.Outbox.Starts {
--- a/pkg/carobannouncement/announcement.go
+++ b/pkg/carobannouncement/announcement.go
@@ -24,28 +24,28 @@
 	// Address is the address at which the node reaches the target.
 	Address carobaddress.Address `json:"address"`
 	// Profile is the routing profile that the service selected.
-	Profile carobword.Word `json:"profile"`
+	Profile carobword.Name `json:"profile"`
 	// Slots is the number of calls that the target runs at once, at least 1.
 	Slots int `json:"slots"`
-	// Conns is the number of connections that the target accepts, at least 1.
-	Conns int `json:"conns"`
+	// Connections is the number of connections that the target accepts, at least 1.
+	Connections int `json:"conns"`
 	// Incarnation identifies a start of the target; higher values are later starts. 0 if
 	// the target does not report it.
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
 	// Sequence grows with each announcement of an incarnation; 0 if the target does not
 	// number its announcements.
 	Sequence uint64 `json:"sequence"`
-	// Cold is the remaining warm-up time, during which the target is slower than usual.
-	Cold carobspan.Duration `json:"cold"`
-	// State states whether the target accepts new work.
-	State carobreadiness.Readiness `json:"state"`
+	// WarmupLeft is the remaining warm-up time, during which the target is slower than usual.
+	WarmupLeft carobspan.Duration `json:"cold"`
+	// Readiness states whether the target accepts new work.
+	Readiness carobreadiness.Readiness `json:"state"`
 }
 
 // UnmarshalJSON decodes and validates an announcement. Slots and Conns default to 1,
 // State to Ready. It returns an Invalid error for malformed fields.
 func (a *Announcement) UnmarshalJSON(text []byte) error {
 	type plain Announcement
-	an := plain{Slots: 1, Conns: 1, State: carobreadiness.Ready}
+	an := plain{Slots: 1, Connections: 1, Readiness: carobreadiness.Ready}
 	if err := json.Unmarshal(text, &an); err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "decode announcement")
 	}
@@ -55,7 +55,7 @@
 	if err := an.Profile.Check("profile"); err != nil {
 		return err
 	}
-	if an.Slots < 1 || an.Conns < 1 {
+	if an.Slots < 1 || an.Connections < 1 {
 		return carobkind.New(carobkind.Invalid, "slots and conns must be at least 1")
 	}
 	*a = Announcement(an)
--- a/pkg/carobaudit/audit.go
+++ b/pkg/carobaudit/audit.go
@@ -8,12 +8,12 @@
 type Audit struct {
 	When time.Time `json:"when"`
 	Who  string    `json:"who"`
-	// Part is the part of the system that detected the change.
-	Part string `json:"part"`
+	// Component is the part of the system that detected the change.
+	Component string `json:"part"`
 	What string `json:"what"`
 	From string `json:"from"`
 	To   string `json:"to"`
-	// Local is true if the entry is written only to the node's own log, since the
+	// LocalOnly is true if the entry is written only to the node's own log, since the
 	// platform's log already contains the change.
-	Local bool `json:"-"`
+	LocalOnly bool `json:"-"`
 }
--- a/pkg/carobcall/call.go
+++ b/pkg/carobcall/call.go
@@ -92,7 +92,7 @@
 // Requirements returns what an attempt that is sent now tells the target's node about the
 // call's priority and SLO.
 func (c *Call) Requirements(now carobinstant.Instant) carobwish.Requirements {
-	wish := carobwish.Requirements{Request: c.Arrival.Request, Priority: c.Priority(), Guarantee: c.Profile.Once}
+	wish := carobwish.Requirements{Request: c.Arrival.Request, Priority: c.Priority(), Guarantee: c.Profile.Guarantee}
 	if c.SLODeadline != carobinstant.Never {
 		wish.SLOTimeLeft, wish.SLO = c.SLODeadline.Sub(now), c.SLODeadline.Sub(c.ArrivedAt)
 	}
@@ -110,7 +110,7 @@
 // Key returns the idempotency key that the call must claim before it runs. It is
 // zero if the call needs none.
 func (c *Call) Key() carobkey.Key {
-	if c.Profile.Once != carobonce.OncePerKey || c.Arrival.Key == "" {
+	if c.Profile.Guarantee != carobonce.OncePerKey || c.Arrival.Key == "" {
 		return carobkey.Key{}
 	}
 	return carobkey.Key{Service: c.Arrival.Service, Text: c.Arrival.Key}
--- a/pkg/carobcentre/centre.go
+++ b/pkg/carobcentre/centre.go
@@ -9,7 +9,7 @@
 // UnmarshalText decodes a name. It returns an Invalid error if the name is not a
 // word.
 func (c *Centre) UnmarshalText(text []byte) error {
-	if err := carobword.Word(text).Check("centre"); err != nil {
+	if err := carobword.Name(text).Check("centre"); err != nil {
 		return err
 	}
 	*c = Centre(text)
--- a/pkg/carobchangeresult/result.go
+++ b/pkg/carobchangeresult/result.go
@@ -12,10 +12,10 @@
 	Change carobchange.Change
 	// Offset is the offset of the change in the log.
 	Offset caroboffset.Offset
-	// Won is true if the change came into force.
-	Won bool
-	// Before is the revision that was in force when the change was folded; its
+	// Applied is true if the change came into force.
+	Applied bool
+	// Previous is the revision that was in force when the change was folded; its
 	// offset is None if there was none. If the change did not come into force, this
 	// revision stays in force.
-	Before carobrevision.Revision
+	Previous carobrevision.Revision
 }
--- a/pkg/carobcheck/check.go
+++ b/pkg/carobcheck/check.go
@@ -7,9 +7,9 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Check orders the traffic side to run a health check, which returns the target's load
+// HealthCheck orders the traffic side to run a health check, which returns the target's load
 // and the slowness of its VM.
-type Check struct {
+type HealthCheck struct {
 	Target  carobtargetid.ID
 	Address carobaddress.Address
 }
--- a/pkg/carobclaimbatch/batch.go
+++ b/pkg/carobclaimbatch/batch.go
@@ -18,9 +18,9 @@
 	Node        carobnodeid.ID               `json:"node"`
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
 	Number      uint64                       `json:"number"`
-	// Take is true if the writer takes the shard over. The offset of this record is
+	// Takeover is true if the writer takes the shard over. The offset of this record is
 	// then the new epoch.
-	Take bool `json:"take,omitempty"`
+	Takeover bool `json:"take,omitempty"`
 	// Epoch is the epoch that the claims belong to. They are void in any other.
 	Epoch       caroboffset.Offset           `json:"epoch"`
 	Claims      []carobclaim.Claim           `json:"claims,omitempty"`
--- a/pkg/carobclaiming/cluster_test.go
+++ b/pkg/carobclaiming/cluster_test.go
@@ -69,7 +69,7 @@
 	// end as Unsure, and holdAppends collects appends in heldAppends instead of
 	// carrying them out.
 	logDown, loseResponses, holdAppends bool
-	heldAppends                         []carobcommit.Commit
+	heldAppends                         []carobcommit.AppendRequest
 	// appends counts the records that were appended.
 	appends int
 }
@@ -99,13 +99,13 @@
 	world.Groups.Put("payouts", carobgroup.Group{Profile: "p"})
 	revision := carobrevision.Revision{}
 	revision.Change.Profile = carobprofile.NewProfile("p")
-	revision.Change.Profile.Once = carobonce.OncePerKey
+	revision.Change.Profile.Guarantee = carobonce.OncePerKey
 	world.Profiles.Put("p", revision)
 	return &node{
 		world: world, entry: carobentry.NewSystem(), follows: map[carobstream.Stream]int{},
 		conclusions: map[carobcallid.ID]carobconclusion.Conclusion{},
 		claims: carobclaiming.NewSystem(carobclaiming.Config{
-			Gap: 25 * time.Millisecond, Lull: 100 * time.Millisecond, Patience: resendDelay, Pause: 200 * time.Millisecond, Keys: 1000, Kept: 1 << 20,
+			AppendInterval: 25 * time.Millisecond, SettlementInterval: 100 * time.Millisecond, ReadBackTimeout: resendDelay, RetryDelay: 200 * time.Millisecond, MaxKeys: 1000, MaxStoredBytes: 1 << 20,
 		}),
 	}
 }
@@ -129,7 +129,7 @@
 	for stream, next := range n.follows {
 		if records := c.log[stream]; !c.logDown && next < len(records) {
 			n.inbox.Records = append(n.inbox.Records, records[next:]...)
-			n.inbox.StreamBounds = append(n.inbox.StreamBounds, carobmark.Mark{Stream: stream, Next: caroboffset.Offset(len(records))})
+			n.inbox.StreamBounds = append(n.inbox.StreamBounds, carobmark.StreamBounds{Stream: stream, Next: caroboffset.Offset(len(records))})
 			n.follows[stream] = len(records)
 		}
 	}
@@ -146,7 +146,7 @@
 	}
 	for _, follow := range outbox.Subscriptions {
 		delete(n.follows, follow.Stream)
-		if follow.On {
+		if follow.Active {
 			n.follows[follow.Stream] = 0
 		}
 	}
@@ -160,25 +160,25 @@
 }
 
 // handleCommit carries out an append as the log's state allows.
-func (c *cluster) handleCommit(n *node, commit carobcommit.Commit) {
-	committed := carobcommitted.Committed{Stream: commit.Stream, Number: commit.Number}
+func (c *cluster) handleCommit(n *node, commit carobcommit.AppendRequest) {
+	committed := carobcommitted.AppendResult{Stream: commit.Stream, Number: commit.Number}
 	switch {
 	case c.holdAppends:
 		c.heldAppends = append(c.heldAppends, commit)
 		return
 	case c.logDown:
-		committed.Kind = carobkind.LogOut
+		committed.Kind = carobkind.LogUnavailable
 	default:
 		c.appendRecord(commit)
 		if c.loseResponses {
-			committed.Kind = carobkind.Unsure
+			committed.Kind = carobkind.AppendUncertain
 		}
 	}
 	n.inbox.AppendResults = append(n.inbox.AppendResults, committed)
 }
 
 // appendRecord puts a record into the log.
-func (c *cluster) appendRecord(commit carobcommit.Commit) {
+func (c *cluster) appendRecord(commit carobcommit.AppendRequest) {
 	c.appends++
 	c.log[commit.Stream] = append(c.log[commit.Stream], carobrecord.Record{
 		Stream: commit.Stream, Offset: caroboffset.Offset(len(c.log[commit.Stream])), Data: commit.Data,
--- a/pkg/carobclaiming/system.go
+++ b/pkg/carobclaiming/system.go
@@ -40,19 +40,19 @@
 
 // Config holds the intervals and bounds of a System.
 type Config struct {
-	// Gap is the minimum interval between two appends to a stream.
-	Gap time.Duration
-	// Lull is the minimum interval before a batch of settlements alone.
+	// AppendInterval is the minimum interval between two appends to a stream.
+	AppendInterval time.Duration
+	// SettlementInterval is the minimum interval before a batch of settlements alone.
 	// Settlements that are queued when claims are appended go into the same batch.
-	Lull time.Duration
-	// Patience is the time after which a batch that has not been read back is
+	SettlementInterval time.Duration
+	// ReadBackTimeout is the time after which a batch that has not been read back is
 	// appended again. It also limits the pause between takeovers.
-	Patience time.Duration
-	// Pause is the delay before a retry of an append that certainly failed.
-	Pause time.Duration
-	// Keys and Kept limit each shard: the number of claimed keys, and the bytes of
+	ReadBackTimeout time.Duration
+	// RetryDelay is the delay before a retry of an append that certainly failed.
+	RetryDelay time.Duration
+	// MaxKeys and MaxStoredBytes limit each shard: the number of claimed keys, and the bytes of
 	// stored answers.
-	Keys, Kept int
+	MaxKeys, MaxStoredBytes int
 }
 
 const (
@@ -111,8 +111,8 @@
 func readStreams(world *carobworld.World) {
 	for _, mark := range world.Inbox.StreamBounds {
 		if home := homeOfStream(world, mark.Stream); home != nil {
-			home.Next = max(home.Next, mark.First)
-			home.Claimed.Forget(mark.First)
+			home.NextOffset = max(home.NextOffset, mark.First)
+			home.State.DropBefore(mark.First)
 		}
 	}
 	for _, record := range world.Inbox.Records {
@@ -121,8 +121,8 @@
 		}
 	}
 	for _, mark := range world.Inbox.StreamBounds {
-		if home := homeOfStream(world, mark.Stream); home != nil && home.Next >= mark.Next {
-			home.Read = true
+		if home := homeOfStream(world, mark.Stream); home != nil && home.NextOffset >= mark.Next {
+			home.CaughtUp = true
 		}
 	}
 }
@@ -159,15 +159,15 @@
 		if isHome == (home != nil) {
 			continue
 		}
-		world.Outbox.Subscriptions = append(world.Outbox.Subscriptions, carobfollow.Follow{Stream: shard.Stream(), On: isHome})
+		world.Outbox.Subscriptions = append(world.Outbox.Subscriptions, carobfollow.Subscription{Stream: shard.Stream(), Active: isHome})
 		if !isHome {
 			world.Homes.Delete(shard)
 			continue
 		}
 		world.Homes.Put(shard, carobhome.Home{
-			Claimed: carobclaims.NewClaims(carobclaims.Config{Keys: s.config.Keys, Kept: s.config.Kept}),
-			Since:   now,
-			Back:    map[carobcallid.ID]carobaddress.Address{},
+			State: carobclaims.NewClaimState(carobclaims.Config{MaxKeys: s.config.MaxKeys, MaxStoredBytes: s.config.MaxStoredBytes}),
+			HomeSince:   now,
+			ReplyTo:    map[carobcallid.ID]carobaddress.Address{},
 		})
 	}
 }
@@ -187,17 +187,17 @@
 // the record holds it. Records at any other offset are skipped: they are copies,
 // or late records from an earlier subscription to the stream.
 func foldRecord(world *carobworld.World, home *carobhome.Home, record carobrecord.Record) {
-	if record.Offset != home.Next {
+	if record.Offset != home.NextOffset {
 		return
 	}
-	home.Next++
+	home.NextOffset++
 	var batch carobclaimbatch.Batch
 	if json.Unmarshal(record.Data, &batch) != nil {
 		return
 	}
-	home.Claimed.Fold(record.Offset, batch)
-	if home.Flight != nil && batch.Node == world.Self.Node &&
-		batch.Incarnation == world.Self.Incarnation && batch.Number == home.Flight.Number {
+	home.State.Fold(record.Offset, batch)
+	if home.InFlight != nil && batch.Node == world.Self.Node &&
+		batch.Incarnation == world.Self.Incarnation && batch.Number == home.InFlight.Number {
 		answerBatch(world, home)
 	}
 }
@@ -205,49 +205,49 @@
 // answerBatch answers the claims and settlements of the batch in flight, which
 // has been read back from the log.
 func answerBatch(world *carobworld.World, home *carobhome.Home) {
-	batch := home.Flight
-	home.Flight = nil
+	batch := home.InFlight
+	home.InFlight = nil
 	for _, claim := range batch.Claims {
-		replyToClaim(world, home, home.Back[claim.Call], claim)
-		delete(home.Back, claim.Call)
+		replyToClaim(world, home, home.ReplyTo[claim.Call], claim)
+		delete(home.ReplyTo, claim.Call)
 	}
 	for _, settlement := range batch.Settlements {
-		confirmSettlement(world, home.Back[settlement.Claim.Call], settlement)
-		delete(home.Back, settlement.Claim.Call)
+		confirmSettlement(world, home.ReplyTo[settlement.Claim.Call], settlement)
+		delete(home.ReplyTo, settlement.Claim.Call)
 	}
 }
 
 // handleCommitted schedules an earlier retry if the append in flight certainly
 // failed. All other results are ignored, since only reading the batch back from
 // the log proves that it was appended.
-func (s *System) handleCommitted(world *carobworld.World, now carobinstant.Instant, committed carobcommitted.Committed) {
+func (s *System) handleCommitted(world *carobworld.World, now carobinstant.Instant, committed carobcommitted.AppendResult) {
 	home := homeOfStream(world, committed.Stream)
-	if home != nil && home.Flight != nil && home.Flight.Number == committed.Number && committed.Kind == carobkind.LogOut {
-		home.Due = now.Add(s.config.Pause)
+	if home != nil && home.InFlight != nil && home.InFlight.Number == committed.Number && committed.Kind == carobkind.LogUnavailable {
+		home.ResendAt = now.Add(s.config.RetryDelay)
 	}
 }
 
 // append sends the next batch to the log, or the batch in flight again if
 // its resend is due.
 func (s *System) append(world *carobworld.World, now carobinstant.Instant, shard carobshard.Shard, home *carobhome.Home) {
-	if home.Flight == nil {
-		if home.Flight = s.nextBatch(world, now, home); home.Flight == nil {
+	if home.InFlight == nil {
+		if home.InFlight = s.nextBatch(world, now, home); home.InFlight == nil {
 			return
 		}
-		home.Due = now
+		home.ResendAt = now
 	}
-	if !home.Due.Reached(now) {
-		world.WakeAt(home.Due)
+	if !home.ResendAt.Reached(now) {
+		world.WakeAt(home.ResendAt)
 		return
 	}
-	data, err := json.Marshal(home.Flight)
+	data, err := json.Marshal(home.InFlight)
 	if err != nil {
 		return
 	}
-	home.Sent, home.Due = now, now.Add(s.config.Patience)
-	world.WakeAt(home.Due)
-	world.Outbox.AppendRequests = append(world.Outbox.AppendRequests, carobcommit.Commit{
-		Stream: shard.Stream(), Number: home.Flight.Number, Data: data,
+	home.SentAt, home.ResendAt = now, now.Add(s.config.ReadBackTimeout)
+	world.WakeAt(home.ResendAt)
+	world.Outbox.AppendRequests = append(world.Outbox.AppendRequests, carobcommit.AppendRequest{
+		Stream: shard.Stream(), Number: home.InFlight.Number, Data: data,
 	})
 }
 
@@ -255,12 +255,12 @@
 // waits until its stream has been read to the end, or for one settlement interval
 // at most, so that it names the newest epoch.
 func (s *System) nextBatch(world *carobworld.World, now carobinstant.Instant, home *carobhome.Home) *carobclaimbatch.Batch {
-	if due := home.Since.Add(s.config.Lull); !home.Read && !due.Reached(now) {
+	if due := home.HomeSince.Add(s.config.SettlementInterval); !home.CaughtUp && !due.Reached(now) {
 		world.WakeAt(due)
 		return nil
 	}
-	owner := home.Claimed.OwnedBy(world.Self.Node, world.Self.Incarnation)
-	if owner && len(home.Claims)+len(home.Settlements) == 0 {
+	owner := home.State.OwnedBy(world.Self.Node, world.Self.Incarnation)
+	if owner && len(home.QueuedClaims)+len(home.QueuedSettlements) == 0 {
 		return nil
 	}
 	if !s.mayAppend(world, now, home, owner) {
@@ -268,15 +268,15 @@
 	}
 	world.AppendCount++
 	batch := &carobclaimbatch.Batch{
-		Node: world.Self.Node, Incarnation: world.Self.Incarnation, Number: world.AppendCount, Epoch: home.Claimed.Epoch(), Take: !owner,
+		Node: world.Self.Node, Incarnation: world.Self.Incarnation, Number: world.AppendCount, Epoch: home.State.Epoch(), Takeover: !owner,
 	}
 	if !owner {
-		home.Pause = s.nextTakeoverPause(now, home)
-		home.Taken = now
+		home.TakeoverBackoff = s.nextTakeoverPause(now, home)
+		home.TakeoverAt = now
 		return batch
 	}
-	batch.Claims, home.Claims = cutBatch(home.Claims)
-	batch.Settlements, home.Settlements = cutBatch(home.Settlements)
+	batch.Claims, home.QueuedClaims = cutBatch(home.QueuedClaims)
+	batch.Settlements, home.QueuedSettlements = cutBatch(home.QueuedSettlements)
 	return batch
 }
 
@@ -287,10 +287,10 @@
 // because nodes that start together agree within milliseconds on the home, and
 // claims must not wait long for the last of their takeovers.
 func (s *System) nextTakeoverPause(now carobinstant.Instant, home *carobhome.Home) time.Duration {
-	if home.Taken == carobinstant.Never || now.Sub(home.Taken) > 2*s.config.Patience {
-		return s.config.Gap
+	if home.TakeoverAt == carobinstant.Never || now.Sub(home.TakeoverAt) > 2*s.config.ReadBackTimeout {
+		return s.config.AppendInterval
 	}
-	return min(2*home.Pause, s.config.Patience)
+	return min(2*home.TakeoverBackoff, s.config.ReadBackTimeout)
 }
 
 // mayAppend reports whether enough time has passed since the last append, so that
@@ -298,12 +298,12 @@
 // since the last takeover instead, so that two nodes that both act as the home
 // do not keep taking the shard from each other.
 func (s *System) mayAppend(world *carobworld.World, now carobinstant.Instant, home *carobhome.Home, owner bool) bool {
-	lastAppend, interval := home.Sent, s.config.Gap
+	lastAppend, interval := home.SentAt, s.config.AppendInterval
 	switch {
 	case !owner:
-		lastAppend, interval = home.Taken, home.Pause
-	case len(home.Claims) == 0:
-		interval = s.config.Lull
+		lastAppend, interval = home.TakeoverAt, home.TakeoverBackoff
+	case len(home.QueuedClaims) == 0:
+		interval = s.config.SettlementInterval
 	}
 	due := lastAppend.Add(interval)
 	if lastAppend == carobinstant.Never || due.Reached(now) {
@@ -324,18 +324,18 @@
 // of the shard or when too many claims are pending, the entry node retries.
 func handleClaim(world *carobworld.World, replyTo carobaddress.Address, claim carobclaim.Claim) {
 	home := world.Homes.Get(carobshard.Of(claim.Key))
-	if home == nil || !home.Claimed.OwnedBy(world.Self.Node, world.Self.Incarnation) || claim.Key.Check() != nil {
+	if home == nil || !home.State.OwnedBy(world.Self.Node, world.Self.Incarnation) || claim.Key.Check() != nil {
 		return
 	}
-	if home.Claimed.Holding(claim.Key) != nil || !home.Claimed.Room() {
+	if home.State.Holding(claim.Key) != nil || !home.State.HasRoom() {
 		replyToClaim(world, home, replyTo, claim)
 		return
 	}
-	if _, pending := home.Back[claim.Call]; pending || len(home.Back) >= maxPending {
+	if _, pending := home.ReplyTo[claim.Call]; pending || len(home.ReplyTo) >= maxPending {
 		return
 	}
-	home.Back[claim.Call] = replyTo
-	home.Claims = append(home.Claims, claim)
+	home.ReplyTo[claim.Call] = replyTo
+	home.QueuedClaims = append(home.QueuedClaims, claim)
 }
 
 // handleSettlement queues the settlement of a call for the next batch; it is
@@ -343,27 +343,27 @@
 // the key or is settled already, it is confirmed at once.
 func handleSettlement(world *carobworld.World, replyTo carobaddress.Address, settlement carobsettlement.Settlement) {
 	home := world.Homes.Get(carobshard.Of(settlement.Claim.Key))
-	if home == nil || !home.Claimed.OwnedBy(world.Self.Node, world.Self.Incarnation) {
+	if home == nil || !home.State.OwnedBy(world.Self.Node, world.Self.Incarnation) {
 		return
 	}
-	if _, pending := home.Back[settlement.Claim.Call]; pending || len(home.Back) >= maxPending {
+	if _, pending := home.ReplyTo[settlement.Claim.Call]; pending || len(home.ReplyTo) >= maxPending {
 		return
 	}
-	if holding := home.Claimed.Holding(settlement.Claim.Key); holding == nil || holding.Call != settlement.Claim.Call || holding.Settled {
+	if holding := home.State.Holding(settlement.Claim.Key); holding == nil || holding.Call != settlement.Claim.Call || holding.Settled {
 		confirmSettlement(world, replyTo, settlement)
 		return
 	}
-	home.Back[settlement.Claim.Call] = replyTo
-	home.Settlements = append(home.Settlements, settlement)
+	home.ReplyTo[settlement.Claim.Call] = replyTo
+	home.QueuedSettlements = append(home.QueuedSettlements, settlement)
 }
 
 // replyToClaim sends the result of a claim to its entry node. It sends nothing
 // while the result is open, or if the call that holds the key has ended.
 func replyToClaim(world *carobworld.World, home *carobhome.Home, replyTo carobaddress.Address, claim carobclaim.Claim) {
-	holding := home.Claimed.Holding(claim.Key)
+	holding := home.State.Holding(claim.Key)
 	result := carobclaimreply.Reply{Call: claim.Call}
 	switch {
-	case holding == nil && home.Claimed.Room(), holding != nil && holding.Call == claim.Call && holding.Settled:
+	case holding == nil && home.State.HasRoom(), holding != nil && holding.Call == claim.Call && holding.Settled:
 		return
 	case holding == nil:
 		result.Result = carobgrant.Unclaimed
--- a/pkg/carobclaiming/system_test.go
+++ b/pkg/carobclaiming/system_test.go
@@ -248,7 +248,7 @@
 	home := cluster.homeOf("k")
 	other := cluster.otherNode(home)
 	stream := carobshard.Of(keyOf("k")).Stream()
-	cluster.appendRecord(carobcommit.Commit{Stream: stream, Data: []byte("{}")})
+	cluster.appendRecord(carobcommit.AppendRequest{Stream: stream, Data: []byte("{}")})
 	records := cluster.log[stream]
 	cluster.node(other).inbox.Records = append(cluster.node(other).inbox.Records, records[len(records)-1])
 	cluster.setStanding(home, carobstanding.Unreachable)
--- a/pkg/carobclaimreply/reply.go
+++ b/pkg/carobclaimreply/reply.go
@@ -10,7 +10,7 @@
 // Reply is the home's answer to a claim, sent to the entry node of the call.
 type Reply struct {
 	Call  carobcallid.ID   `json:"call"`
-	Result carobgrant.Grant `json:"grant"`
+	Result carobgrant.ClaimResult `json:"grant"`
 	// StoredAnswer is the stored answer of the earlier call that ran, or nil.
 	StoredAnswer *carobkept.StoredAnswer `json:"kept,omitempty"`
 }
--- a/pkg/carobclaims/claims.go
+++ b/pkg/carobclaims/claims.go
@@ -21,14 +21,14 @@
 
 // Config bounds the state of a shard.
 type Config struct {
-	// Keys is the maximum number of keys held at once.
-	Keys int
-	// Kept is the maximum total size of kept answer bodies, in bytes.
-	Kept int
+	// MaxKeys is the maximum number of keys held at once.
+	MaxKeys int
+	// MaxStoredBytes is the maximum total size of kept answer bodies, in bytes.
+	MaxStoredBytes int
 }
 
-// Claims is the state of a shard after the records folded so far.
-type Claims struct {
+// ClaimState is the state of a shard after the records folded so far.
+type ClaimState struct {
 	config Config
 	// epoch is the epoch of valid claims, or None before the first takeover.
 	epoch caroboffset.Offset
@@ -52,46 +52,46 @@
 	overflow caroboffset.Offset
 }
 
-// NewClaims returns the claims of an empty stream.
-func NewClaims(c Config) *Claims {
-	return &Claims{
+// NewClaimState returns the claims of an empty stream.
+func NewClaimState(c Config) *ClaimState {
+	return &ClaimState{
 		config: c, epoch: caroboffset.BeforeFirst, overflow: caroboffset.BeforeFirst,
 		holdings: map[carobkey.Key]*carobholding.Holding{},
 	}
 }
 
 // Epoch returns the epoch of valid claims.
-func (c *Claims) Epoch() caroboffset.Offset {
+func (c *ClaimState) Epoch() caroboffset.Offset {
 	return c.epoch
 }
 
 // OwnedBy reports whether an incarnation of a node wrote the newest takeover.
-func (c *Claims) OwnedBy(node carobnodeid.ID, incarnation carobincarnation.Incarnation) bool {
+func (c *ClaimState) OwnedBy(node carobnodeid.ID, incarnation carobincarnation.Incarnation) bool {
 	return c.epoch != caroboffset.BeforeFirst && c.node == node && c.incarnation == incarnation
 }
 
 // Holding returns the holding of a key, or nil if no call holds it.
-func (c *Claims) Holding(key carobkey.Key) *carobholding.Holding {
+func (c *ClaimState) Holding(key carobkey.Key) *carobholding.Holding {
 	return c.holdings[key]
 }
 
-// Room reports whether a key that is not held may be claimed: the number of keys
+// HasRoom reports whether a key that is not held may be claimed: the number of keys
 // is below its limit, and the log keeps no claim that exceeded the limit.
-func (c *Claims) Room() bool {
-	return len(c.holdings) < c.config.Keys && c.overflow == caroboffset.BeforeFirst
+func (c *ClaimState) HasRoom() bool {
+	return len(c.holdings) < c.config.MaxKeys && c.overflow == caroboffset.BeforeFirst
 }
 
 // Fold applies the record at an offset. Records have to be folded in the order of
 // their offsets. A takeover starts a new epoch, claims count only in the current
 // epoch and once, and settlements count whatever the epoch of their batch is.
-func (c *Claims) Fold(offset caroboffset.Offset, batch carobclaimbatch.Batch) {
+func (c *ClaimState) Fold(offset caroboffset.Offset, batch carobclaimbatch.Batch) {
 	switch {
-	case batch.Take:
+	case batch.Takeover:
 		c.epoch, c.node, c.incarnation, c.number = offset, batch.Node, batch.Incarnation, batch.Number
 	case batch.Epoch > c.epoch:
 		c.adoptEpoch(batch)
 	}
-	if batch.Epoch == c.epoch && !batch.Take && batch.Number > c.number {
+	if batch.Epoch == c.epoch && !batch.Takeover && batch.Number > c.number {
 		c.number = batch.Number
 		for _, claim := range batch.Claims {
 			c.hold(offset, claim)
@@ -104,7 +104,7 @@
 
 // adoptEpoch switches to an epoch whose takeover record the log no longer keeps.
 // Claims at offsets after that takeover were of an older epoch, so it removes them.
-func (c *Claims) adoptEpoch(batch carobclaimbatch.Batch) {
+func (c *ClaimState) adoptEpoch(batch carobclaimbatch.Batch) {
 	c.epoch, c.node, c.incarnation, c.number = batch.Epoch, batch.Node, batch.Incarnation, 0
 	for key, holding := range c.holdings {
 		if holding.Offset > batch.Epoch {
@@ -115,11 +115,11 @@
 
 // hold records a claim whose key is not held. If there is no room, it notes the
 // offset in overflow.
-func (c *Claims) hold(offset caroboffset.Offset, claim carobclaim.Claim) {
+func (c *ClaimState) hold(offset caroboffset.Offset, claim carobclaim.Claim) {
 	if c.holdings[claim.Key] != nil {
 		return
 	}
-	if len(c.holdings) >= c.config.Keys {
+	if len(c.holdings) >= c.config.MaxKeys {
 		c.overflow = offset
 		return
 	}
@@ -129,7 +129,7 @@
 
 // settle records the end of the call that holds a key, and releases the key if the
 // call did not run. Only the first settlement counts.
-func (c *Claims) settle(settlement carobsettlement.Settlement) {
+func (c *ClaimState) settle(settlement carobsettlement.Settlement) {
 	holding := c.holdings[settlement.Claim.Key]
 	if holding == nil || holding.Call != settlement.Claim.Call || holding.Settled {
 		return
@@ -148,8 +148,8 @@
 
 // evictKept drops the oldest kept answers while their total size exceeds the
 // limit. Their keys stay held.
-func (c *Claims) evictKept() {
-	for c.keptBytes > c.config.Kept && len(c.keptOrder) > 0 {
+func (c *ClaimState) evictKept() {
+	for c.keptBytes > c.config.MaxStoredBytes && len(c.keptOrder) > 0 {
 		if holding := c.holdings[c.keptOrder[0]]; holding != nil && holding.StoredAnswer != nil {
 			c.keptBytes -= len(holding.StoredAnswer.Body)
 			holding.StoredAnswer = nil
@@ -158,9 +158,9 @@
 	}
 }
 
-// Forget removes the keys whose claims the log no longer keeps. first is the oldest
+// DropBefore removes the keys whose claims the log no longer keeps. first is the oldest
 // offset that it still keeps.
-func (c *Claims) Forget(first caroboffset.Offset) {
+func (c *ClaimState) DropBefore(first caroboffset.Offset) {
 	if c.overflow < first {
 		c.overflow = caroboffset.BeforeFirst
 	}
@@ -177,7 +177,7 @@
 }
 
 // remove releases a held key together with its kept answer.
-func (c *Claims) remove(key carobkey.Key) {
+func (c *ClaimState) remove(key carobkey.Key) {
 	if holding := c.holdings[key]; holding.StoredAnswer != nil {
 		c.keptBytes -= len(holding.StoredAnswer.Body)
 	}
--- a/pkg/carobclaims/claims_test.go
+++ b/pkg/carobclaims/claims_test.go
@@ -24,7 +24,7 @@
 }
 
 func takeover(node string) carobclaimbatch.Batch {
-	return carobclaimbatch.Batch{Node: carobnodeid.ID(node), Number: 1, Take: true, Epoch: caroboffset.BeforeFirst}
+	return carobclaimbatch.Batch{Node: carobnodeid.ID(node), Number: 1, Takeover: true, Epoch: caroboffset.BeforeFirst}
 }
 
 func batch(node string, epoch caroboffset.Offset, number uint64, claims ...carobclaim.Claim) carobclaimbatch.Batch {
@@ -55,13 +55,13 @@
 		"claims before and after a takeover": {0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), takeover("b"), batch("b", 2, 2, k2)}, 1, false},
 		"shard taken back":                   {0, []carobclaimbatch.Batch{takeover("a"), takeover("b"), takeover("a"), batch("a", 0, 2, k1), batch("a", 2, 3, k2)}, 2, false},
 		"ended":                              {0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), settle(k1, carobkind.None)}, 1, true},
-		"ended with an unknown outcome":      {0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), settle(k1, carobkind.Cut)}, 1, true},
+		"ended with an unknown outcome":      {0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), settle(k1, carobkind.ConnectionLost)}, 1, true},
 		"released":                           {0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), settle(k1, carobkind.Busy)}, 0, false},
 		"settlement of another call": {
 			0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), settle(k2, carobkind.Busy)}, 1, false,
 		},
 		"release after the settlement": {
-			0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), settle(k1, carobkind.Cut), settle(k1, carobkind.Busy)}, 1, true,
+			0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), settle(k1, carobkind.ConnectionLost), settle(k1, carobkind.Busy)}, 1, true,
 		},
 		"copy of a claim after its release": {
 			0, []carobclaimbatch.Batch{takeover("a"), batch("a", 0, 2, k1), settle(k1, carobkind.Busy), batch("a", 0, 2, k1)}, 0, false,
@@ -79,7 +79,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			shard := carobclaims.NewClaims(carobclaims.Config{Keys: 10, Kept: 10})
+			shard := carobclaims.NewClaimState(carobclaims.Config{MaxKeys: 10, MaxStoredBytes: 10})
 			for i, record := range tc.records {
 				shard.Fold(tc.from+caroboffset.Offset(i), record)
 			}
@@ -99,25 +99,25 @@
 // keys: its key is not in the table, so it would look free. No new key may be
 // claimed until the log has dropped that claim.
 func TestFullTableRejectsKeysUntilTheLogDropsTheExcessClaim(t *testing.T) {
-	shard := carobclaims.NewClaims(carobclaims.Config{Keys: 2, Kept: 10})
+	shard := carobclaims.NewClaimState(carobclaims.Config{MaxKeys: 2, MaxStoredBytes: 10})
 	shard.Fold(0, takeover("a"))
 	shard.Fold(1, batch("a", 0, 2, claim("k", 1)))
-	require.True(t, shard.Room())
+	require.True(t, shard.HasRoom())
 	shard.Fold(2, batch("a", 0, 3, claim("l", 2), claim("m", 3)))
-	require.False(t, shard.Room())
+	require.False(t, shard.HasRoom())
 	shard.Fold(3, settle(claim("k", 1), carobkind.Busy))
-	require.False(t, shard.Room(), "the claim of m is still in the log")
-	shard.Forget(2)
-	require.False(t, shard.Room())
-	shard.Forget(3)
-	require.True(t, shard.Room())
+	require.False(t, shard.HasRoom(), "the claim of m is still in the log")
+	shard.DropBefore(2)
+	require.False(t, shard.HasRoom())
+	shard.DropBefore(3)
+	require.True(t, shard.HasRoom())
 	require.Nil(t, shard.Holding(claim("l", 2).Key), "the log has dropped its claim")
 }
 
 // Guards against unbounded memory for kept answers, and against releasing a key
 // when its answer is evicted.
 func TestOldestKeptAnswersAreEvictedAndKeysStayHeld(t *testing.T) {
-	shard := carobclaims.NewClaims(carobclaims.Config{Keys: 10, Kept: 10})
+	shard := carobclaims.NewClaimState(carobclaims.Config{MaxKeys: 10, MaxStoredBytes: 10})
 	shard.Fold(0, takeover("a"))
 	for i, key := range []string{"k", "l", "m"} {
 		newClaim := claim(key, uint64(i))
--- a/pkg/carobcommit/commit.go
+++ b/pkg/carobcommit/commit.go
@@ -4,9 +4,9 @@
 
 import "github.com/carobknot/carobknot/pkg/carobstream"
 
-// Commit requests one append. It is not retried by the goroutine that carries it
+// AppendRequest requests one append. It is not retried by the goroutine that carries it
 // out; its result comes back as a message.
-type Commit struct {
+type AppendRequest struct {
 	Stream carobstream.Stream
 	// Number identifies the commit among those of this node to the stream.
 	Number uint64
--- a/pkg/carobcommitted/committed.go
+++ b/pkg/carobcommitted/committed.go
@@ -6,8 +6,8 @@
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
 
-// Committed is the result of a commit.
-type Committed struct {
+// AppendResult is the result of a commit.
+type AppendResult struct {
 	Stream carobstream.Stream
 	// Number is the number of the commit.
 	Number uint64
--- a/pkg/carobcompaction/system.go
+++ b/pkg/carobcompaction/system.go
@@ -37,7 +37,7 @@
 // System appends snapshots of the profiles to the log.
 type System struct {
 	// bounds holds the bounds of the stream that the newest read found.
-	bounds carobmark.Mark
+	bounds carobmark.StreamBounds
 	// lastSnapshot is the offset of the newest snapshot that this node has read.
 	lastSnapshot caroboffset.Offset
 	// periodEnd is when a snapshot is due even if no record has been added; Never
--- a/pkg/carobcore/core.go
+++ b/pkg/carobcore/core.go
@@ -106,8 +106,8 @@
 	return &Core{
 		world: world,
 		systems: []system{
-			carobpause.NewSystem(carobpause.Config{Period: maxTickInterval, Allowance: pauseThreshold}),
-			carobregistry.NewSystem(carobregistry.Config{Silence: cmp.Or(c.AnnouncementTimeout, targetTimeout)}),
+			carobpause.NewSystem(carobpause.Config{TickPeriod: maxTickInterval, Threshold: pauseThreshold}),
+			carobregistry.NewSystem(carobregistry.Config{AnnouncementTimeout: cmp.Or(c.AnnouncementTimeout, targetTimeout)}),
 			carobjoining.NewSystem(carobjoining.Config{Seeds: c.Seeds}),
 			carobmembership.NewSystem(),
 			carobdetection.NewSystem(),
@@ -121,16 +121,16 @@
 			carobfencing.NewSystem(),
 			carobadmission.NewSystem(),
 			carobclaiming.NewSystem(carobclaiming.Config{
-				Gap: claimAppendInterval, Lull: settlementAppendInterval, Patience: claimReadBackTimeout,
-				Pause: claimRetryDelay, Keys: maxClaimKeys, Kept: maxClaimBytes,
+				AppendInterval: claimAppendInterval, SettlementInterval: settlementAppendInterval, ReadBackTimeout: claimReadBackTimeout,
+				RetryDelay: claimRetryDelay, MaxKeys: maxClaimKeys, MaxStoredBytes: maxClaimBytes,
 			}),
 			carobentry.NewSystem(),
 			carobprobing.NewSystem(),
 			carobrouting.NewSystem(),
 			carobejection.NewSystem(),
 			carobhedging.NewSystem(),
-			carobtracing.NewSystem(carobtracing.Config{Seed: c.World.Seed, Alone: c.NoTracePropagation}),
-			carobshutdown.NewSystem(carobshutdown.Config{Patience: shutdownHandoverTimeout, Linger: shutdownLinger}),
+			carobtracing.NewSystem(carobtracing.Config{Seed: c.World.Seed, NoTracePropagation: c.NoTracePropagation}),
+			carobshutdown.NewSystem(carobshutdown.Config{SettleTimeout: shutdownHandoverTimeout, QuietPeriod: shutdownLinger}),
 			carobdissemination.NewSystem(),
 		},
 	}
--- a/pkg/carobdecision/decision.go
+++ b/pkg/carobdecision/decision.go
@@ -11,9 +11,9 @@
 
 // Decision is one decision about a request and the values that it was based on.
 type Decision struct {
-	// Part is the part of the system that made the decision, and Text states the
+	// Component is the part of the system that made the decision, and Text states the
 	// decision in a short sentence.
-	Part, Text string
+	Component, Text string
 	// Request is the caller's ID of the call.
 	Request carobrequestid.ID
 	// Call is the system's ID of the call.
--- a/pkg/carobejection/system.go
+++ b/pkg/carobejection/system.go
@@ -84,7 +84,7 @@
 func isFailure(reply carobreply.Reply) bool {
 	const firstError = 500
 	return reply.Kind == carobkind.None && reply.Status >= firstError ||
-		reply.Kind == carobkind.Cut || reply.Kind == carobkind.Unreachable
+		reply.Kind == carobkind.ConnectionLost || reply.Kind == carobkind.Unreachable
 }
 
 // shouldEject reports whether a target's error rate exceeds that of the other
@@ -92,10 +92,10 @@
 // left.
 func shouldEject(world *carobworld.World, id carobtargetid.ID, load *carobload.Load) bool {
 	profile, group := world.ProfileOf(id.Service), world.Groups.Get(id.Service)
-	if profile == nil || group == nil || profile.Eject <= 0 {
+	if profile == nil || group == nil || profile.EjectErrorRate <= 0 {
 		return false
 	}
-	return errorRate(load) > errorRateOfOthers(world, group, id)+float64(profile.Eject) &&
+	return errorRate(load) > errorRateOfOthers(world, group, id)+float64(profile.EjectErrorRate) &&
 		float64(countUnavailable(world, group)+1) <= maxEjectedShare*float64(len(group.Targets))
 }
 
@@ -155,6 +155,6 @@
 // recordAudit records that a target was ejected or readmitted.
 func recordAudit(world *carobworld.World, id carobtargetid.ID, from, to string) {
 	world.Outbox.Audits = append(world.Outbox.Audits, carobaudit.Audit{
-		Who: string(world.Self.Node), Part: "route", What: "target " + id.String(), From: from, To: to,
+		Who: string(world.Self.Node), Component: "route", What: "target " + id.String(), From: from, To: to,
 	})
 }
--- a/pkg/carobejection/system_test.go
+++ b/pkg/carobejection/system_test.go
@@ -23,7 +23,7 @@
 )
 
 func target(name string) carobtargetid.ID {
-	return carobtargetid.ID{Service: "lookups", Name: carobword.Word(name)}
+	return carobtargetid.ID{Service: "lookups", Name: carobword.Name(name)}
 }
 
 // newWorld returns a world with one service, whose targets have the given
--- a/pkg/carobentry/backoff_test.go
+++ b/pkg/carobentry/backoff_test.go
@@ -27,7 +27,7 @@
 		r.now = r.world.Wake()
 		r.step(carobinbox.Inbox{})
 	}
-	r.requireConcluded(carobkind.Late)
+	r.requireConcluded(carobkind.NotStartedInTime)
 	require.LessOrEqual(t, r.now.Sub(arrivedAt), callTimeout+maxOverrun+time.Millisecond)
 	require.Greater(t, attempt, 5, "the call is retried")
 	require.Less(t, attempt, 100, "the backoff grows")
--- a/pkg/carobentry/claim.go
+++ b/pkg/carobentry/claim.go
@@ -95,11 +95,11 @@
 	if call.Key() == (carobkey.Key{}) || call.ClaimSentAt == carobinstant.Never {
 		return
 	}
-	unsettled := world.PendingSettlements.Put(call.Arrival.Call, carobunsettled.Unsettled{
+	unsettled := world.PendingSettlements.Put(call.Arrival.Call, carobunsettled.PendingSettlement{
 		Settlement: carobsettlement.Settlement{
 			Claim: carobclaim.Claim{Key: call.Key(), Call: call.Arrival.Call}, Kind: kind, StoredAnswer: kept,
 		},
-		Due: now, Pause: minSettlementBackoff,
+		ResendAt: now, Backoff: minSettlementBackoff,
 	})
 	if unsettled != nil {
 		sendSettlement(world, now, unsettled)
@@ -108,14 +108,14 @@
 
 // sendSettlement sends a settlement to the home of its key if it is due, and
 // doubles the backoff.
-func sendSettlement(world *carobworld.World, now carobinstant.Instant, unsettled *carobunsettled.Unsettled) {
-	if !unsettled.Due.Reached(now) {
-		world.WakeAt(unsettled.Due)
+func sendSettlement(world *carobworld.World, now carobinstant.Instant, unsettled *carobunsettled.PendingSettlement) {
+	if !unsettled.ResendAt.Reached(now) {
+		world.WakeAt(unsettled.ResendAt)
 		return
 	}
-	unsettled.Due = now.Add(unsettled.Pause)
-	unsettled.Pause = min(2*unsettled.Pause, maxSettlementBackoff)
-	world.WakeAt(unsettled.Due)
+	unsettled.ResendAt = now.Add(unsettled.Backoff)
+	unsettled.Backoff = min(2*unsettled.Backoff, maxSettlementBackoff)
+	world.WakeAt(unsettled.ResendAt)
 	_, home := carobclaiming.Home(world, unsettled.Settlement.Claim.Key)
 	world.SendMessage(carobmessage.Message{To: home, Settlement: &unsettled.Settlement})
 }
--- a/pkg/carobentry/fence.go
+++ b/pkg/carobentry/fence.go
@@ -31,7 +31,7 @@
 // Withdraw may be called repeatedly for the same attempt.
 func Withdraw(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, number int) {
 	attempt := &call.Attempts[number-1]
-	if call.Stage == carobstage.Attempting && !attempt.Ended && attempt.State == carobjobstate.Unasked {
+	if call.Stage == carobstage.Attempting && !attempt.Ended && attempt.State == carobjobstate.Pending {
 		sendFence(world, now, call, number)
 		retryIfAllEnded(world, now, call)
 	}
@@ -48,7 +48,7 @@
 // known, and concludes or retries the call if the replies so far allow it.
 func continueFencing(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
 	for i := range call.Attempts {
-		if !call.Attempts[i].NotRun() && call.Attempts[i].State == carobjobstate.Unasked {
+		if !call.Attempts[i].NotRun() && call.Attempts[i].State == carobjobstate.Pending {
 			sendFence(world, now, call, i+1)
 		}
 	}
@@ -68,7 +68,7 @@
 	attempt.FenceSentAt = now
 	fence := carobfence.Fence{Job: carobjobid.ID{Call: call.Arrival.Call, Attempt: number}, Incarnation: attempt.Incarnation}
 	if attempt.Node == world.Self.Node {
-		setJobState(world, call, number, carobfencing.Judge(world, fence))
+		setJobState(world, call, number, carobfencing.Fence(world, fence))
 		return
 	}
 	peer := world.Peers.Get(attempt.Node)
@@ -125,7 +125,7 @@
 	late := call.Deadline.Reached(now)
 	switch {
 	case call.NotRun() && late:
-		conclude(world, now, call, carobkind.Late)
+		conclude(world, now, call, carobkind.NotStartedInTime)
 	case call.NotRun():
 		retryFenced(world, now, call)
 	case mayHaveRun(call) || call.GraceEnd.Reached(now):
@@ -138,7 +138,7 @@
 // another attempt, its body is kept and the retry budget has a token. Otherwise it
 // concludes the call with the kind of its last failure.
 func retryFenced(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
-	if len(call.Attempts) < call.Profile.Tries && !call.Arrival.Streamed && world.RetryBudgetOf(call.Arrival.Service).TakeToken() {
+	if len(call.Attempts) < call.Profile.Attempts && !call.Arrival.Streamed && world.RetryBudgetOf(call.Arrival.Service).TakeToken() {
 		call.Stage = carobstage.Waiting
 		return
 	}
@@ -149,7 +149,7 @@
 // that it cannot tell.
 func mayHaveRun(call *carobcall.Call) bool {
 	for i := range call.Attempts {
-		if attempt := &call.Attempts[i]; !attempt.NotRun() && attempt.State != carobjobstate.Unasked {
+		if attempt := &call.Attempts[i]; !attempt.NotRun() && attempt.State != carobjobstate.Pending {
 			return true
 		}
 	}
--- a/pkg/carobentry/fence_test.go
+++ b/pkg/carobentry/fence_test.go
@@ -20,7 +20,7 @@
 func TestCallIsRetriedAfterFencedAsNever(t *testing.T) {
 	r := newRig(t, carobonce.OncePerCall)
 	r.arrive(false)
-	r.reply(1, carobkind.Cut)
+	r.reply(1, carobkind.ConnectionLost)
 	require.Empty(t, r.world.Outbox.Sends)
 	require.Equal(t, []int{1}, r.fencedAttempts())
 	r.fenceReply(1, carobjobstate.Never)
@@ -34,9 +34,9 @@
 		t.Run(string(state), func(t *testing.T) {
 			r := newRig(t, carobonce.OncePerCall)
 			r.arrive(false)
-			r.reply(1, carobkind.Cut)
+			r.reply(1, carobkind.ConnectionLost)
 			r.fenceReply(1, state)
-			r.requireConcluded(carobkind.Cut)
+			r.requireConcluded(carobkind.ConnectionLost)
 		})
 	}
 }
@@ -47,14 +47,14 @@
 	r := newRig(t, carobonce.OncePerCall)
 	r.arrive(false)
 	arrivedAt := r.now
-	r.reply(1, carobkind.Cut)
+	r.reply(1, carobkind.ConnectionLost)
 	fences := 1
 	for len(r.world.Outbox.Conclusions) == 0 && fences < 1000 {
 		r.now = r.world.Wake()
 		r.step(carobinbox.Inbox{})
 		fences += len(r.fencedAttempts())
 	}
-	r.requireConcluded(carobkind.Cut)
+	r.requireConcluded(carobkind.ConnectionLost)
 	require.Greater(t, fences, 10)
 	require.LessOrEqual(t, r.now.Sub(arrivedAt), callTimeout+maxOverrun+time.Millisecond)
 }
@@ -66,7 +66,7 @@
 		state carobjobstate.JobState
 		want  carobkind.Kind
 	}{
-		"never ran": {carobjobstate.Never, carobkind.Late},
+		"never ran": {carobjobstate.Never, carobkind.NotStartedInTime},
 		"running":   {carobjobstate.Running, carobkind.Expired},
 		"done":      {carobjobstate.Done, carobkind.Expired},
 		"unknown":   {carobjobstate.Unknown, carobkind.Expired},
@@ -124,23 +124,23 @@
 func TestOneUnknownAttemptMakesOutcomeUnknown(t *testing.T) {
 	r := newRig(t, carobonce.Idempotent)
 	r.arrive(false)
-	r.reply(1, carobkind.Cut)
+	r.reply(1, carobkind.ConnectionLost)
 	r.requireSent(2)
-	r.reply(2, carobkind.Cut)
+	r.reply(2, carobkind.ConnectionLost)
 	r.requireSent(3)
 	r.reply(3, carobkind.Busy)
 	require.ElementsMatch(t, []int{1, 2}, r.fencedAttempts())
 	r.fenceReply(1, carobjobstate.Never)
 	r.requireOpen()
 	r.fenceReply(2, carobjobstate.Unknown)
-	r.requireConcluded(carobkind.Cut)
+	r.requireConcluded(carobkind.ConnectionLost)
 }
 
 func TestCallIsWithdrawnIfNoAttemptRan(t *testing.T) {
 	r := newRig(t, carobonce.Idempotent)
 	r.arrive(false)
-	r.reply(1, carobkind.Cut)
-	r.reply(2, carobkind.Cut)
+	r.reply(1, carobkind.ConnectionLost)
+	r.reply(2, carobkind.ConnectionLost)
 	r.reply(3, carobkind.Busy)
 	r.fenceReply(1, carobjobstate.Never)
 	r.fenceReply(2, carobjobstate.Never)
@@ -152,7 +152,7 @@
 func TestStreamedBodyIsNotSentAgain(t *testing.T) {
 	r := newRig(t, carobonce.OncePerCall)
 	r.arrive(true)
-	r.reply(1, carobkind.Cut)
+	r.reply(1, carobkind.ConnectionLost)
 	r.fenceReply(1, carobjobstate.Never)
 	r.requireConcluded(carobkind.Withdrawn)
 }
@@ -162,7 +162,7 @@
 func TestStrayFenceRepliesAreIgnored(t *testing.T) {
 	r := newRig(t, carobonce.OncePerCall)
 	r.arrive(false)
-	r.reply(1, carobkind.Cut)
+	r.reply(1, carobkind.ConnectionLost)
 	r.fenceReply(1, carobjobstate.Never)
 	r.requireSent(2)
 	r.fenceReply(1, carobjobstate.Running)
@@ -211,7 +211,7 @@
 		r.step(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{Call: r.call, Service: service, Timeout: callTimeout}}})
 		for attempt := 1; len(r.world.Outbox.Sends) > 0; attempt++ {
 			sends++
-			r.reply(attempt, carobkind.Cut)
+			r.reply(attempt, carobkind.ConnectionLost)
 		}
 	}
 	require.LessOrEqual(t, sends-calls, calls/20+burst)
--- a/pkg/carobentry/log.go
+++ b/pkg/carobentry/log.go
@@ -14,13 +14,13 @@
 // logEnd records in the event log how a call ended.
 func logEnd(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, text string, kind carobkind.Kind, after time.Duration) {
 	decision := carobdecision.Decision{
-		Part: "entry", Text: text, Request: call.Arrival.Request, Call: call.Arrival.Call, Kind: kind,
+		Component: "entry", Text: text, Request: call.Arrival.Request, Call: call.Arrival.Call, Kind: kind,
 		Attempt: len(call.Attempts),
 		Inputs: []carobinput.Input{
 			{Name: "routes", Value: float64(world.RoutesVersion())},
 			carobinput.Age("agems", now, call.ArrivedAt),
-			{Name: "leftms", Value: carobinput.Ms(call.Deadline.Sub(now))},
-			{Name: "afterms", Value: carobinput.Ms(after)},
+			{Name: "leftms", Value: carobinput.Milliseconds(call.Deadline.Sub(now))},
+			{Name: "afterms", Value: carobinput.Milliseconds(after)},
 		},
 	}
 	if n := len(call.Attempts); n > 0 {
--- a/pkg/carobentry/rig_test.go
+++ b/pkg/carobentry/rig_test.go
@@ -60,7 +60,7 @@
 	})
 	group := carobgroup.Group{Profile: "p"}
 	for _, name := range []string{"a", "b", "c", "d"} {
-		id := carobtargetid.ID{Service: service, Name: carobword.Word(name)}
+		id := carobtargetid.ID{Service: service, Name: carobword.Name(name)}
 		node := carobnodeid.ID("node-" + name)
 		world.Targets.Put(id, carobtarget.Target{ID: id, Node: node, Profile: "p", Slots: 4, Readiness: carobreadiness.Ready})
 		world.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Incarnation: targetIncarnation, PeerAddress: "peer"}})
@@ -69,7 +69,7 @@
 	world.Groups.Put(service, group)
 	revision := carobrevision.Revision{}
 	revision.Change.Profile = carobprofile.NewProfile("p")
-	revision.Change.Profile.Once = once
+	revision.Change.Profile.Guarantee = once
 	world.Profiles.Put("p", revision)
 	r := &rig{
 		t: t, world: world, now: 1, entry: carobentry.NewSystem(), router: carobrouting.NewSystem(),
--- a/pkg/carobentry/route_test.go
+++ b/pkg/carobentry/route_test.go
@@ -160,7 +160,7 @@
 		reply carobkind.Kind
 		want  carobkind.Kind
 	}{
-		{"may have run", carobkind.None, carobkind.Cut},
+		{"may have run", carobkind.None, carobkind.ConnectionLost},
 		{"has not run", carobkind.Busy, carobkind.Leaving},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/pkg/carobentry/system.go
+++ b/pkg/carobentry/system.go
@@ -218,7 +218,7 @@
 // isTargetRefusal reports whether a target's answer proves that it did not run the
 // call: a 503, if the profile says so. The body of such an answer is discarded.
 func isTargetRefusal(call *carobcall.Call, reply carobreply.Reply) bool {
-	return reply.Kind == carobkind.None && call.Profile.Refuse && reply.Status == http.StatusServiceUnavailable
+	return reply.Kind == carobkind.None && call.Profile.NotRunOn503 && reply.Status == http.StatusServiceUnavailable
 }
 
 // retryFailedAnswer retries an idempotent call that a target answered with a 5xx
@@ -226,7 +226,7 @@
 // caller gets the target's answer.
 func retryFailedAnswer(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, reply carobreply.Reply) bool {
 	if reply.Status < http.StatusInternalServerError || call.Route == nil || !mayRunAgain(call) || call.OpenAttempts() > 0 ||
-		call.PossibleRuns() >= call.Profile.Tries || call.SLODeadline.Reached(now) || !world.RetryBudgetOf(call.Arrival.Service).TakeToken() {
+		call.PossibleRuns() >= call.Profile.Attempts || call.SLODeadline.Reached(now) || !world.RetryBudgetOf(call.Arrival.Service).TakeToken() {
 		return false
 	}
 	call.Stage = carobstage.Waiting
@@ -236,7 +236,7 @@
 // retryOrFence retries a call that has no open attempt, lets it back off, or fences
 // its attempts.
 func retryOrFence(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
-	left := len(call.Attempts) < call.Profile.Tries && !call.Deadline.Reached(now)
+	left := len(call.Attempts) < call.Profile.Attempts && !call.Deadline.Reached(now)
 	switch {
 	case left && retryIsFree(call):
 		world.RetryBudgetOf(call.Arrival.Service).FreeRetries++
@@ -267,7 +267,7 @@
 // refusing a caller that has time left. The backoff grows, so that calls above
 // the capacity of the targets cause few refused attempts.
 func backOff(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
-	doublings := min(len(call.Attempts)-call.Profile.Tries, maxBackoffDoublings)
+	doublings := min(len(call.Attempts)-call.Profile.Attempts, maxBackoffDoublings)
 	pause := initialBackoff << max(0, doublings)
 	call.BackoffEnd = now.Add(pause/2 + time.Duration(world.Random.Int64N(int64(pause))))
 	call.Stage = carobstage.Waiting
@@ -286,7 +286,7 @@
 // mayRunAgain reports whether a call may be sent again even if an earlier attempt
 // may have run: it is idempotent, and its body is kept.
 func mayRunAgain(call *carobcall.Call) bool {
-	return call.Profile.Once == carobonce.Idempotent && !call.Arrival.Streamed
+	return call.Profile.Guarantee == carobonce.Idempotent && !call.Arrival.Streamed
 }
 
 // forwardAnswer orders that the answer to an attempt is forwarded to the caller, and
@@ -355,7 +355,7 @@
 	case call.NotRun():
 		conclude(world, now, call, carobkind.Leaving)
 	default:
-		conclude(world, now, call, carobkind.Cut)
+		conclude(world, now, call, carobkind.ConnectionLost)
 	}
 }
 
@@ -381,7 +381,7 @@
 // if there is no SLO or the kind has no retry time; the kind's own retry time
 // applies then.
 func retryAfter(world *carobworld.World, call *carobcall.Call, kind carobkind.Kind) time.Duration {
-	after := kind.Retry()
+	after := kind.RetryAfter()
 	if after == 0 || call.SLODeadline == carobinstant.Never {
 		return 0
 	}
@@ -419,6 +419,6 @@
 		inputs = append(inputs, carobinput.Input{Name: "endsms", Value: float64(world.ShutdownDeadline.Sub(now).Milliseconds())})
 	}
 	world.RecordDecision(carobdecision.Decision{
-		Part: "entry", Text: "call turned away", Request: arrival.Request, Call: arrival.Call, Kind: kind, Inputs: inputs,
+		Component: "entry", Text: "call turned away", Request: arrival.Request, Call: arrival.Call, Kind: kind, Inputs: inputs,
 	})
 }
--- a/pkg/carobfencing/system.go
+++ b/pkg/carobfencing/system.go
@@ -37,28 +37,28 @@
 func (s *System) Run(w *carobworld.World, _ carobinstant.Instant) {
 	for _, ms := range w.Inbox.Messages {
 		if fc := ms.Fence; fc != nil {
-			w.SendMessage(carobmessage.Message{To: ms.ReplyTo, FenceReply: &carobfencereply.FenceReply{Job: fc.Job, State: Judge(w, *fc)}})
+			w.SendMessage(carobmessage.Message{To: ms.ReplyTo, FenceReply: &carobfencereply.FenceReply{Job: fc.Job, State: Fence(w, *fc)}})
 		}
 	}
 }
 
-// Judge returns the state of a job. A job that has not started is fenced: it is refused
+// Fence returns the state of a job. A job that has not started is fenced: it is refused
 // now if it is queued, or else when its offer arrives.
-func Judge(w *carobworld.World, fc carobfence.Fence) carobjobstate.JobState {
+func Fence(w *carobworld.World, fc carobfence.Fence) carobjobstate.JobState {
 	if fc.Incarnation != w.Self.Incarnation {
 		return carobjobstate.Unknown
 	}
 	if jb := w.Jobs.Get(fc.Job); jb != nil {
-		if jb.Started != carobinstant.Never {
+		if jb.StartedAt != carobinstant.Never {
 			return carobjobstate.Running
 		}
-		Withdraw(w, jb, carobkind.Withdrawn)
+		RefuseQueued(w, jb, carobkind.Withdrawn)
 		return carobjobstate.Never
 	}
 	if _, ok := w.EndedJobs.Get(fc.Job); ok {
 		return carobjobstate.Done
 	}
-	if Fenced(w, fc.Job) {
+	if IsFenced(w, fc.Job) {
 		return carobjobstate.Never
 	}
 	if mayHaveRun(w, fc.Job.Call) {
@@ -68,20 +68,20 @@
 	return carobjobstate.Never
 }
 
-// Withdraw removes a job that has not started from its queue, refuses it with the given
+// RefuseQueued removes a job that has not started from its queue, refuses it with the given
 // kind, and prevents later offers of it from starting.
-func Withdraw(w *carobworld.World, jb *carobjob.Job, kind carobkind.Kind) {
+func RefuseQueued(w *carobworld.World, jb *carobjob.Job, kind carobkind.Kind) {
 	gt := w.AdmissionStates.Get(jb.Offer.Target)
 	gt.Queued--
-	gt.Changed = true
+	gt.ReportDue = true
 	w.Outbox.Refusals = append(w.Outbox.Refusals, carobrefusal.Refusal{Job: jb.Offer.Job, Kind: kind})
 	addTombstone(w, jb.Offer.Job)
 	w.Jobs.Delete(jb.Offer.Job)
 }
 
-// Fenced reports whether a job must not run: it has a tombstone, or its tombstone may
+// IsFenced reports whether a job must not run: it has a tombstone, or its tombstone may
 // have been evicted.
-func Fenced(w *carobworld.World, job carobjobid.ID) bool {
+func IsFenced(w *carobworld.World, job carobjobid.ID) bool {
 	if _, ok := w.Tombstones.Get(job); ok {
 		return true
 	}
@@ -92,9 +92,9 @@
 	return covers(wm, job.Call, wm.Fenced)
 }
 
-// Remember records that a started job has ended. An evicted older entry raises the
+// RecordEnded records that a started job has ended. An evicted older entry raises the
 // Ended watermark of its entry node.
-func Remember(w *carobworld.World, fn carobfinish.Finish) {
+func RecordEnded(w *carobworld.World, fn carobfinish.Finish) {
 	if old, _, full := w.EndedJobs.Put(fn.Job, fn); full {
 		wm := watermarkFor(w, old.Call)
 		wm.Ended = max(wm.Ended, old.Call.Sequence)
--- a/pkg/carobfencing/system_test.go
+++ b/pkg/carobfencing/system_test.go
@@ -49,7 +49,7 @@
 	limits.Jobs, limits.Peers = jobs, 1
 	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "here", Incarnation: nodeIncarnation}, Limits: limits})
 	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
-	w.AdmissionStates.Put(target, carobgate.Gate{Limit: 1})
+	w.AdmissionStates.Put(target, carobgate.AdmissionState{Limit: 1})
 	rv := carobrevision.Revision{}
 	rv.Change.Profile = carobprofile.NewProfile("p")
 	w.Profiles.Put("p", rv)
@@ -69,7 +69,7 @@
 }
 
 func offer(id carobjobid.ID) caroboffer.Offer {
-	return caroboffer.Offer{Job: id, Target: target, Incarnation: nodeIncarnation, Patience: timeout}
+	return caroboffer.Offer{Job: id, Target: target, Incarnation: nodeIncarnation, TimeLeft: timeout}
 }
 
 func (r *rig) offer(id carobjobid.ID) {
@@ -187,7 +187,7 @@
 func TestFenceForOtherIncarnationIsUnknown(t *testing.T) {
 	r := newRig(10)
 	fc := carobfence.Fence{Job: job(1), Incarnation: nodeIncarnation - 1}
-	require.Equal(t, carobjobstate.Unknown, carobfencing.Judge(r.world, fc))
+	require.Equal(t, carobjobstate.Unknown, carobfencing.Fence(r.world, fc))
 }
 
 // Guards against wrong replies about jobs whose entries were evicted from the bounded
--- a/pkg/carobfinish/finish.go
+++ b/pkg/carobfinish/finish.go
@@ -14,6 +14,6 @@
 	Kind carobkind.Kind
 	// Status is the HTTP status of the target's response; 0 if there was none.
 	Status int
-	// Pressure is the load that the target reported; nil if the response had none.
-	Pressure *carobpressure.TargetLoad
+	// TargetLoad is the load that the target reported; nil if the response had none.
+	TargetLoad *carobpressure.TargetLoad
 }
--- a/pkg/carobfold/audit.go
+++ b/pkg/carobfold/audit.go
@@ -17,8 +17,8 @@
 		from = revisionText(revision.Change.Profile.Base)
 	}
 	world.Outbox.Audits = append(world.Outbox.Audits, carobaudit.Audit{
-		Who: revision.Change.Who, Part: "profile", What: string(revision.Change.Profile.Name),
-		From: from, To: revisionText(revision.Offset), Local: true,
+		Who: revision.Change.Who, Component: "profile", What: string(revision.Change.Profile.Name),
+		From: from, To: revisionText(revision.Offset), LocalOnly: true,
 	})
 }
 
--- a/pkg/carobfold/system.go
+++ b/pkg/carobfold/system.go
@@ -101,7 +101,7 @@
 	buffer(world, record)
 	if snapshot := snapshotOf(record); snapshot != nil {
 		world.SnapshotOffset = max(world.SnapshotOffset, record.Offset)
-		world.SnapshotLastOffset = max(world.SnapshotLastOffset, snapshot.Through)
+		world.SnapshotLastOffset = max(world.SnapshotLastOffset, snapshot.LastOffset)
 		adoptSnapshot(world, snapshot)
 	}
 	for {
@@ -134,7 +134,7 @@
 	if json.Unmarshal(record.Data, &entry) != nil || entry.Snapshot == nil {
 		return nil
 	}
-	if entry.Snapshot.Check() != nil || entry.Snapshot.Through >= record.Offset {
+	if entry.Snapshot.Check() != nil || entry.Snapshot.LastOffset >= record.Offset {
 		return nil
 	}
 	return entry.Snapshot
@@ -144,12 +144,12 @@
 // have not been folded. It drops the folded records that are kept for other nodes,
 // since those have to follow each other without gaps.
 func adoptSnapshot(world *carobworld.World, snapshot *carobsnapshot.Snapshot) {
-	if snapshot.Through <= world.ProfilesRead {
+	if snapshot.LastOffset <= world.ProfilesRead {
 		return
 	}
-	world.ProfilesRead = snapshot.Through
+	world.ProfilesRead = snapshot.LastOffset
 	for offset := range world.ChangesAfterGap.All() {
-		if offset <= snapshot.Through {
+		if offset <= snapshot.LastOffset {
 			world.ChangesAfterGap.Delete(offset)
 		}
 	}
@@ -186,12 +186,12 @@
 func applyChange(world *carobworld.World, revision carobrevision.Revision) carobchangeresult.ChangeResult {
 	name := revision.Change.Profile.Name
 	result := carobchangeresult.ChangeResult{Change: revision.Change, Offset: revision.Offset}
-	result.Before.Offset = caroboffset.BeforeFirst
+	result.Previous.Offset = caroboffset.BeforeFirst
 	if current := world.Profiles.Get(name); current != nil {
-		result.Before = *current
+		result.Previous = *current
 	}
-	result.Won = revision.Change.Profile.Base == result.Before.Offset && world.Profiles.Put(name, revision) != nil
-	if result.Won {
+	result.Applied = revision.Change.Profile.Base == result.Previous.Offset && world.Profiles.Put(name, revision) != nil
+	if result.Applied {
 		addAudit(world, revision)
 	}
 	return result
--- a/pkg/carobfollow/follow.go
+++ b/pkg/carobfollow/follow.go
@@ -3,8 +3,8 @@
 
 import "github.com/carobknot/carobknot/pkg/carobstream"
 
-// Follow starts reading a stream from its first retained record, or stops reading it.
-type Follow struct {
+// Subscription starts reading a stream from its first retained record, or stops reading it.
+type Subscription struct {
 	Stream carobstream.Stream
-	On     bool
+	Active     bool
 }
--- a/pkg/carobgate/gate.go
+++ b/pkg/carobgate/gate.go
@@ -9,8 +9,8 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
-// Gate is the admission state of one of the node's own targets.
-type Gate struct {
+// AdmissionState is the admission state of one of the node's own targets.
+type AdmissionState struct {
 	// Limit is the number of jobs that may run now: the announced slots, or fewer while
 	// the VM is slow. It is at least 1.
 	Limit int
@@ -26,32 +26,32 @@
 	// Slowness is the factor by which work on the VM takes longer than usual, by the
 	// newest reading; 1 is the usual speed, 0 means that there is no reading.
 	Slowness float64
-	// Told is when the newest reading arrived; Never before the first.
-	Told carobinstant.Instant
-	// Usual is the baseline of Slowness: the newest reading that was not slow, or the
+	// SlownessReadAt is when the newest reading arrived; Never before the first.
+	SlownessReadAt carobinstant.Instant
+	// Baseline is the baseline of Slowness: the newest reading that was not slow, or the
 	// level of persistent slowness; 0 before the first reading.
-	Usual float64
+	Baseline float64
 	// SlowSince is the start of the current uninterrupted series of readings that are
 	// slow in relation to the baseline; Never if there is none.
 	SlowSince carobinstant.Instant
-	// SlowLeast is the lowest reading since SlowSince.
-	SlowLeast float64
-	// Asked is when the outstanding health check was ordered; Never if there is none.
-	Asked carobinstant.Instant
-	// QuietUntil is the end of the backoff of health checks, which begins after a check
+	// MinSlowness is the lowest reading since SlowSince.
+	MinSlowness float64
+	// CheckSentAt is when the outstanding health check was ordered; Never if there is none.
+	CheckSentAt carobinstant.Instant
+	// CheckBackoffEnd is the end of the backoff of health checks, which begins after a check
 	// without an answer or without a reading; Never before the first.
-	QuietUntil carobinstant.Instant
-	// Checks is the token bucket that limits the rate of health checks.
-	Checks carobbucket.TokenBucket
-	// Awaited is when the newest nested call arrived, that is, a call for which another
+	CheckBackoffEnd carobinstant.Instant
+	// CheckBudget is the token bucket that limits the rate of health checks.
+	CheckBudget carobbucket.TokenBucket
+	// LastNestedAt is when the newest nested call arrived, that is, a call for which another
 	// job waits; Never before the first.
-	Awaited carobinstant.Instant
-	// Changed reports whether the load has changed since the last published report.
-	Changed bool
-	// Learned is when the newest call that contributed to Latency started; Never before
+	LastNestedAt carobinstant.Instant
+	// ReportDue reports whether the load has changed since the last published report.
+	ReportDue bool
+	// LatencyStart is when the newest call that contributed to Latency started; Never before
 	// the first call.
-	Learned carobinstant.Instant
-	// Since is when the target was added or last restarted. It is intended for ramping up
+	LatencyStart carobinstant.Instant
+	// AddedAt is when the target was added or last restarted. It is intended for ramping up
 	// cold targets; no system reads it yet.
-	Since carobinstant.Instant
+	AddedAt carobinstant.Instant
 }
--- a/pkg/carobgrant/grant.go
+++ b/pkg/carobgrant/grant.go
@@ -3,26 +3,26 @@
 
 import "github.com/carobknot/carobknot/pkg/carobkind"
 
-// Grant is the result of a claim.
-type Grant string
+// ClaimResult is the result of a claim.
+type ClaimResult string
 
 const (
 	// Granted means that the call holds the key and may run.
-	Granted Grant = "granted"
+	Granted ClaimResult = "granted"
 	// Wait means that another call holds the key and has not ended.
-	Wait Grant = "wait"
+	Wait ClaimResult = "wait"
 	// Repeated means that another call with the key has run.
-	Repeated Grant = "repeated"
+	Repeated ClaimResult = "repeated"
 	// Unknown means that another call with the key may have run.
-	Unknown Grant = "unknown"
+	Unknown ClaimResult = "unknown"
 	// Unclaimed means that the shard has no room for another key.
-	Unclaimed Grant = "unclaimed"
+	Unclaimed ClaimResult = "unclaimed"
 )
 
 // UnmarshalText decodes a grant. It returns an Invalid error if the text is none
 // of the constants.
-func (g *Grant) UnmarshalText(text []byte) error {
-	switch grant := Grant(text); grant {
+func (g *ClaimResult) UnmarshalText(text []byte) error {
+	switch grant := ClaimResult(text); grant {
 	case Granted, Wait, Repeated, Unknown, Unclaimed:
 		*g = grant
 		return nil
--- a/pkg/carobgroup/group.go
+++ b/pkg/carobgroup/group.go
@@ -10,7 +10,7 @@
 type Group struct {
 	// Profile is the name that most targets of the service announce; of
 	// several, the first in the order of names.
-	Profile carobword.Word
+	Profile carobword.Name
 	// Targets are sorted by name.
 	Targets []carobtargetid.ID
 	// Subset is the subset of Targets that this node sends to; empty if it sends
--- a/pkg/carobgrouping/system.go
+++ b/pkg/carobgrouping/system.go
@@ -51,9 +51,9 @@
 
 // mostCommonProfile returns the profile that most targets of a service
 // announce; of several, the first in the order of names.
-func mostCommonProfile(world *carobworld.World, group *carobgroup.Group) carobword.Word {
-	counts := map[carobword.Word]int{}
-	var mostCommon carobword.Word
+func mostCommonProfile(world *carobworld.World, group *carobgroup.Group) carobword.Name {
+	counts := map[carobword.Name]int{}
+	var mostCommon carobword.Name
 	for _, id := range group.Targets {
 		profile := world.Targets.Get(id).Profile
 		counts[profile]++
--- a/pkg/carobhealth/health.go
+++ b/pkg/carobhealth/health.go
@@ -6,9 +6,9 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Health is the result of a health check.
-type Health struct {
+// CheckResult is the result of a health check.
+type CheckResult struct {
 	Target carobtargetid.ID
-	// Pressure is the load that the target reported; nil if it did not answer.
-	Pressure *carobpressure.TargetLoad
+	// TargetLoad is the load that the target reported; nil if it did not answer.
+	TargetLoad *carobpressure.TargetLoad
 }
--- a/pkg/carobhedging/system.go
+++ b/pkg/carobhedging/system.go
@@ -103,8 +103,8 @@
 // mayHedge reports whether a call may have a second attempt beside the open
 // one.
 func mayHedge(call *carobcall.Call) bool {
-	return call.Profile.Hedge > 0 && call.Profile.Once == carobonce.Idempotent && !call.Arrival.Streamed &&
-		len(call.Attempts) < call.Profile.Tries && call.OpenAttempts() == 1
+	return call.Profile.HedgeQuantile > 0 && call.Profile.Guarantee == carobonce.Idempotent && !call.Arrival.Streamed &&
+		len(call.Attempts) < call.Profile.Attempts && call.OpenAttempts() == 1
 }
 
 // requestHedge requests a hedge if the retry budget has a token, and schedules
@@ -128,7 +128,7 @@
 
 // delay returns the age of an attempt at which the call is hedged.
 func delay(call *carobcall.Call, pace *carobpace.Latency) time.Duration {
-	return max(pace.Histogram.Quantile(float64(call.Profile.Hedge)), minDelay)
+	return max(pace.Histogram.Quantile(float64(call.Profile.HedgeQuantile)), minDelay)
 }
 
 // newestIsOpen reports whether the newest attempt has no reply yet.
--- a/pkg/carobhedging/system_test.go
+++ b/pkg/carobhedging/system_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	world := carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()})
 	profile := carobprofile.NewProfile("lookups")
-	profile.Once = carobonce.Idempotent
+	profile.Guarantee = carobonce.Idempotent
 	pace := paceOf(world, "lookups")
 	for range 1000 {
 		pace.Histogram.Add(10 * time.Millisecond)
@@ -53,11 +53,11 @@
 		want   bool
 	}{
 		{"idempotent", func(*carobcall.Call) {}, true},
-		{"at most once", func(call *carobcall.Call) { call.Profile.Once = carobonce.OncePerCall }, false},
-		{"keyed", func(call *carobcall.Call) { call.Profile.Once = carobonce.OncePerKey }, false},
+		{"at most once", func(call *carobcall.Call) { call.Profile.Guarantee = carobonce.OncePerCall }, false},
+		{"keyed", func(call *carobcall.Call) { call.Profile.Guarantee = carobonce.OncePerKey }, false},
 		{"body not kept", func(call *carobcall.Call) { call.Arrival.Streamed = true }, false},
-		{"one attempt allowed", func(call *carobcall.Call) { call.Profile.Tries = 1 }, false},
-		{"no hedging", func(call *carobcall.Call) { call.Profile.Hedge = 0 }, false},
+		{"one attempt allowed", func(call *carobcall.Call) { call.Profile.Attempts = 1 }, false},
+		{"no hedging", func(call *carobcall.Call) { call.Profile.HedgeQuantile = 0 }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s, world, call := newHedgeableCall(t, tc.change)
--- a/pkg/carobhome/home.go
+++ b/pkg/carobhome/home.go
@@ -16,28 +16,28 @@
 
 // Home is the state of a shard whose claims this node appends to the log.
 type Home struct {
-	// Claimed is the state folded from the records of the stream.
-	Claimed *carobclaims.Claims
-	// Since is when this node became the home in its own view.
-	Since carobinstant.Instant
-	// Read is true once the stream has been read up to the end that a read found.
-	Read bool
-	// Next is the offset of the next record to fold. It only grows.
-	Next caroboffset.Offset
-	// Flight is the batch that was sent to the log and has not been read back, or
+	// State is the state folded from the records of the stream.
+	State *carobclaims.ClaimState
+	// HomeSince is when this node became the home in its own view.
+	HomeSince carobinstant.Instant
+	// CaughtUp is true once the stream has been read up to the end that a read found.
+	CaughtUp bool
+	// NextOffset is the offset of the next record to fold. It only grows.
+	NextOffset caroboffset.Offset
+	// InFlight is the batch that was sent to the log and has not been read back, or
 	// nil.
-	Flight *carobclaimbatch.Batch
-	// Sent is when a batch was last sent to the log, and Taken when a takeover was
+	InFlight *carobclaimbatch.Batch
+	// SentAt is when a batch was last sent to the log, and TakeoverAt when a takeover was
 	// last created; both are Never before the first.
-	Sent, Taken carobinstant.Instant
-	// Pause is the minimum time between Taken and the next takeover.
-	Pause time.Duration
-	// Due is when Flight is sent again.
-	Due carobinstant.Instant
-	// Claims and Settlements are queued for the next batch.
-	Claims      []carobclaim.Claim
-	Settlements []carobsettlement.Settlement
-	// Back maps the calls that are queued or in flight to the addresses of their
+	SentAt, TakeoverAt carobinstant.Instant
+	// TakeoverBackoff is the minimum time between Taken and the next takeover.
+	TakeoverBackoff time.Duration
+	// ResendAt is when Flight is sent again.
+	ResendAt carobinstant.Instant
+	// QueuedClaims and Settlements are queued for the next batch.
+	QueuedClaims      []carobclaim.Claim
+	QueuedSettlements []carobsettlement.Settlement
+	// ReplyTo maps the calls that are queued or in flight to the addresses of their
 	// entry nodes, which get the replies.
-	Back map[carobcallid.ID]carobaddress.Address
+	ReplyTo map[carobcallid.ID]carobaddress.Address
 }
--- a/pkg/carobhop/hop.go
+++ b/pkg/carobhop/hop.go
@@ -24,15 +24,15 @@
 	Attempt int `json:"attempt"`
 	// Target is the target of the attempt; zero if none was sent.
 	Target carobtargetid.ID `json:"target,omitzero"`
-	// Trace is the trace context in W3C format.
-	Trace string `json:"trace,omitempty"`
+	// Traceparent is the trace context in W3C format.
+	Traceparent string `json:"trace,omitempty"`
 	// Parent is the span of the previous hop in hexadecimal; empty if the trace began
 	// here.
 	Parent string `json:"parent,omitempty"`
-	// Start is when the call or job arrived, by the node's own clock.
-	Start time.Time `json:"start"`
-	// Took is the time from Start to the end of the call or job.
-	Took carobspan.Duration `json:"took"`
+	// StartedAt is when the call or job arrived, by the node's own clock.
+	StartedAt time.Time `json:"start"`
+	// Duration is the time from Start to the end of the call or job.
+	Duration carobspan.Duration `json:"took"`
 	// Kind is the error kind; None if there was no error.
 	Kind carobkind.Kind `json:"kind,omitempty"`
 }
--- a/pkg/carobinbox/inbox.go
+++ b/pkg/carobinbox/inbox.go
@@ -30,7 +30,7 @@
 	Announcements []carobannouncement.Announcement
 	Records       []carobrecord.Record
 	// StreamBounds are the bounds of the log streams that Records were read from.
-	StreamBounds []carobmark.Mark
+	StreamBounds []carobmark.StreamBounds
 	// RouteTables are the route tables read from the store.
 	RouteTables []*carobroutes.RouteTable
 	// StoreUnreadable has a value for each change of whether the store can be read, true if it
@@ -49,9 +49,9 @@
 	Offers   []caroboffer.Offer
 	Finishes []carobfinish.Finish
 	// CheckResults are the results of health checks.
-	CheckResults []carobhealth.Health
+	CheckResults []carobhealth.CheckResult
 	// AppendResults has the results of appending claims to the log.
-	AppendResults []carobcommitted.Committed
+	AppendResults []carobcommitted.AppendResult
 
 	// Entry and routing.
 
--- a/pkg/carobinput/age.go
+++ b/pkg/carobinput/age.go
@@ -15,10 +15,10 @@
 	if at == carobinstant.Never {
 		return Input{Name: name, Value: unknownAge}
 	}
-	return Input{Name: name, Value: Ms(now.Sub(at))}
+	return Input{Name: name, Value: Milliseconds(now.Sub(at))}
 }
 
-// Ms returns a duration in milliseconds, rounded to hundredths.
-func Ms(d time.Duration) float64 {
+// Milliseconds returns a duration in milliseconds, rounded to hundredths.
+func Milliseconds(d time.Duration) float64 {
 	return float64(d.Round(10*time.Microsecond)) / float64(time.Millisecond)
 }
--- a/pkg/carobjob/job.go
+++ b/pkg/carobjob/job.go
@@ -10,10 +10,10 @@
 type Job struct {
 	// Offer is the accepted offer.
 	Offer caroboffer.Offer
-	// Came is when the offer arrived.
-	Came carobinstant.Instant
+	// ArrivedAt is when the offer arrived.
+	ArrivedAt carobinstant.Instant
 	// Deadline is when the call times out.
 	Deadline carobinstant.Instant
-	// Started is when the job was started; Never while it is queued.
-	Started carobinstant.Instant
+	// StartedAt is when the job was started; Never while it is queued.
+	StartedAt carobinstant.Instant
 }
--- a/pkg/carobjobstate/state.go
+++ b/pkg/carobjobstate/state.go
@@ -8,8 +8,8 @@
 
 // The states.
 const (
-	// Unasked: there is no fence reply yet.
-	Unasked JobState = ""
+	// Pending: there is no fence reply yet.
+	Pending JobState = ""
 	// Never: the job has not run and never will.
 	Never JobState = "never"
 	// Running: the job was started and has not ended.
--- a/pkg/carobkind/kind.go
+++ b/pkg/carobkind/kind.go
@@ -28,11 +28,11 @@
 	TooLarge Kind = "too-large"
 	// HeaderTooLarge means that the header of a call exceeds its limit.
 	HeaderTooLarge Kind = "header-too-large"
-	// Slow means that the caller took too long to send its call.
-	Slow Kind = "slow"
-	// Spent means that no target ran the call, and that its body was streamed and
+	// RequestTimeout means that the caller took too long to send its call.
+	RequestTimeout Kind = "slow"
+	// NotResendable means that no target ran the call, and that its body was streamed and
 	// cannot be sent again.
-	Spent Kind = "spent"
+	NotResendable Kind = "spent"
 	// NotReady means that the node has no profile or no view of the targets yet.
 	NotReady Kind = "not-ready"
 	// NoRoute means that the route table in force has no route for the call.
@@ -46,9 +46,9 @@
 	NoTarget Kind = "no-target"
 	// Busy means that all slots and queues are full.
 	Busy Kind = "busy"
-	// Late means that the call could not be started before its deadline. See
+	// NotStartedInTime means that the call could not be started before its deadline. See
 	// Expired for a deadline that passes later.
-	Late Kind = "late"
+	NotStartedInTime Kind = "late"
 	// Leaving means that the target or the node is shutting down.
 	Leaving Kind = "leaving"
 	// Stale means that the message was addressed to another incarnation.
@@ -59,8 +59,8 @@
 	Unreachable Kind = "unreachable"
 	// Expired means that the deadline passed while the call may have been running.
 	Expired Kind = "expired"
-	// Cut means that the connection broke while the call may have been running.
-	Cut Kind = "cut"
+	// ConnectionLost means that the connection broke while the call may have been running.
+	ConnectionLost Kind = "cut"
 	// Cancelled means that the caller closed its connection.
 	Cancelled Kind = "cancelled"
 	// Repeated means that a call with this key has run, and that its answer is not
@@ -74,11 +74,11 @@
 	KeyUnknown Kind = "key-unknown"
 	// Conflict means that another change of the profile was made first.
 	Conflict Kind = "conflict"
-	// LogOut means that the platform's log is unavailable, so that an append
+	// LogUnavailable means that the platform's log is unavailable, so that an append
 	// certainly took no effect.
-	LogOut Kind = "log-out"
-	// Unsure means that an append may or may not have taken effect.
-	Unsure Kind = "unsure"
+	LogUnavailable Kind = "log-out"
+	// AppendUncertain means that an append may or may not have taken effect.
+	AppendUncertain Kind = "unsure"
 	// Internal means a fault of this program.
 	Internal Kind = "internal"
 )
@@ -104,28 +104,28 @@
 	Invalid:        {http.StatusBadRequest, caroboutcome.NotRun, 0, logrus.InfoLevel},
 	TooLarge:       {http.StatusRequestEntityTooLarge, caroboutcome.NotRun, 0, logrus.InfoLevel},
 	HeaderTooLarge: {http.StatusRequestHeaderFieldsTooLarge, caroboutcome.NotRun, 0, logrus.InfoLevel},
-	Slow:           {http.StatusRequestTimeout, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
-	Spent:          {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
+	RequestTimeout:           {http.StatusRequestTimeout, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
+	NotResendable:          {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
 	NotReady:       {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.WarnLevel},
 	NoRoute:        {http.StatusNotFound, caroboutcome.NotRun, 0, logrus.InfoLevel},
 	Shed:           {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
 	Misdirected:    {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.WarnLevel},
 	NoTarget:       {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.WarnLevel},
 	Busy:           {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
-	Late:           {http.StatusGatewayTimeout, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
+	NotStartedInTime:           {http.StatusGatewayTimeout, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
 	Leaving:        {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
 	Stale:          {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
 	Withdrawn:      {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.InfoLevel},
 	Unreachable:    {http.StatusServiceUnavailable, caroboutcome.NotRun, shortRetry, logrus.WarnLevel},
 	Expired:        {http.StatusGatewayTimeout, caroboutcome.Unknown, 0, logrus.WarnLevel},
-	Cut:            {http.StatusBadGateway, caroboutcome.Unknown, 0, logrus.WarnLevel},
+	ConnectionLost:            {http.StatusBadGateway, caroboutcome.Unknown, 0, logrus.WarnLevel},
 	Cancelled:      {statusClientClosed, caroboutcome.Unknown, 0, logrus.InfoLevel},
 	Repeated:       {http.StatusConflict, caroboutcome.Unknown, 0, logrus.InfoLevel},
 	Unclaimed:      {http.StatusServiceUnavailable, caroboutcome.NotRun, longRetry, logrus.WarnLevel},
 	KeyUnknown:     {http.StatusConflict, caroboutcome.Unknown, 0, logrus.WarnLevel},
 	Conflict:       {http.StatusConflict, caroboutcome.NotRun, 0, logrus.InfoLevel},
-	LogOut:         {http.StatusServiceUnavailable, caroboutcome.NotRun, longRetry, logrus.WarnLevel},
-	Unsure:         {http.StatusBadGateway, caroboutcome.Unknown, 0, logrus.WarnLevel},
+	LogUnavailable:         {http.StatusServiceUnavailable, caroboutcome.NotRun, longRetry, logrus.WarnLevel},
+	AppendUncertain:         {http.StatusBadGateway, caroboutcome.Unknown, 0, logrus.WarnLevel},
 	Internal:       {http.StatusInternalServerError, caroboutcome.Unknown, 0, logrus.ErrorLevel},
 }
 
@@ -144,9 +144,9 @@
 	return k.properties().outcome
 }
 
-// Retry returns the delay after which a new call may succeed, or 0 if a new call
+// RetryAfter returns the delay after which a new call may succeed, or 0 if a new call
 // would not help.
-func (k Kind) Retry() time.Duration {
+func (k Kind) RetryAfter() time.Duration {
 	return k.properties().retry
 }
 
--- a/pkg/caroblimits/limits.go
+++ b/pkg/caroblimits/limits.go
@@ -20,26 +20,26 @@
 	Targets int `json:"targets"`
 	// Peers is the maximum number of other nodes in the node's tables.
 	Peers int `json:"peers"`
-	// Conns is the maximum number of open connections of callers.
-	Conns int `json:"conns"`
+	// Connections is the maximum number of open connections of callers.
+	Connections int `json:"conns"`
 	// Cores is the maximum number of processor cores that run the node's goroutines
 	// at once (GOMAXPROCS).
 	Cores int `json:"cores"`
-	// Header is the maximum size of the header of a call.
-	Header carobsize.Size `json:"header"`
-	// Body is the maximum size of the body of a call.
-	Body carobsize.Size `json:"body"`
-	// Kept is the maximum total size of the bodies of all calls that are
+	// HeaderSize is the maximum size of the header of a call.
+	HeaderSize carobsize.Size `json:"header"`
+	// BodySize is the maximum size of the body of a call.
+	BodySize carobsize.Size `json:"body"`
+	// BufferedBodySize is the maximum total size of the bodies of all calls that are
 	// buffered for another attempt. A body beyond it is streamed; a front end
 	// that needs whole bodies refuses the call instead.
-	Kept carobsize.Size `json:"kept"`
-	// Head is the time-out for receiving the header of a call.
-	Head carobspan.Duration `json:"head"`
-	// Stall is the time without progress after which the transfer of a body counts
+	BufferedBodySize carobsize.Size `json:"kept"`
+	// HeaderTimeout is the time-out for receiving the header of a call.
+	HeaderTimeout carobspan.Duration `json:"head"`
+	// StallTimeout is the time without progress after which the transfer of a body counts
 	// as cut.
-	Stall carobspan.Duration `json:"stall"`
-	// Idle is how long an unused connection of a caller stays open.
-	Idle carobspan.Duration `json:"idle"`
+	StallTimeout carobspan.Duration `json:"stall"`
+	// IdleTimeout is how long an unused connection of a caller stays open.
+	IdleTimeout carobspan.Duration `json:"idle"`
 }
 
 // NewLimits returns the default limits, which suffice for several times the size of
@@ -50,14 +50,14 @@
 		Jobs:    20_000,
 		Targets: 4_000,
 		Peers:   4_000,
-		Conns:   4_000,
+		Connections:   4_000,
 		Cores:   1,
-		Header:  16 * carobsize.KiB,
-		Body:    1024 * carobsize.MiB,
-		Kept:    32 * carobsize.MiB,
-		Head:    carobspan.Duration(10 * time.Second),
-		Stall:   carobspan.Duration(30 * time.Second),
-		Idle:    carobspan.Duration(60 * time.Second),
+		HeaderSize:  16 * carobsize.KiB,
+		BodySize:    1024 * carobsize.MiB,
+		BufferedBodySize:    32 * carobsize.MiB,
+		HeaderTimeout:    carobspan.Duration(10 * time.Second),
+		StallTimeout:   carobspan.Duration(30 * time.Second),
+		IdleTimeout:    carobspan.Duration(60 * time.Second),
 	}
 }
 
@@ -71,14 +71,14 @@
 		{"jobs", int64(l.Jobs)},
 		{"targets", int64(l.Targets)},
 		{"peers", int64(l.Peers)},
-		{"conns", int64(l.Conns)},
+		{"conns", int64(l.Connections)},
 		{"cores", int64(l.Cores)},
-		{"header", int64(l.Header)},
-		{"body", int64(l.Body)},
-		{"kept", int64(l.Kept)},
-		{"head", int64(l.Head)},
-		{"stall", int64(l.Stall)},
-		{"idle", int64(l.Idle)},
+		{"header", int64(l.HeaderSize)},
+		{"body", int64(l.BodySize)},
+		{"kept", int64(l.BufferedBodySize)},
+		{"head", int64(l.HeaderTimeout)},
+		{"stall", int64(l.StallTimeout)},
+		{"idle", int64(l.IdleTimeout)},
 	} {
 		if limit.value < 1 {
 			return carobkind.New(carobkind.Invalid, "limits.%s: must be at least 1", limit.key)
--- a/pkg/carobmark/mark.go
+++ b/pkg/carobmark/mark.go
@@ -6,8 +6,8 @@
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
 
-// Mark holds the bounds of a stream that a read of it found.
-type Mark struct {
+// StreamBounds holds the bounds of a stream that a read of it found.
+type StreamBounds struct {
 	Stream carobstream.Stream
 	// First is the lowest offset that the log still keeps.
 	First caroboffset.Offset
--- a/pkg/carobmember/member.go
+++ b/pkg/carobmember/member.go
@@ -60,10 +60,10 @@
 	if err := m.Version().Check(); err != nil {
 		return err
 	}
-	if err := carobword.Word(m.Region).Check("region"); err != nil {
+	if err := carobword.Name(m.Region).Check("region"); err != nil {
 		return err
 	}
-	if err := carobword.Word(m.Centre).Check("centre"); err != nil {
+	if err := carobword.Name(m.Centre).Check("centre"); err != nil {
 		return err
 	}
 	if err := m.PeerAddress.Check(); err != nil {
--- a/pkg/carobmessage/message.go
+++ b/pkg/carobmessage/message.go
@@ -71,7 +71,7 @@
 	// Measuring.
 
 	// LoadProbe queries the load of a target.
-	LoadProbe *carobpoll.Poll `json:"poll,omitempty"`
+	LoadProbe *carobpoll.LoadProbe `json:"poll,omitempty"`
 	// Report answers a query for a load.
 	Report *carobreport.Report `json:"report,omitempty"`
 }
--- a/pkg/carobnodeid/id.go
+++ b/pkg/carobnodeid/id.go
@@ -9,7 +9,7 @@
 
 // Check returns an Invalid error if the name is not a word.
 func (i ID) Check() error {
-	return carobword.Word(i).Check("node")
+	return carobword.Name(i).Check("node")
 }
 
 // UnmarshalText decodes a name and checks it as Check does.
--- a/pkg/caroboffer/offer.go
+++ b/pkg/caroboffer/offer.go
@@ -16,12 +16,12 @@
 	Target carobtargetid.ID
 	// Incarnation is the incarnation of the target's node that the entry node addressed.
 	Incarnation carobincarnation.Incarnation
-	// Patience is the time left until the call's deadline.
-	Patience time.Duration
-	// Wish holds the caller's requirements for the call.
-	Wish carobwish.Requirements
+	// TimeLeft is the time left until the call's deadline.
+	TimeLeft time.Duration
+	// Requirements holds the caller's requirements for the call.
+	Requirements carobwish.Requirements
 	// Key is the idempotency key; empty if there is none.
 	Key string
-	// Trace is the trace context in W3C format; empty if there is none.
-	Trace string
+	// Traceparent is the trace context in W3C format; empty if there is none.
+	Traceparent string
 }
--- a/pkg/caroboutbox/outbox.go
+++ b/pkg/caroboutbox/outbox.go
@@ -46,11 +46,11 @@
 	Refusals []carobrefusal.Refusal
 	// AppendRequests are batches of claims to append to the log. The result of each comes back in
 	// the inbox.
-	AppendRequests []carobcommit.Commit
+	AppendRequests []carobcommit.AppendRequest
 	// Subscriptions are the log streams to start or stop reading.
-	Subscriptions []carobfollow.Follow
+	Subscriptions []carobfollow.Subscription
 	// HealthChecks are health checks of the node's own targets.
-	HealthChecks []carobcheck.Check
+	HealthChecks []carobcheck.HealthCheck
 	// Reports are the target loads to attach to answers and refusals from now on.
 	Reports []carobreport.Report
 
--- a/pkg/carobpause/system.go
+++ b/pkg/carobpause/system.go
@@ -11,11 +11,11 @@
 
 // Config holds the settings of the system.
 type Config struct {
-	// Period is the longest time between two ticks.
-	Period time.Duration
-	// Allowance is the time between two ticks above which the node counts as paused. It
+	// TickPeriod is the longest time between two ticks.
+	TickPeriod time.Duration
+	// Threshold is the time between two ticks above which the node counts as paused. It
 	// is longer than Period.
-	Allowance time.Duration
+	Threshold time.Duration
 }
 
 // System marks the ticks that follow a pause.
@@ -33,7 +33,7 @@
 // Run sets Paused if more than Allowance has passed since the previous tick, and
 // schedules the next tick.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	w.Paused = s.lastTick != carobinstant.Never && now.Sub(s.lastTick) > s.config.Allowance
+	w.Paused = s.lastTick != carobinstant.Never && now.Sub(s.lastTick) > s.config.Threshold
 	s.lastTick = now
-	w.WakeAt(now.Add(s.config.Period))
+	w.WakeAt(now.Add(s.config.TickPeriod))
 }
--- a/pkg/carobpause/system_test.go
+++ b/pkg/carobpause/system_test.go
@@ -41,7 +41,7 @@
 	}{"in time": {period, false}, "paused": {allowance + 1, true}} {
 		t.Run(name, func(t *testing.T) {
 			w := world()
-			pause := carobpause.NewSystem(carobpause.Config{Period: period, Allowance: allowance})
+			pause := carobpause.NewSystem(carobpause.Config{TickPeriod: period, Threshold: allowance})
 			step := func(now carobinstant.Instant, in carobinbox.Inbox) {
 				w.BeginTick(in)
 				pause.Run(w, now)
@@ -75,7 +75,7 @@
 
 func offer(sequence uint64) caroboffer.Offer {
 	id := carobjobid.ID{Call: carobcallid.ID{Node: "entry", Incarnation: 1, Sequence: sequence}, Attempt: 1}
-	return caroboffer.Offer{Job: id, Target: target, Incarnation: 7, Patience: time.Minute}
+	return caroboffer.Offer{Job: id, Target: target, Incarnation: 7, TimeLeft: time.Minute}
 }
 
 // world returns the tables of a node whose target has one slot.
@@ -84,7 +84,7 @@
 		Self: carobmember.Member{Node: "here", Incarnation: 7}, Limits: caroblimits.NewLimits(),
 	})
 	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
-	w.AdmissionStates.Put(target, carobgate.Gate{Limit: 1})
+	w.AdmissionStates.Put(target, carobgate.AdmissionState{Limit: 1})
 	rv := carobrevision.Revision{}
 	rv.Change.Profile = carobprofile.NewProfile("p")
 	w.Profiles.Put("p", rv)
--- a/pkg/carobpoll/poll.go
+++ b/pkg/carobpoll/poll.go
@@ -3,8 +3,8 @@
 
 import "github.com/carobknot/carobknot/pkg/carobtargetid"
 
-// Poll requests a report from a target's node.
-type Poll struct {
+// LoadProbe requests a report from a target's node.
+type LoadProbe struct {
 	// Target is the target whose load is requested. It is validated when it is decoded.
 	Target carobtargetid.ID `json:"target"`
 }
--- a/pkg/carobprobing/system.go
+++ b/pkg/carobprobing/system.go
@@ -22,9 +22,9 @@
 // Keys of the measuring budget in World.Buckets.
 const (
 	// BytesBucket is the bucket of the bytes sent for measuring.
-	BytesBucket carobword.Word = "bytes"
+	BytesBucket carobword.Name = "bytes"
 	// CPUTimeBucket is the bucket of the processor time spent on measuring, in seconds.
-	CPUTimeBucket carobword.Word = "time"
+	CPUTimeBucket carobword.Name = "time"
 )
 
 const (
@@ -98,11 +98,11 @@
 
 // decayedLatency returns a target's latency. It decays while the target has no
 // calls; otherwise a target that was slow once would never be picked again.
-func decayedLatency(gate *carobgate.Gate, now carobinstant.Instant) time.Duration {
-	if gate.Running > 0 || gate.Learned == carobinstant.Never {
+func decayedLatency(gate *carobgate.AdmissionState, now carobinstant.Instant) time.Duration {
+	if gate.Running > 0 || gate.LatencyStart == carobinstant.Never {
 		return gate.Latency
 	}
-	return time.Duration(float64(gate.Latency) * math.Exp(-float64(now.Sub(gate.Learned))/float64(latencyDecay)))
+	return time.Duration(float64(gate.Latency) * math.Exp(-float64(now.Sub(gate.LatencyStart))/float64(latencyDecay)))
 }
 
 // storeReport replaces the report of a target whose load is tracked.
@@ -137,7 +137,7 @@
 // and no probe is pending.
 func needsProbe(world *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, load *carobload.Load) bool {
 	profile := world.ProfileOf(id.Service)
-	if profile == nil || profile.Measure <= 0 || now.Sub(load.ReportedAt) < profile.Measure.Duration() {
+	if profile == nil || profile.ReportAgeLimit <= 0 || now.Sub(load.ReportedAt) < profile.ReportAgeLimit.Duration() {
 		return false
 	}
 	return load.ProbedAt == carobinstant.Never || now.Sub(load.ProbedAt) > probeTimeout || load.ReportedAt > load.ProbedAt
@@ -154,7 +154,7 @@
 		return
 	}
 	load.ProbedAt = now
-	world.SendMessage(carobmessage.Message{To: peer.Member.PeerAddress, LoadProbe: &carobpoll.Poll{Target: id}})
+	world.SendMessage(carobmessage.Message{To: peer.Member.PeerAddress, LoadProbe: &carobpoll.LoadProbe{Target: id}})
 }
 
 // spendBudget takes the cost of one message from both buckets, or from neither
@@ -194,7 +194,7 @@
 
 // bucketOf returns a bucket and adds it if it is missing, or returns nil if the
 // table is full.
-func bucketOf(world *carobworld.World, name carobword.Word) *carobbucket.TokenBucket {
+func bucketOf(world *carobworld.World, name carobword.Name) *carobbucket.TokenBucket {
 	if bucket := world.Buckets.Get(name); bucket != nil {
 		return bucket
 	}
--- a/pkg/carobprobing/system_test.go
+++ b/pkg/carobprobing/system_test.go
@@ -76,11 +76,11 @@
 	s, world := NewSystem(), newWorld(2048)
 	own := carobtargetid.ID{Service: "lookups", Name: "a"}
 	world.Targets.Put(own, carobtarget.Target{ID: own, Node: "one"})
-	world.AdmissionStates.Put(own, carobgate.Gate{Limit: 12, Running: 3, Queued: 1, Latency: time.Second, Learned: now.Add(-time.Minute)})
-	sent := tick(s, world, now, carobmessage.Message{ReplyTo: "127.0.0.1:2", LoadProbe: &carobpoll.Poll{Target: own}})
+	world.AdmissionStates.Put(own, carobgate.AdmissionState{Limit: 12, Running: 3, Queued: 1, Latency: time.Second, LatencyStart: now.Add(-time.Minute)})
+	sent := tick(s, world, now, carobmessage.Message{ReplyTo: "127.0.0.1:2", LoadProbe: &carobpoll.LoadProbe{Target: own}})
 	require.Len(t, sent, 1)
 	require.Equal(t, &carobreport.Report{Target: own, Running: 3, Queued: 1, Slots: 12, Latency: sent[0].Report.Latency}, sent[0].Report)
-	require.Empty(t, tick(s, world, now, carobmessage.Message{LoadProbe: &carobpoll.Poll{Target: other}}), "target of another node")
+	require.Empty(t, tick(s, world, now, carobmessage.Message{LoadProbe: &carobpoll.LoadProbe{Target: other}}), "target of another node")
 }
 
 // Guards against probes that exceed the configured bytes or processor time,
--- a/pkg/carobprofile/profile.go
+++ b/pkg/carobprofile/profile.go
@@ -18,70 +18,70 @@
 // Profile holds the routing rules for the calls of the services that select it.
 type Profile struct {
 	// Name is the name by which services select the profile.
-	Name carobword.Word `json:"name"`
+	Name carobword.Name `json:"name"`
 	// Base is the revision that this change replaces, or None for a new
 	// profile. The change has no effect if another revision is in force.
 	Base caroboffset.Offset `json:"base"`
 	// Policy is the name of the policy that chooses a target.
-	Policy carobword.Word `json:"policy"`
-	// Spread is the size of the subset of a service's targets that each entry node
+	Policy carobword.Name `json:"policy"`
+	// SubsetSize is the size of the subset of a service's targets that each entry node
 	// uses, at least 1.
-	Spread int `json:"spread"`
+	SubsetSize int `json:"spread"`
 	// Deadline is the time until the deadline of a call whose caller sets none.
 	Deadline carobspan.Duration `json:"deadline"`
-	// Tries is the number of attempts of a call before it waits for a free slot, at
+	// Attempts is the number of attempts of a call before it waits for a free slot, at
 	// least 1.
-	Tries int `json:"tries"`
-	// Hedge is the quantile of latency after which a call that may run more than
+	Attempts int `json:"tries"`
+	// HedgeQuantile is the quantile of latency after which a call that may run more than
 	// once gets a second, concurrent attempt; 0 disables hedging.
-	Hedge carobshare.Share `json:"hedge"`
-	// Queue is the maximum number of calls queued for each target, at least 0.
-	Queue int `json:"queue"`
-	// Once is the limit on how often a call may run.
-	Once carobonce.Guarantee `json:"once"`
-	// Measure is the age of a load report at which the target is probed again; 0
+	HedgeQuantile carobshare.Share `json:"hedge"`
+	// QueueLimit is the maximum number of calls queued for each target, at least 0.
+	QueueLimit int `json:"queue"`
+	// Guarantee is the limit on how often a call may run.
+	Guarantee carobonce.Guarantee `json:"once"`
+	// ReportAgeLimit is the age of a load report at which the target is probed again; 0
 	// disables it.
-	Measure carobspan.Duration `json:"measure"`
-	// Eject is how far the error rate of a target must exceed that of the other
+	ReportAgeLimit carobspan.Duration `json:"measure"`
+	// EjectErrorRate is how far the error rate of a target must exceed that of the other
 	// targets for it to be ejected for a while; 0 disables ejection.
-	Eject carobshare.Share `json:"eject"`
-	// Near is a load, as a share of a target's slots. Calls stay in the entry node's
-	// data centre while one of its targets is loaded below Near, and may go to any
+	EjectErrorRate carobshare.Share `json:"eject"`
+	// LocalLoadLimit is a load, as a share of a target's slots. Calls stay in the entry node's
+	// data centre while one of its targets is loaded below LocalLoadLimit, and may go to any
 	// data centre otherwise; 0 disables the preference.
-	Near carobshare.Share `json:"near"`
-	// Keep is the maximum size of a body that is buffered for another attempt.
-	Keep carobsize.Size `json:"keep"`
-	// Refuse is true if a response with status 503 from a target means that the
+	LocalLoadLimit carobshare.Share `json:"near"`
+	// BufferedBodyLimit is the maximum size of a body that is buffered for another attempt.
+	BufferedBodyLimit carobsize.Size `json:"keep"`
+	// NotRunOn503 is true if a response with status 503 from a target means that the
 	// call did not run.
-	Refuse bool `json:"refuse"`
+	NotRunOn503 bool `json:"refuse"`
 }
 
 // Upper bounds of the fields.
 const (
-	MaxSpread   = 64
-	MaxTries    = 10
-	MaxQueue    = 10_000
-	MaxKeep     = 16 * carobsize.MiB
+	MaxSubsetSize   = 64
+	MaxAttempts    = 10
+	MaxQueueLimit    = 10_000
+	MaxBufferedBodyLimit     = 16 * carobsize.MiB
 	MaxDeadline = carobspan.Duration(time.Hour)
-	MaxMeasure  = carobspan.Duration(time.Minute)
+	MaxReportAgeLimit  = carobspan.Duration(time.Minute)
 )
 
 // NewProfile returns a profile with the default rules.
-func NewProfile(name carobword.Word) Profile {
+func NewProfile(name carobword.Name) Profile {
 	return Profile{
 		Name:     name,
 		Base:     caroboffset.BeforeFirst,
 		Policy:   "expected",
-		Spread:   16,
+		SubsetSize:   16,
 		Deadline: carobspan.Duration(10 * time.Second),
-		Tries:    3,
-		Hedge:    0.95,
-		Queue:    24,
-		Once:     carobonce.OncePerCall,
-		Measure:  carobspan.Duration(100 * time.Millisecond),
-		Eject:    0.5,
-		Near:     0.8,
-		Keep:     64 * carobsize.KiB,
+		Attempts:    3,
+		HedgeQuantile:    0.95,
+		QueueLimit:    24,
+		Guarantee:     carobonce.OncePerCall,
+		ReportAgeLimit:  carobspan.Duration(100 * time.Millisecond),
+		EjectErrorRate:    0.5,
+		LocalLoadLimit:     0.8,
+		BufferedBodyLimit:     64 * carobsize.KiB,
 	}
 }
 
@@ -113,10 +113,10 @@
 		return carobkind.New(carobkind.Invalid, "base: %d is not between %d and the newest revision", p.Base, caroboffset.BeforeFirst)
 	case p.Deadline <= 0 || p.Deadline > MaxDeadline:
 		return carobkind.New(carobkind.Invalid, "deadline: %s must be longer than 0s and at most %s", p.Deadline, MaxDeadline)
-	case p.Measure > MaxMeasure:
-		return carobkind.New(carobkind.Invalid, "measure: %s is more than %s", p.Measure, MaxMeasure)
-	case p.Keep < 0 || p.Keep > MaxKeep:
-		return carobkind.New(carobkind.Invalid, "keep: %s is not between 0 B and %s", p.Keep, MaxKeep)
+	case p.ReportAgeLimit > MaxReportAgeLimit:
+		return carobkind.New(carobkind.Invalid, "measure: %s is more than %s", p.ReportAgeLimit, MaxReportAgeLimit)
+	case p.BufferedBodyLimit < 0 || p.BufferedBodyLimit > MaxBufferedBodyLimit:
+		return carobkind.New(carobkind.Invalid, "keep: %s is not between 0 B and %s", p.BufferedBodyLimit, MaxBufferedBodyLimit)
 	}
 	return p.checkCounts()
 }
@@ -128,9 +128,9 @@
 		value       int
 		least, most int
 	}{
-		{"spread", p.Spread, 1, MaxSpread},
-		{"tries", p.Tries, 1, MaxTries},
-		{"queue", p.Queue, 0, MaxQueue},
+		{"spread", p.SubsetSize, 1, MaxSubsetSize},
+		{"tries", p.Attempts, 1, MaxAttempts},
+		{"queue", p.QueueLimit, 0, MaxQueueLimit},
 	} {
 		if field.value < field.least || field.value > field.most {
 			return carobkind.New(carobkind.Invalid, "%s: %d is not between %d and %d", field.key, field.value, field.least, field.most)
--- a/pkg/carobregion/region.go
+++ b/pkg/carobregion/region.go
@@ -10,7 +10,7 @@
 // UnmarshalText decodes a name. It returns an Invalid error if the name is not a
 // word.
 func (r *Region) UnmarshalText(text []byte) error {
-	if err := carobword.Word(text).Check("region"); err != nil {
+	if err := carobword.Name(text).Check("region"); err != nil {
 		return err
 	}
 	*r = Region(text)
--- a/pkg/carobregistry/system.go
+++ b/pkg/carobregistry/system.go
@@ -17,9 +17,9 @@
 
 // Config holds the settings of the system.
 type Config struct {
-	// Silence is the time without announcements after which a target is marked as
+	// AnnouncementTimeout is the time without announcements after which a target is marked as
 	// leaving.
-	Silence time.Duration
+	AnnouncementTimeout time.Duration
 }
 
 // removalDelay is the time without announcements after which a target is removed.
@@ -32,7 +32,7 @@
 
 // NewSystem returns the system.
 func NewSystem(c Config) *System {
-	return &System{announcementTimeout: c.Silence}
+	return &System{announcementTimeout: c.AnnouncementTimeout}
 }
 
 // Run handles the tick's announcements, marks targets without recent announcements as
@@ -41,7 +41,7 @@
 	for _, an := range w.Inbox.Announcements {
 		switch {
 		case isOutdated(w, an):
-			auditChange(w, an.Target, "late announcement", string(an.State))
+			auditChange(w, an.Target, "late announcement", string(an.Readiness))
 		case an.Withdrawn:
 			handleLeave(w, an)
 		default:
@@ -102,7 +102,7 @@
 	if lf != nil && lf.Target == an.Target && lf.Incarnation != an.Incarnation {
 		auditChange(w, an.Target, "earlier life", "new life")
 		if gt := w.AdmissionStates.Get(an.Target); gt != nil {
-			gt.Since = now
+			gt.AddedAt = now
 		}
 	}
 	w.Instances.Put(an.Address, caroblife.Instance{Target: an.Target, Incarnation: an.Incarnation, Sequence: an.Sequence})
@@ -113,7 +113,7 @@
 	recordLife(w, now, an)
 	next := carobtarget.Target{
 		ID: an.Target, Node: w.Self.Node, Address: an.Address, Profile: an.Profile,
-		Slots: an.Slots, Connections: an.Conns, Readiness: an.State, AnnouncedAt: now,
+		Slots: an.Slots, Connections: an.Connections, Readiness: an.Readiness, AnnouncedAt: now,
 	}
 	before, changed := "none", true
 	if old := w.Targets.Get(an.Target); old != nil {
@@ -126,13 +126,13 @@
 	}
 	gt := w.AdmissionStates.Get(an.Target)
 	if gt == nil {
-		gt = w.AdmissionStates.Put(an.Target, carobgate.Gate{Since: now})
+		gt = w.AdmissionStates.Put(an.Target, carobgate.AdmissionState{AddedAt: now})
 	}
 	gt.Slots, gt.Limit = an.Slots, an.Slots
 	if !changed {
 		return
 	}
-	auditChange(w, an.Target, before, string(an.State))
+	auditChange(w, an.Target, before, string(an.Readiness))
 	markTargetsChanged(w)
 }
 
--- a/pkg/carobrevision/revision.go
+++ b/pkg/carobrevision/revision.go
@@ -6,9 +6,9 @@
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 )
 
-// Most is the maximum number of profiles in force. A change that would exceed it
+// MaxProfiles is the maximum number of profiles in force. A change that would exceed it
 // has no effect, so it must be the same on every node.
-const Most = 1000
+const MaxProfiles = 1000
 
 // Revision is the change of a profile that is in force.
 type Revision struct {
--- a/pkg/carobroute/route.go
+++ b/pkg/carobroute/route.go
@@ -16,7 +16,7 @@
 // Route selects the services that get the calls and how the calls are treated.
 type Route struct {
 	// Name is given by the operator and used in logs.
-	Name carobword.Word `json:"name"`
+	Name carobword.Name `json:"name"`
 	// Host is the host of the calls, without a port.
 	Host string `json:"host"`
 	// Prefix is the path prefix of the calls. It begins and ends with a slash.
@@ -43,8 +43,8 @@
 		return carobkind.New(carobkind.Invalid, "route %s: no host", r.Name)
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
 		return carobkind.New(carobkind.Invalid, "route %s: prefix %q does not begin and end with a slash", r.Name, r.Prefix)
-	case r.Attempts < 1 || r.Attempts > carobprofile.MaxTries:
-		return carobkind.New(carobkind.Invalid, "route %s: tries: %d is not between 1 and %d", r.Name, r.Attempts, carobprofile.MaxTries)
+	case r.Attempts < 1 || r.Attempts > carobprofile.MaxAttempts:
+		return carobkind.New(carobkind.Invalid, "route %s: tries: %d is not between 1 and %d", r.Name, r.Attempts, carobprofile.MaxAttempts)
 	case len(r.WeightedServices) == 0:
 		return carobkind.New(carobkind.Invalid, "route %s: no service", r.Name)
 	}
@@ -61,7 +61,7 @@
 
 // Apply returns the profile with those fields replaced that the route sets.
 func (r *Route) Apply(profile carobprofile.Profile) carobprofile.Profile {
-	profile.Once, profile.Tries = r.Guarantee, r.Attempts
+	profile.Guarantee, profile.Attempts = r.Guarantee, r.Attempts
 	if r.Timeout > 0 {
 		profile.Deadline = r.Timeout
 	}
--- a/pkg/carobrouting/policies.go
+++ b/pkg/carobrouting/policies.go
@@ -15,7 +15,7 @@
 
 // policies has all policies by the name that profiles use. A new policy needs a
 // file and a row here.
-var policies = map[carobword.Word]policy{
+var policies = map[carobword.Name]policy{
 	"expected":   expected{},
 	"leastown":   leastOwn{},
 	"local":      local{},
@@ -26,7 +26,7 @@
 }
 
 // policyOf returns the policy of a name, or expected if there is none.
-func policyOf(name carobword.Word) policy {
+func policyOf(name carobword.Name) policy {
 	if pl, ok := policies[name]; ok {
 		return pl
 	}
@@ -34,7 +34,7 @@
 }
 
 // HasPolicy reports whether a policy of that name exists.
-func HasPolicy(name carobword.Word) bool {
+func HasPolicy(name carobword.Name) bool {
 	_, ok := policies[name]
 	return ok
 }
--- a/pkg/carobrouting/policies_test.go
+++ b/pkg/carobrouting/policies_test.go
@@ -30,7 +30,7 @@
 	similar := []time.Duration{20 * ms, 21 * ms, 19 * ms, 20 * ms}
 	for _, tc := range []struct {
 		name      string
-		policy    carobword.Word
+		policy    carobword.Name
 		inFlight  []float64
 		latencies []time.Duration
 		// want has the only indices that may be picked.
--- a/pkg/carobrouting/replies.go
+++ b/pkg/carobrouting/replies.go
@@ -50,7 +50,7 @@
 	case reply.Kind == carobkind.None && reply.Status < http.StatusInternalServerError:
 		load.Successes++
 		load.ConsecutiveFailures = 0
-	case superseded, reply.Kind == carobkind.None, reply.Kind == carobkind.Cut, reply.Kind == carobkind.Unreachable:
+	case superseded, reply.Kind == carobkind.None, reply.Kind == carobkind.ConnectionLost, reply.Kind == carobkind.Unreachable:
 		load.Failures++
 		load.ConsecutiveFailures++
 	}
--- a/pkg/carobrouting/system.go
+++ b/pkg/carobrouting/system.go
@@ -82,8 +82,8 @@
 		return
 	}
 	estimateLoads(s.candidates)
-	if call.Profile.Near > 0 {
-		s.candidates = preferSameCentre(s.candidates, float64(call.Profile.Near))
+	if call.Profile.LocalLoadLimit > 0 {
+		s.candidates = preferSameCentre(s.candidates, float64(call.Profile.LocalLoadLimit))
 	}
 	chosen := policyOf(call.Profile.Policy).pick(world.Random, s.candidates)
 	s.sendAttempt(world, now, call, s.candidates[chosen])
@@ -118,7 +118,7 @@
 	if group == nil {
 		return
 	}
-	preferred := subset(world, group, call.Profile.Spread)
+	preferred := subset(world, group, call.Profile.SubsetSize)
 	for _, ids := range [][]carobtargetid.ID{preferred, group.Targets} {
 		for _, alreadyTried := range []bool{false, true} {
 			for _, id := range ids {
@@ -220,7 +220,7 @@
 	chosen.load.OpenAttempts++
 	chosen.load.LastSendNumber = s.turn
 	world.RecordDecision(carobdecision.Decision{
-		Part: "route", Text: "attempt sent", Request: call.Arrival.Request, Call: call.Arrival.Call,
+		Component: "route", Text: "attempt sent", Request: call.Arrival.Request, Call: call.Arrival.Call,
 		Attempt: len(call.Attempts), Target: chosen.targetID,
 		Inputs: []carobinput.Input{
 			{Name: "candidates", Value: float64(len(s.candidates))},
@@ -235,6 +235,6 @@
 	world.Outbox.Sends = append(world.Outbox.Sends, carobsend.Send{
 		Job:    carobjobid.ID{Call: call.Arrival.Call, Attempt: len(call.Attempts)},
 		Target: chosen.targetID, PeerAddress: chosen.peerAddress, Incarnation: chosen.incarnation, TimeLeft: call.Deadline.Sub(now),
-		Guarantee: call.Profile.Once, Requirements: wish,
+		Guarantee: call.Profile.Guarantee, Requirements: wish,
 	})
 }
--- a/pkg/carobservice/service.go
+++ b/pkg/carobservice/service.go
@@ -13,7 +13,7 @@
 // Check returns an Invalid error if the name is not a word. Each word can be used as
 // a host name.
 func (s Service) Check() error {
-	return carobword.Word(s).Check("service")
+	return carobword.Name(s).Check("service")
 }
 
 // UnmarshalText decodes a name and checks it as Check does.
--- a/pkg/carobshutdown/system.go
+++ b/pkg/carobshutdown/system.go
@@ -10,12 +10,12 @@
 
 // Config holds the settings of the system.
 type Config struct {
-	// Patience is how long a node with nothing in flight waits for the new homes of its
+	// SettleTimeout is how long a node with nothing in flight waits for the new homes of its
 	// calls' idempotency keys to receive the outcomes of those calls.
-	Patience time.Duration
-	// Linger is the time without offers after which a node with nothing in flight stops.
+	SettleTimeout time.Duration
+	// QuietPeriod is the time without offers after which a node with nothing in flight stops.
 	// It ensures that no attempt is still on its way to the node when it stops.
-	Linger time.Duration
+	QuietPeriod time.Duration
 }
 
 // System stops the node once a stop was requested and nothing is in flight. The request
@@ -43,9 +43,9 @@
 	if s.idleSince == carobinstant.Never {
 		s.idleSince = now
 	}
-	due := s.idleSince.Add(s.config.Linger)
+	due := s.idleSince.Add(s.config.QuietPeriod)
 	if w.PendingSettlements.Len() > 0 {
-		due = s.idleSince.Add(s.config.Patience)
+		due = s.idleSince.Add(s.config.SettleTimeout)
 	}
 	if w.Outbox.Stopped = due.Reached(now); !w.Outbox.Stopped {
 		w.WakeAt(due)
--- a/pkg/carobshutdown/system_test.go
+++ b/pkg/carobshutdown/system_test.go
@@ -43,14 +43,14 @@
 			func(w *carobworld.World) { w.Jobs.Delete(carobjobid.ID{Call: call}) },
 		},
 		"unsettled call": {
-			func(w *carobworld.World) { w.PendingSettlements.Put(call, carobunsettled.Unsettled{}) },
+			func(w *carobworld.World) { w.PendingSettlements.Put(call, carobunsettled.PendingSettlement{}) },
 			func(w *carobworld.World) { w.PendingSettlements.Delete(call) },
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()})
-			s := carobshutdown.NewSystem(carobshutdown.Config{Patience: settleTimeout})
+			s := carobshutdown.NewSystem(carobshutdown.Config{SettleTimeout: settleTimeout})
 			now := carobinstant.Instant(1)
 			step := func(in carobinbox.Inbox) bool {
 				now++
@@ -85,7 +85,7 @@
 	})
 	of := caroboffer.Offer{
 		Job:    carobjobid.ID{Call: carobcallid.ID{Node: "entry", Sequence: 1}, Attempt: 1},
-		Target: target, Incarnation: 7, Patience: time.Second,
+		Target: target, Incarnation: 7, TimeLeft: time.Second,
 	}
 	out := core.Tick(now, carobinbox.Inbox{Stop: true, Offers: []caroboffer.Offer{of}})
 	require.Empty(t, out.Starts)
--- a/pkg/carobsnapshot/snapshot.go
+++ b/pkg/carobsnapshot/snapshot.go
@@ -10,9 +10,9 @@
 // Snapshot contains the profiles in force after all records up to an offset. A node
 // starts from it if the log no longer keeps those records.
 type Snapshot struct {
-	// Through is the last offset that the snapshot includes. The record of the
+	// LastOffset is the last offset that the snapshot includes. The record of the
 	// snapshot has a higher offset; changes between the two are not included.
-	Through caroboffset.Offset `json:"through"`
+	LastOffset caroboffset.Offset `json:"through"`
 	// Revisions holds one revision of each profile, with offsets up to Through.
 	Revisions []carobrevision.Revision `json:"revisions"`
 }
@@ -20,18 +20,18 @@
 // Check returns an Invalid error if an offset or a change is out of bounds, or if
 // there are too many revisions.
 func (s Snapshot) Check() error {
-	if s.Through < 0 {
-		return carobkind.New(carobkind.Invalid, "snapshot: through is %d, must be at least 0", s.Through)
+	if s.LastOffset < 0 {
+		return carobkind.New(carobkind.Invalid, "snapshot: through is %d, must be at least 0", s.LastOffset)
 	}
-	if len(s.Revisions) > carobrevision.Most {
-		return carobkind.New(carobkind.Invalid, "snapshot: more than %d profiles", carobrevision.Most)
+	if len(s.Revisions) > carobrevision.MaxProfiles {
+		return carobkind.New(carobkind.Invalid, "snapshot: more than %d profiles", carobrevision.MaxProfiles)
 	}
 	for _, revision := range s.Revisions {
 		if err := revision.Change.Check(); err != nil {
 			return err
 		}
-		if revision.Offset < 0 || revision.Offset > s.Through {
-			return carobkind.New(carobkind.Invalid, "snapshot: revision %d is not between 0 and %d", revision.Offset, s.Through)
+		if revision.Offset < 0 || revision.Offset > s.LastOffset {
+			return carobkind.New(carobkind.Invalid, "snapshot: revision %d is not between 0 and %d", revision.Offset, s.LastOffset)
 		}
 	}
 	return nil
--- a/pkg/carobstart/start.go
+++ b/pkg/carobstart/start.go
@@ -14,11 +14,11 @@
 	Job carobjobid.ID
 	// Address is the target's address.
 	Address carobaddress.Address
-	// Patience is the time left until the call's deadline.
-	Patience time.Duration
-	// Once states how often the call may run.
-	Once carobonce.Guarantee
-	// Trace is the trace context for the target in W3C format; empty if it is not
+	// TimeLeft is the time left until the call's deadline.
+	TimeLeft time.Duration
+	// Guarantee states how often the call may run.
+	Guarantee carobonce.Guarantee
+	// Traceparent is the trace context for the target in W3C format; empty if it is not
 	// propagated.
-	Trace string
+	Traceparent string
 }
--- a/pkg/carobtarget/target.go
+++ b/pkg/carobtarget/target.go
@@ -21,7 +21,7 @@
 	// Address is known only to the target's own node; empty on others.
 	Address carobaddress.Address `json:"-"`
 	// Profile is the name of the routing profile that the target announced.
-	Profile carobword.Word `json:"profile"`
+	Profile carobword.Name `json:"profile"`
 	// Slots is the number of calls that the target runs at once, at least 1.
 	Slots int `json:"slots"`
 	// Connections is the number of connections that the target accepts, at least 1.
--- a/pkg/carobtargetid/id.go
+++ b/pkg/carobtargetid/id.go
@@ -13,7 +13,7 @@
 type ID struct {
 	Service carobservice.Service
 	// Name is unique within the service.
-	Name carobword.Word
+	Name carobword.Name
 }
 
 // String returns the ID as "service/name".
@@ -33,7 +33,7 @@
 	if !ok {
 		return carobkind.New(carobkind.Invalid, "target %q is not of the form service/name", text)
 	}
-	id := ID{Service: carobservice.Service(service), Name: carobword.Word(name)}
+	id := ID{Service: carobservice.Service(service), Name: carobword.Name(name)}
 	if err := id.Service.Check(); err != nil {
 		return err
 	}
--- a/pkg/carobtracing/system.go
+++ b/pkg/carobtracing/system.go
@@ -23,10 +23,10 @@
 type Config struct {
 	// Seed is the seed of the random span IDs.
 	Seed uint64
-	// Alone disables the propagation of trace contexts; hops are still recorded. It is
+	// NoTracePropagation disables the propagation of trace contexts; hops are still recorded. It is
 	// for deployments that do not join the hops of a call, because a trace context costs
 	// bytes on each hop.
-	Alone bool
+	NoTracePropagation bool
 }
 
 // System reads the inbox and the outbox of the tick. It runs after the systems that it
@@ -46,7 +46,7 @@
 // NewSystem returns the system.
 func NewSystem(c Config) *System {
 	const stream = 2
-	return &System{noPropagation: c.Alone, random: rand.New(rand.NewPCG(c.Seed, stream))} //nolint:gosec // span IDs are not secret
+	return &System{noPropagation: c.NoTracePropagation, random: rand.New(rand.NewPCG(c.Seed, stream))} //nolint:gosec // span IDs are not secret
 }
 
 // Run opens the hops of calls and offers that arrived in the tick, propagates trace
@@ -66,7 +66,7 @@
 	}
 	for i := range w.Inbox.Offers {
 		of := &w.Inbox.Offers[i]
-		tr := s.newTrace(of.Trace, now)
+		tr := s.newTrace(of.Traceparent, now)
 		tr.Targets = []carobtargetid.ID{of.Target}
 		w.OpenJobHops.Put(of.Job, tr)
 	}
@@ -74,12 +74,12 @@
 
 // newTrace returns a hop whose parent is the span in the header, or the first hop of a
 // new trace if the header is not a valid trace context.
-func (s *System) newTrace(header string, now carobinstant.Instant) carobtrace.Trace {
+func (s *System) newTrace(header string, now carobinstant.Instant) carobtrace.OpenHop {
 	parent, ok := carobparent.Parse(header)
 	if !ok {
-		return carobtrace.Trace{Own: carobparent.NewSpanContext(s.random), Start: now}
+		return carobtrace.OpenHop{Context: carobparent.NewSpanContext(s.random), StartedAt: now}
 	}
-	return carobtrace.Trace{Own: parent.Child(s.random), Parent: parent, Start: now}
+	return carobtrace.OpenHop{Context: parent.Child(s.random), Parent: parent, StartedAt: now}
 }
 
 // propagate records the targets of the attempts that are sent and, unless propagation is
@@ -90,14 +90,14 @@
 		if tr := w.OpenCallHops.Get(sd.Job.Call); tr != nil {
 			tr.Targets = append(tr.Targets, sd.Target)
 			if !noPropagation {
-				sd.Traceparent = tr.Own.String()
+				sd.Traceparent = tr.Context.String()
 			}
 		}
 	}
 	for i := range w.Outbox.Starts {
 		st := &w.Outbox.Starts[i]
 		if tr := w.OpenJobHops.Get(st.Job); tr != nil && !noPropagation {
-			st.Trace = tr.Own.String()
+			st.Traceparent = tr.Context.String()
 		}
 	}
 }
@@ -158,10 +158,10 @@
 
 // newHop returns the record of a hop that ends now, without its role, call, attempt,
 // target and kind.
-func newHop(w *carobworld.World, now carobinstant.Instant, tr *carobtrace.Trace) carobhop.Hop {
+func newHop(w *carobworld.World, now carobinstant.Instant, tr *carobtrace.OpenHop) carobhop.Hop {
 	hp := carobhop.Hop{
-		Node: w.Self.Node, Trace: tr.Own.String(),
-		Start: time.Unix(0, int64(tr.Start)).UTC(), Took: carobspan.Duration(now.Sub(tr.Start)),
+		Node: w.Self.Node, Traceparent: tr.Context.String(),
+		StartedAt: time.Unix(0, int64(tr.StartedAt)).UTC(), Duration: carobspan.Duration(now.Sub(tr.StartedAt)),
 	}
 	if tr.Parent != (carobparent.SpanContext{}) {
 		hp.Parent = hex.EncodeToString(tr.Parent.SpanID[:])
--- a/pkg/carobtracing/system_test.go
+++ b/pkg/carobtracing/system_test.go
@@ -77,16 +77,16 @@
 	require.Empty(t, near.tick(carobinbox.Inbox{}, caroboutbox.Outbox{Sends: []carobsend.Send{{Job: job(2), Target: other}}}))
 	require.Equal(t, sent, near.world.Outbox.Sends[0].Traceparent, "all attempts have the call's span as their parent")
 
-	offer := carobinbox.Inbox{Offers: []caroboffer.Offer{{Job: job(1), Target: first, Trace: sent}}}
+	offer := carobinbox.Inbox{Offers: []caroboffer.Offer{{Job: job(1), Target: first, Traceparent: sent}}}
 	require.Empty(t, far.tick(offer, caroboutbox.Outbox{Starts: []carobstart.Start{{Job: job(1)}}}))
-	started := far.world.Outbox.Starts[0].Trace
+	started := far.world.Outbox.Starts[0].Traceparent
 	require.Equal(t, parse(t, sent).TraceID, parse(t, started).TraceID)
 	require.NotEqual(t, sent, started)
 
 	hops := far.tick(carobinbox.Inbox{Finishes: []carobfinish.Finish{{Job: job(1), Status: 200}}}, caroboutbox.Outbox{})
 	require.Len(t, hops, 1)
 	require.Equal(t, target, hops[0].Role)
-	require.Equal(t, started, hops[0].Trace)
+	require.Equal(t, started, hops[0].Traceparent)
 	require.Contains(t, sent, hops[0].Parent)
 	require.Equal(t, first, hops[0].Target)
 
@@ -94,8 +94,8 @@
 	require.Len(t, hops, 1)
 	require.Equal(t, entry, hops[0].Role)
 	require.Equal(t, first, hops[0].Target, "the target is that of the delivered attempt, not of the last one")
-	require.Equal(t, carobspan.Duration(2*time.Millisecond), hops[0].Took)
-	require.Equal(t, sent, hops[0].Trace)
+	require.Equal(t, carobspan.Duration(2*time.Millisecond), hops[0].Duration)
+	require.Equal(t, sent, hops[0].Traceparent)
 	require.Empty(t, hops[0].Parent)
 }
 
@@ -120,7 +120,7 @@
 func TestCallIsRecordedOnce(t *testing.T) {
 	near := newNode()
 	near.tick(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{Call: call}}}, caroboutbox.Outbox{})
-	hops := near.tick(carobinbox.Inbox{Deliveries: []carobdelivery.Delivery{{Job: job(1), Kind: carobkind.Cut}}},
+	hops := near.tick(carobinbox.Inbox{Deliveries: []carobdelivery.Delivery{{Job: job(1), Kind: carobkind.ConnectionLost}}},
 		caroboutbox.Outbox{Conclusions: []carobconclusion.Conclusion{{Call: call, Kind: carobkind.Cancelled}}})
 	require.Len(t, hops, 1)
 	require.Empty(t, near.tick(carobinbox.Inbox{Deliveries: []carobdelivery.Delivery{{Job: job(1)}}}, caroboutbox.Outbox{}))
--- a/pkg/carobunsettled/unsettled.go
+++ b/pkg/carobunsettled/unsettled.go
@@ -9,13 +9,13 @@
 	"github.com/carobknot/carobknot/pkg/carobsettlement"
 )
 
-// Unsettled is a settlement that the entry node sends to the home again until the
+// PendingSettlement is a settlement that the entry node sends to the home again until the
 // home confirms that it is in the log.
-type Unsettled struct {
+type PendingSettlement struct {
 	Settlement carobsettlement.Settlement
-	// Due is when the settlement is sent again.
-	Due carobinstant.Instant
-	// Pause is the delay from the next resend to the one after it. It grows with
+	// ResendAt is when the settlement is sent again.
+	ResendAt carobinstant.Instant
+	// Backoff is the delay from the next resend to the one after it. It grows with
 	// each resend.
-	Pause time.Duration
+	Backoff time.Duration
 }
--- a/pkg/carobword/word.go
+++ b/pkg/carobword/word.go
@@ -8,12 +8,12 @@
 // name.
 const MaxLength = 63
 
-// Word is a name of lower-case ASCII letters, digits, dots and dashes.
-type Word string
+// Name is a name of lower-case ASCII letters, digits, dots and dashes.
+type Name string
 
 // Check returns an Invalid error that names the field if the name is empty, too
 // long or has any other character.
-func (w Word) Check(field string) error {
+func (w Name) Check(field string) error {
 	if w == "" {
 		return carobkind.New(carobkind.Invalid, "%s: name is empty", field)
 	}
--- a/pkg/carobworld/calls.go
+++ b/pkg/carobworld/calls.go
@@ -26,6 +26,6 @@
 	w.EndedJobs = carobring.NewEvictingMap[carobjobid.ID, carobfinish.Finish](carobring.Config{Limit: lm.Jobs})
 	w.Tombstones = carobring.NewEvictingMap[carobjobid.ID, struct{}](carobring.Config{Limit: lm.Jobs})
 	w.Homes = carobtable.NewTable[carobshard.Shard, carobhome.Home](carobtable.Config{Limit: carobshard.Count})
-	w.PendingSettlements = carobtable.NewTable[carobcallid.ID, carobunsettled.Unsettled](carobtable.Config{Limit: lm.Calls})
+	w.PendingSettlements = carobtable.NewTable[carobcallid.ID, carobunsettled.PendingSettlement](carobtable.Config{Limit: lm.Calls})
 	w.Watermarks = carobring.NewEvictingMap[carobnodeid.ID, carobwatermark.Watermark](carobring.Config{Limit: lm.Peers})
 }
--- a/pkg/carobworld/world.go
+++ b/pkg/carobworld/world.go
@@ -110,7 +110,7 @@
 	// Loads has the load of targets as this node sees it as an entry.
 	Loads *carobtable.Table[carobtargetid.ID, carobload.Load]
 	// Buckets has the token buckets that limit the cost of measuring.
-	Buckets *carobtable.Table[carobword.Word, carobbucket.TokenBucket]
+	Buckets *carobtable.Table[carobword.Name, carobbucket.TokenBucket]
 	// Latencies has the latency statistics of each service.
 	Latencies *carobtable.Table[carobservice.Service, carobpace.Latency]
 
@@ -119,7 +119,7 @@
 	// Calls has the calls that this node is the entry of.
 	Calls *carobtable.Table[carobcallid.ID, carobcall.Call]
 	// AdmissionStates has the admission state of the node's own targets.
-	AdmissionStates *carobtable.Table[carobtargetid.ID, carobgate.Gate]
+	AdmissionStates *carobtable.Table[carobtargetid.ID, carobgate.AdmissionState]
 	// Jobs has the jobs at the node's own targets.
 	Jobs *carobtable.Table[carobjobid.ID, carobjob.Job]
 	// EndedJobs has the most recent jobs that were started and have ended.
@@ -140,7 +140,7 @@
 	// AppendCount counts the batches of claims that this node has appended.
 	AppendCount uint64
 	// PendingSettlements has the ended calls whose outcome their homes have not confirmed yet.
-	PendingSettlements *carobtable.Table[carobcallid.ID, carobunsettled.Unsettled]
+	PendingSettlements *carobtable.Table[carobcallid.ID, carobunsettled.PendingSettlement]
 	// Paused is true if more time passed before this tick than is allowed between two
 	// ticks.
 	Paused bool
@@ -157,7 +157,7 @@
 	// there is none. It never decreases.
 	ProfilesRead caroboffset.Offset
 	// Profiles has the profiles in force.
-	Profiles *carobtable.Table[carobword.Word, carobrevision.Revision]
+	Profiles *carobtable.Table[carobword.Name, carobrevision.Revision]
 	// RecentChanges has the most recently applied records, to send to nodes that lack them.
 	RecentChanges *carobtable.Table[caroboffset.Offset, carobrecord.Record]
 	// ChangesAfterGap has the records that follow a gap in the offsets. All their offsets are
@@ -171,9 +171,9 @@
 	// Tracing.
 
 	// OpenCallHops has the hops of the calls that this node is the entry of.
-	OpenCallHops *carobtable.Table[carobcallid.ID, carobtrace.Trace]
+	OpenCallHops *carobtable.Table[carobcallid.ID, carobtrace.OpenHop]
 	// OpenJobHops has the hops of the jobs at the node's own targets.
-	OpenJobHops *carobtable.Table[carobjobid.ID, carobtrace.Trace]
+	OpenJobHops *carobtable.Table[carobjobid.ID, carobtrace.OpenHop]
 
 	// The tick at hand.
 
@@ -216,17 +216,17 @@
 		Instances:       carobtable.NewTable[carobaddress.Address, caroblife.Instance](carobtable.Config{Limit: carobmember.MaxTargets}),
 		RetryLimits:     c.RetryLimits,
 		Groups:      carobtable.NewTable[carobservice.Service, carobgroup.Group](carobtable.Config{Limit: c.Limits.Targets}),
-		Buckets:     carobtable.NewTable[carobword.Word, carobbucket.TokenBucket](carobtable.Config{Limit: measureBuckets}),
+		Buckets:     carobtable.NewTable[carobword.Name, carobbucket.TokenBucket](carobtable.Config{Limit: measureBuckets}),
 		Latencies:       carobtable.NewTable[carobservice.Service, carobpace.Latency](carobtable.Config{Limit: c.Limits.Targets}),
 		Loads:       carobtable.NewTable[carobtargetid.ID, carobload.Load](carobtable.Config{Limit: c.Limits.Targets}),
-		AdmissionStates:       carobtable.NewTable[carobtargetid.ID, carobgate.Gate](carobtable.Config{Limit: c.Limits.Targets}),
+		AdmissionStates:       carobtable.NewTable[carobtargetid.ID, carobgate.AdmissionState](carobtable.Config{Limit: c.Limits.Targets}),
 		PendingGossip:        carobtable.NewTable[carobnodeid.ID, struct{}](carobtable.Config{Limit: c.Limits.Peers}),
 		LoggedAddresses:       carobtable.NewTable[carobnodeid.ID, carobaddress.Address](carobtable.Config{Limit: c.Limits.Peers}),
 		PendingHeartbeats:   carobtable.NewTable[uint64, carobinquiry.PendingHeartbeat](carobtable.Config{Limit: maxUnansweredHeartbeats}),
 		Peers:       carobtable.NewTable[carobnodeid.ID, carobpeer.Peer](carobtable.Config{Limit: c.Limits.Peers}),
-		OpenCallHops:  carobtable.NewTable[carobcallid.ID, carobtrace.Trace](carobtable.Config{Limit: 2 * c.Limits.Calls}),
-		OpenJobHops:   carobtable.NewTable[carobjobid.ID, carobtrace.Trace](carobtable.Config{Limit: 2 * c.Limits.Jobs}),
-		Profiles:    carobtable.NewTable[carobword.Word, carobrevision.Revision](carobtable.Config{Limit: carobrevision.Most}),
+		OpenCallHops:  carobtable.NewTable[carobcallid.ID, carobtrace.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Calls}),
+		OpenJobHops:   carobtable.NewTable[carobjobid.ID, carobtrace.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Jobs}),
+		Profiles:    carobtable.NewTable[carobword.Name, carobrevision.Revision](carobtable.Config{Limit: carobrevision.MaxProfiles}),
 	}
 	w.makeCallTables(c.Limits)
 	return w
@@ -298,7 +298,7 @@
 
 // TakeSnapshot returns a snapshot of the profiles in force.
 func (w *World) TakeSnapshot() carobsnapshot.Snapshot {
-	sn := carobsnapshot.Snapshot{Through: w.ProfilesRead, Revisions: make([]carobrevision.Revision, 0, w.Profiles.Len())}
+	sn := carobsnapshot.Snapshot{LastOffset: w.ProfilesRead, Revisions: make([]carobrevision.Revision, 0, w.Profiles.Len())}
 	for _, rv := range w.Profiles.All() {
 		sn.Revisions = append(sn.Revisions, *rv)
 	}
@@ -340,5 +340,5 @@
 // Audit records a change in the audit trail: the part of the system that saw it, who made
 // it, what changed, and the old and new value.
 func (w *World) Audit(part, who, what, from, to string) {
-	w.Outbox.Audits = append(w.Outbox.Audits, carobaudit.Audit{Part: part, Who: who, What: what, From: from, To: to})
+	w.Outbox.Audits = append(w.Outbox.Audits, carobaudit.Audit{Component: part, Who: who, What: what, From: from, To: to})
 }
--- a/test/capacity/cluster_test.go
+++ b/test/capacity/cluster_test.go
@@ -131,8 +131,8 @@
 
 func (c *cluster) announce(n *node, service string, state carobreadiness.Readiness) {
 	c.step(n, carobinbox.Inbox{Announcements: []carobannouncement.Announcement{{
-		Target:  carobtargetid.ID{Service: carobservice.Service(service), Name: carobword.Word(n.self.Node)},
-		Address: "127.0.0.1:8000", Profile: "lookups", Slots: 12, Conns: 200, State: state,
+		Target:  carobtargetid.ID{Service: carobservice.Service(service), Name: carobword.Name(n.self.Node)},
+		Address: "127.0.0.1:8000", Profile: "lookups", Slots: 12, Connections: 200, Readiness: state,
 	}}})
 }
 
@@ -152,7 +152,7 @@
 		}
 	}
 	next := caroboffset.Offset(len(c.streams[stream]))
-	c.send(n, logLatency, carobinbox.Inbox{Records: kept, StreamBounds: []carobmark.Mark{{Stream: stream, First: first, Next: next}}})
+	c.send(n, logLatency, carobinbox.Inbox{Records: kept, StreamBounds: []carobmark.StreamBounds{{Stream: stream, First: first, Next: next}}})
 }
 
 // append appends a record and passes it on to all.
@@ -178,7 +178,7 @@
 	out := n.core.Tick(c.now, in)
 	n.stopped = n.stopped || out.Stopped
 	for _, au := range out.Audits {
-		n.audits[au.Part+" "+au.To]++
+		n.audits[au.Component+" "+au.To]++
 	}
 	n.waiting = append(n.waiting, out.Appends...)
 	if !c.out {
