--- a/test/capacity/membership_test.go
+++ b/test/capacity/membership_test.go
@@ -194,7 +194,7 @@
 	c := newCluster(t)
 	c.gather(20)
 	for i := range 20 {
-		id := carobtargetid.ID{Service: carobservice.Service(fmt.Sprint("service-", i%17)), Name: carobword.Word(fmt.Sprint("node-", i))}
+		id := carobtargetid.ID{Service: carobservice.Service(fmt.Sprint("service-", i%17)), Name: carobword.Name(fmt.Sprint("node-", i))}
 		c.announce(c.nodes[i], string(id.Service), carobreadiness.Ready)
 		c.run(100 * time.Millisecond)
 		c.announce(c.nodes[i], string(id.Service), carobreadiness.Leaving)
--- a/test/fuzz/admission_test.go
+++ b/test/fuzz/admission_test.go
@@ -53,10 +53,10 @@
 	}}
 	n.tasks[of.Job] = tk
 	n.post(func(in *carobinbox.Inbox) { in.Offers = append(in.Offers, of) })
-	n.do(of.Patience, func() {
+	n.do(of.TimeLeft, func() {
 		if !tk.done {
 			n.finish(tk, carobkind.Cancelled, 0)
-			n.answer(tk, carobkind.Cut, 0, "")
+			n.answer(tk, carobkind.ConnectionLost, 0, "")
 		}
 	})
 	return tk
--- a/test/fuzz/checks_test.go
+++ b/test/fuzz/checks_test.go
@@ -21,10 +21,10 @@
 
 // check asks a target how its VM is. The answer may be lost, which the node notices
 // late or never.
-func (n *node) check(ck carobcheck.Check) {
+func (n *node) check(ck carobcheck.HealthCheck) {
 	s := n.s
 	tg := s.targetAt(ck.Address)
-	hl := carobhealth.Health{Target: ck.Target}
+	hl := carobhealth.CheckResult{Target: ck.Target}
 	wait := s.jitter(localTime)
 	switch {
 	case s.chance(lostCheck / 2):
@@ -32,9 +32,9 @@
 	case tg.down || s.chance(lostCheck):
 		wait = s.jitter(retryPause)
 	default:
-		hl.Pressure = &carobpressure.TargetLoad{Slots: 2, Slowness: 1}
+		hl.TargetLoad = &carobpressure.TargetLoad{Slots: 2, Slowness: 1}
 		if s.chance(slowVM) {
-			hl.Pressure.Slowness = 5
+			hl.TargetLoad.Slowness = 5
 		}
 	}
 	n.do(wait, func() {
--- a/test/fuzz/claims_test.go
+++ b/test/fuzz/claims_test.go
@@ -17,7 +17,7 @@
 func (n *node) carryClaims(out *caroboutbox.Outbox) {
 	for _, fl := range out.Subscriptions {
 		n.follows[fl.Stream]++
-		if fl.On {
+		if fl.Active {
 			n.follow(fl.Stream, 0, n.follows[fl.Stream])
 		}
 	}
@@ -44,7 +44,7 @@
 		for i := range records {
 			records[i].Stream = stream
 		}
-		mark := carobmark.Mark{Stream: stream, First: st.first, Next: from + caroboffset.Offset(len(records))}
+		mark := carobmark.StreamBounds{Stream: stream, First: st.first, Next: from + caroboffset.Offset(len(records))}
 		if len(records) > 0 {
 			n.do(n.s.jitter(hopTime), func() {
 				n.post(func(in *carobinbox.Inbox) {
@@ -59,11 +59,11 @@
 }
 
 // commit appends once and tells how that went.
-func (n *node) commit(cm carobcommit.Commit) {
+func (n *node) commit(cm carobcommit.AppendRequest) {
 	n.s.appendLog(cm.Stream, cm.Data, func(sure bool) {
-		cd := carobcommitted.Committed{Stream: cm.Stream, Number: cm.Number}
+		cd := carobcommitted.AppendResult{Stream: cm.Stream, Number: cm.Number}
 		if !sure {
-			cd.Kind = carobkind.Unsure
+			cd.Kind = carobkind.AppendUncertain
 		}
 		n.do(0, func() {
 			n.post(func(in *carobinbox.Inbox) { in.AppendResults = append(in.AppendResults, cd) })
--- a/test/fuzz/entry_test.go
+++ b/test/fuzz/entry_test.go
@@ -42,7 +42,7 @@
 	if !a.over && a.hangUp != nil {
 		a.hangUp()
 	}
-	a.fail(carobkind.Cut)
+	a.fail(carobkind.ConnectionLost)
 }
 
 // carryCalls carries out what was decided on calls.
@@ -142,7 +142,7 @@
 	}
 	at.fail = func(kind carobkind.Kind) { reply(kind, 0, nil, "") }
 	of := caroboffer.Offer{
-		Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, Patience: sd.TimeLeft, Key: x.arrival.Key,
+		Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, TimeLeft: sd.TimeLeft, Key: x.arrival.Key,
 	}
 	if sd.PeerAddress == "" {
 		n.offer(of, x.body, reply)
@@ -165,7 +165,7 @@
 	out, back := n.s.links[link{n.place, at.peer}], n.s.links[link{at.peer, n.place}]
 	switch {
 	case out == cut && kept:
-		n.do(n.s.transit(), func() { at.fail(carobkind.Cut) })
+		n.do(n.s.transit(), func() { at.fail(carobkind.ConnectionLost) })
 	case out == cut:
 		n.do(n.s.transit(), func() { at.fail(carobkind.Unreachable) })
 	case (out == silent || back == silent) && !kept:
@@ -189,14 +189,14 @@
 			case open:
 				reply(kind, status, rp, body)
 			case cut:
-				at.fail(carobkind.Cut)
+				at.fail(carobkind.ConnectionLost)
 			case silent:
 			}
 		})
 	}
 	if peer.frozen {
 		// If the process ends before it wakes, the connection breaks.
-		peer.tasks[of.Job] = &task{offer: of, respond: func(carobkind.Kind, int, string) { at.fail(carobkind.Cut) }}
+		peer.tasks[of.Job] = &task{offer: of, respond: func(carobkind.Kind, int, string) { at.fail(carobkind.ConnectionLost) }}
 	}
 	peer.do(0, func() {
 		if at.over && n.s.chance(0.5) {
@@ -216,7 +216,7 @@
 func lostKind(peer *node, kept bool) carobkind.Kind {
 	const moment = 2 * time.Millisecond
 	if kept && peer.s.elapsed()-peer.died < moment {
-		return carobkind.Cut
+		return carobkind.ConnectionLost
 	}
 	return carobkind.Unreachable
 }
--- a/test/fuzz/mutations_test.go
+++ b/test/fuzz/mutations_test.go
@@ -69,14 +69,14 @@
 var mutations = []mutation{
 	{name: "take a cut for unreachable", hear: func(_ *node, in *carobinbox.Inbox) {
 		for i := range in.Replies {
-			if in.Replies[i].Kind == carobkind.Cut {
+			if in.Replies[i].Kind == carobkind.ConnectionLost {
 				in.Replies[i].Kind = carobkind.Unreachable
 			}
 		}
 	}},
 	{name: "tell not-run on a cut", decide: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
 		for i := range out.Conclusions {
-			if out.Conclusions[i].Kind == carobkind.Cut {
+			if out.Conclusions[i].Kind == carobkind.ConnectionLost {
 				out.Conclusions[i].Kind = carobkind.Withdrawn
 			}
 		}
@@ -84,7 +84,7 @@
 	{name: "tell not-run at the deadline", decide: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
 		for i := range out.Conclusions {
 			if out.Conclusions[i].Kind == carobkind.Expired {
-				out.Conclusions[i].Kind = carobkind.Late
+				out.Conclusions[i].Kind = carobkind.NotStartedInTime
 			}
 		}
 	}},
@@ -155,7 +155,7 @@
 	}},
 	{name: "start while leaving", hear: func(_ *node, in *carobinbox.Inbox) {
 		for i := range in.Announcements {
-			in.Announcements[i].State = carobreadiness.Ready
+			in.Announcements[i].Readiness = carobreadiness.Ready
 		}
 	}},
 	{name: "send to the leaving", only: []string{"wait", "wait a little", "call", "leave"}, hear: func(_ *node, in *carobinbox.Inbox) {
--- a/test/fuzz/node_test.go
+++ b/test/fuzz/node_test.go
@@ -53,7 +53,7 @@
 	reports          map[carobtargetid.ID]carobreport.Report
 	// marks and waiting have, by stream, what the last read found and what is to
 	// be appended.
-	marks   map[carobstream.Stream]carobmark.Mark
+	marks   map[carobstream.Stream]carobmark.StreamBounds
 	waiting map[carobstream.Stream][]byte
 	// idle counts the ticks in a row that asked for another at once.
 	idle int
@@ -95,7 +95,7 @@
 	s.lives++
 	n := &node{
 		s: s, place: place, alive: true, born: s.elapsed(), logless: s.elapsed(),
-		marks: map[carobstream.Stream]carobmark.Mark{}, follows: map[carobstream.Stream]int{}, waiting: map[carobstream.Stream][]byte{},
+		marks: map[carobstream.Stream]carobmark.StreamBounds{}, follows: map[carobstream.Stream]int{}, waiting: map[carobstream.Stream][]byte{},
 		skew:  time.Duration(s.random.Int64N(int64(time.Hour))),
 		calls: map[carobcallid.ID]*exchange{}, tasks: map[carobjobid.ID]*task{}, reports: map[carobtargetid.ID]carobreport.Report{},
 		self: carobmember.Member{
@@ -134,7 +134,7 @@
 		n.s.oracle.told(x.arrival.Call.String(), "gone", "")
 	}
 	for _, tk := range ordered(n.tasks) {
-		tk.respond(carobkind.Cut, 0, "")
+		tk.respond(carobkind.ConnectionLost, 0, "")
 	}
 }
 
@@ -212,7 +212,7 @@
 	n.inbox = carobinbox.Inbox{}
 	n.s.steps++
 	for _, an := range in.Announcements {
-		n.s.oracle.knows(an.Target.String(), an.Withdrawn || an.State == carobreadiness.Leaving, n.s.elapsed())
+		n.s.oracle.knows(an.Target.String(), an.Withdrawn || an.Readiness == carobreadiness.Leaving, n.s.elapsed())
 	}
 	in.Announcements = slices.Clone(in.Announcements)
 	n.s.plan.mutation.before(n, &in)
@@ -324,7 +324,7 @@
 			rc.Stream = stream
 			records = append(records, rc)
 		}
-		mark := carobmark.Mark{Stream: stream, First: st.first, Next: end}
+		mark := carobmark.StreamBounds{Stream: stream, First: st.first, Next: end}
 		if mark != n.marks[stream] || len(records) > 0 {
 			n.marks[stream] = mark
 			n.post(func(in *carobinbox.Inbox) {
--- a/test/fuzz/simulation_test.go
+++ b/test/fuzz/simulation_test.go
@@ -90,7 +90,7 @@
 	s.now = 1
 	for place := range places {
 		for _, sv := range services {
-			id := carobtargetid.ID{Service: sv.name, Name: carobword.Word(fmt.Sprintf("t%d", place))}
+			id := carobtargetid.ID{Service: sv.name, Name: carobword.Name(fmt.Sprintf("t%d", place))}
 			tg := &fakeTarget{s: s, id: id, place: place, pace: 1, address: carobaddress.Address(fmt.Sprintf("10.0.1.%d:%d", place, len(s.targets)+1))}
 			s.targets = append(s.targets, tg)
 			tg.beat()
@@ -194,7 +194,7 @@
 func (s *simulation) breakAttempts(l link) {
 	for _, at := range s.nodes[l.from].open {
 		if at.peer == l.to {
-			at.fail(carobkind.Cut)
+			at.fail(carobkind.ConnectionLost)
 		}
 	}
 }
@@ -327,8 +327,8 @@
 		return
 	}
 	n, an := t.s.nodes[t.place], carobannouncement.Announcement{
-		Target: t.id, Withdrawn: t.gone, Address: t.address, Profile: carobword.Word(t.id.Service),
-		Slots: 2, Conns: 8, State: t.state,
+		Target: t.id, Withdrawn: t.gone, Address: t.address, Profile: carobword.Name(t.id.Service),
+		Slots: 2, Connections: 8, Readiness: t.state,
 	}
 	n.do(localTime, func() {
 		n.post(func(in *carobinbox.Inbox) { in.Announcements = append(in.Announcements, an) })
