--- a/internal/carobadmin/admin.go
+++ b/internal/carobadmin/admin.go
@@ -19,7 +19,7 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -125,7 +125,7 @@
 
 func targetOf(c fiber.Ctx) (carobtargetid.ID, error) {
 	id := carobtargetid.ID{
-		Service: carobservice.Service(c.Params("service")), Name: carobword.Name(c.Params("name")),
+		Service: carobservice.Service(c.Params("service")), Name: carobname.Name(c.Params("name")),
 	}
 	var checked carobtargetid.ID
 	err := checked.UnmarshalText([]byte(id.String()))
--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -23,14 +23,14 @@
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
-	"github.com/carobknot/carobknot/pkg/carobpressure"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobsize"
 	"github.com/carobknot/carobknot/pkg/carobstart"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // exchanger sends a request to a target and returns the head of its answer.
@@ -45,10 +45,10 @@
 	// Check fills in a request that asks the target at an address how it is.
 	Check(rq *fasthttp.Request, address carobaddress.Address)
 	// Identity reads which target answered such a request, and how many slots it has.
-	Identity(rs *fasthttp.Response) (carobword.Name, int)
+	Identity(rs *fasthttp.Response) (carobname.Name, int)
 	// Judge reads what an answer says besides: None if it is the target's answer to
 	// the call, or why it is not; and the target's load, or nil.
-	Judge(rs *fasthttp.Response) (carobkind.Kind, *carobpressure.TargetLoad)
+	Judge(rs *fasthttp.Response) (carobkind.Kind, *carobtargetload.TargetLoad)
 }
 
 // Config is how an admitter is made.
@@ -148,7 +148,7 @@
 func (a *Admitter) run(cx context.Context, st *carobstart.Start, rq *fasthttp.Request, target carobtargetid.ID) (*carobanswer.Answer, error) {
 	carobheader.CleanRequest(&rq.Header)
 	a.config.Dialect.Ask(rq, st, target)
-	an, err := a.config.Targets.Do(cx, st.Address, rq, st.Guarantee != carobonce.Idempotent)
+	an, err := a.config.Targets.Do(cx, st.Address, rq, st.Guarantee != carobguarantee.Idempotent)
 	if err != nil {
 		a.finish(carobfinish.Finish{Job: st.Job, Kind: carobkind.Of(err)})
 		return nil, err
--- a/internal/carobadmitter/check.go
+++ b/internal/carobadmitter/check.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobcheck"
-	"github.com/carobknot/carobknot/pkg/carobhealth"
+	"github.com/carobknot/carobknot/pkg/carobhealthcheck"
+	"github.com/carobknot/carobknot/pkg/carobcheckresult"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
-	"github.com/carobknot/carobknot/pkg/carobpressure"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 )
 
 const (
@@ -18,13 +18,13 @@
 )
 
 // check asks a target how it is, and tells what came of it.
-func (a *Admitter) check(ck carobcheck.HealthCheck) {
-	hl := carobhealth.CheckResult{Target: ck.Target, TargetLoad: a.ask(ck)}
+func (a *Admitter) check(ck carobhealthcheck.HealthCheck) {
+	hl := carobcheckresult.CheckResult{Target: ck.Target, TargetLoad: a.ask(ck)}
 	a.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.CheckResults = append(in.CheckResults, hl) })
 }
 
 // ask returns what the target tells of its load, or nil if it does not answer.
-func (a *Admitter) ask(ck carobcheck.HealthCheck) *carobpressure.TargetLoad {
+func (a *Admitter) ask(ck carobhealthcheck.HealthCheck) *carobtargetload.TargetLoad {
 	an, err := a.health(context.Background(), ck.Address, checkPatience)
 	if err != nil {
 		return nil
@@ -32,5 +32,5 @@
 	if _, pressure := a.config.Dialect.Judge(an.Response); pressure != nil {
 		return pressure
 	}
-	return &carobpressure.TargetLoad{}
+	return &carobtargetload.TargetLoad{}
 }
--- a/internal/carobadmitter/native.go
+++ b/internal/carobadmitter/native.go
@@ -9,10 +9,10 @@
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobpressure"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 	"github.com/carobknot/carobknot/pkg/carobstart"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // native is the system's own way to speak to targets.
@@ -32,9 +32,9 @@
 func (native) Check(*fasthttp.Request, carobaddress.Address) {}
 
 // Identity reads nothing.
-func (native) Identity(*fasthttp.Response) (carobword.Name, int) { return "", 0 }
+func (native) Identity(*fasthttp.Response) (carobname.Name, int) { return "", 0 }
 
 // Judge takes every answer for the call's.
-func (native) Judge(*fasthttp.Response) (carobkind.Kind, *carobpressure.TargetLoad) {
+func (native) Judge(*fasthttp.Response) (carobkind.Kind, *carobtargetload.TargetLoad) {
 	return carobkind.None, nil
 }
--- a/internal/carobbehaviour/behaviour.go
+++ b/internal/carobbehaviour/behaviour.go
@@ -6,13 +6,13 @@
 	"encoding/json"
 
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 )
 
 // Behaviour is what a stand-in does from now on. It is changed on command.
 type Behaviour struct {
 	// Latency is the mean time that a call takes.
-	Latency carobspan.Duration `json:"latency"`
+	Latency carobduration.Duration `json:"latency"`
 	// Shape spreads the times: "fixed", "lognormal" or "pareto".
 	Shape string `json:"shape"`
 	// Sigma is the width of the log-normal distribution.
@@ -24,13 +24,13 @@
 	// Jump multiplies the times of calls that start during a jump of load.
 	Jump float64 `json:"jump"`
 	// Gap is the mean time between two jumps; 0 is no jumps.
-	Gap carobspan.Duration `json:"gap"`
+	Gap carobduration.Duration `json:"gap"`
 	// Shortest and Longest bound the length of a jump.
-	Shortest carobspan.Duration `json:"shortest"`
-	Longest  carobspan.Duration `json:"longest"`
+	Shortest carobduration.Duration `json:"shortest"`
+	Longest  carobduration.Duration `json:"longest"`
 	// Cold is how long the target warms up after its start or after it was told
 	// to be cold again; a call takes Chill times as long at the beginning.
-	Cold  carobspan.Duration `json:"cold"`
+	Cold  carobduration.Duration `json:"cold"`
 	Chill float64        `json:"chill"`
 	// Fail answers every call with an error at once.
 	Fail bool `json:"fail"`
--- a/internal/carobclaimlog/claimlog.go
+++ b/internal/carobclaimlog/claimlog.go
@@ -11,8 +11,8 @@
 	"github.com/carobknot/carobknot/internal/carobplatform"
 	"github.com/carobknot/carobknot/internal/carobtail"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/pkg/carobcommit"
-	"github.com/carobknot/carobknot/pkg/carobcommitted"
+	"github.com/carobknot/carobknot/pkg/carobappendrequest"
+	"github.com/carobknot/carobknot/pkg/carobappendresult"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
@@ -72,8 +72,8 @@
 }
 
 // commit appends once. Whether the record landed in doubt is found out by reading.
-func (c *ClaimLog) commit(cm carobcommit.AppendRequest) {
+func (c *ClaimLog) commit(cm carobappendrequest.AppendRequest) {
 	_, err := c.config.Log.Append(c.context, cm.Stream, cm.Data)
-	cd := carobcommitted.AppendResult{Stream: cm.Stream, Number: cm.Number, Kind: carobkind.Of(err)}
+	cd := carobappendresult.AppendResult{Stream: cm.Stream, Number: cm.Number, Kind: carobkind.Of(err)}
 	c.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.AppendResults = append(in.AppendResults, cd) })
 }
--- a/internal/carobcommand/bench.go
+++ b/internal/carobcommand/bench.go
@@ -11,7 +11,7 @@
 	"github.com/carobknot/carobknot/internal/carobbench"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobmeasure"
+	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 )
 
 func benchCommand() Command {
@@ -24,7 +24,7 @@
 }
 
 func parseBench(flags *flag.FlagSet) runner {
-	c := carobbench.Config{Measure: carobmeasure.NewProbeLimits().BytesPerSecond}
+	c := carobbench.Config{Measure: carobprobelimits.NewProbeLimits().BytesPerSecond}
 	flags.Func("deployments", "`NAMES` of the deployments to measure, with commas between; all if none", names(&c.Deployments))
 	flags.Func("cases", "`NAMES` of the cases to measure; the deciding ones if none", names(&c.Cases))
 	flags.Func("variants", "`NAMES` of the variants to compare; the usual ones if none", names(&c.Variants))
--- a/internal/carobcommand/emulate.go
+++ b/internal/carobcommand/emulate.go
@@ -8,7 +8,7 @@
 	"github.com/carobknot/carobknot/internal/carobemulator"
 	"github.com/carobknot/carobknot/internal/carobscenario"
 	"github.com/carobknot/carobknot/internal/carobsummary"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 func emulateCommand() Command {
@@ -37,7 +37,7 @@
 			return err
 		}
 		if *policy != "" {
-			sc.Profile.Policy = carobword.Name(*policy)
+			sc.Profile.Policy = carobname.Name(*policy)
 		}
 		if *checks >= 0 {
 			sc.Measure.ChecksPerSecond = *checks
--- a/internal/carobcommand/target.go
+++ b/internal/carobcommand/target.go
@@ -11,7 +11,7 @@
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 func targetCommand() Command {
@@ -28,7 +28,7 @@
 	listen := flags.String("listen", "127.0.0.1:0", "`ADDR` to listen at")
 	flags.TextVar(&c.ID, "id", c.ID, "`SERVICE/NAME` of the target")
 	flags.Func("profile", "`NAME` of the routing profile that the service picks", func(text string) error {
-		c.Profile = carobword.Name(text)
+		c.Profile = carobname.Name(text)
 		return c.Profile.Check("profile")
 	})
 	flags.Func("admin", "`ADDR` of the node's admin side", func(text string) error {
--- a/internal/carobdemo/ask.go
+++ b/internal/carobdemo/ask.go
@@ -12,7 +12,7 @@
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/caroboutcome"
 )
 
@@ -63,7 +63,7 @@
 		if err := json.Unmarshal(data, &runs); err != nil {
 			return 0, carobkind.Wrap(carobkind.Invalid, err, "decode runs")
 		}
-		if tg.once == carobonce.Idempotent {
+		if tg.once == carobguarantee.Idempotent {
 			continue
 		}
 		for _, n := range runs.Calls {
--- a/internal/carobdemo/demo.go
+++ b/internal/carobdemo/demo.go
@@ -16,7 +16,7 @@
 	"github.com/carobknot/carobknot/internal/carobsummary"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobshare"
 )
@@ -45,15 +45,15 @@
 // service is one of the demo's services.
 type service struct {
 	name carobservice.Service
-	once carobonce.Guarantee
+	once carobguarantee.Guarantee
 	rate float64
 	// keys is the share of calls with an idempotency key.
 	keys carobshare.Share
 }
 
 var services = []service{
-	{name: "lookups", once: carobonce.Idempotent, rate: 300},
-	{name: "payouts", once: carobonce.OncePerKey, rate: 60, keys: 1},
+	{name: "lookups", once: carobguarantee.Idempotent, rate: 300},
+	{name: "payouts", once: carobguarantee.OncePerKey, rate: 60, keys: 1},
 }
 
 const (
--- a/internal/carobdemo/parts.go
+++ b/internal/carobdemo/parts.go
@@ -17,14 +17,14 @@
 	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
-	"github.com/carobknot/carobknot/pkg/carobmeasure"
+	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // nodeAddresses are where a node answers.
@@ -36,7 +36,7 @@
 // runningTarget is a target and where it answers.
 type runningTarget struct {
 	id      carobtargetid.ID
-	once    carobonce.Guarantee
+	once    carobguarantee.Guarantee
 	address carobaddress.Address
 }
 
@@ -86,7 +86,7 @@
 	st := carobsettings.Settings{
 		Name: carobnodeid.ID(fmt.Sprintf("node%d", i)), Region: "demo", Centre: "loopback",
 		Call: any0, Peer: any0, Admin: any0, Log: log,
-		Measure: carobmeasure.NewProbeLimits(), Limits: caroblimits.NewLimits(),
+		Measure: carobprobelimits.NewProbeLimits(), Limits: caroblimits.NewLimits(),
 	}
 	nd, err := carobnode.NewNode(cx, carobnode.Config{Settings: st, Logger: d.logger})
 	if err != nil {
@@ -103,10 +103,10 @@
 		return err
 	}
 	bh := carobbehaviour.NewBehaviour()
-	bh.Latency, bh.Shape = carobspan.Duration(latency), carobbehaviour.LogNormal
-	id := carobtargetid.ID{Service: sv.name, Name: carobword.Name(fmt.Sprintf("t%d", i))}
+	bh.Latency, bh.Shape = carobduration.Duration(latency), carobbehaviour.LogNormal
+	id := carobtargetid.ID{Service: sv.name, Name: carobname.Name(fmt.Sprintf("t%d", i))}
 	tg := carobstandtarget.NewTarget(carobstandtarget.Config{
-		ID: id, Profile: carobword.Name(sv.name), Slots: slots, Conns: slots * slots, Behaviour: bh,
+		ID: id, Profile: carobname.Name(sv.name), Slots: slots, Conns: slots * slots, Behaviour: bh,
 		Seed: d.config.Seed + uint64(len(d.targets)), Admin: nd.admin, Timer: d.timer, Logger: d.logger,
 	})
 	d.targets = append(d.targets, runningTarget{
@@ -138,7 +138,7 @@
 }
 
 func publish(cx context.Context, log string, sv service) error {
-	pf := carobprofile.NewProfile(carobword.Name(sv.name))
+	pf := carobprofile.NewProfile(carobname.Name(sv.name))
 	pf.Guarantee = sv.once
 	data, err := json.Marshal(carobchange.Change{Profile: pf, Who: "demo"})
 	if err != nil {
--- a/internal/carobemulator/caller.go
+++ b/internal/carobemulator/caller.go
@@ -11,7 +11,7 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 )
 
 // patient is the part of the time left that a caller waits before it comes back.
@@ -102,7 +102,7 @@
 
 // again has a caller come back if it may, and reports whether it does.
 func (e *Emulator) again(id uint64, v *visit, cn carobconclusion.Conclusion, status int) bool {
-	safe := e.scenario.Kinds[v.kind].Once == carobonce.Idempotent
+	safe := e.scenario.Kinds[v.kind].Once == carobguarantee.Idempotent
 	left := v.deadline.Sub(e.now)
 	if v.retries == 0 || left <= 0 || status == http.StatusOK || !safe && (cn.Kind == carobkind.None || !cn.Kind.NotRun()) {
 		return false
--- a/internal/carobemulator/emulator.go
+++ b/internal/carobemulator/emulator.go
@@ -12,13 +12,13 @@
 	"github.com/carobknot/carobknot/internal/carobscenario"
 	"github.com/carobknot/carobknot/internal/carobsummary"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
-	"github.com/carobknot/carobknot/pkg/carobagenda"
+	"github.com/carobknot/carobknot/pkg/carobschedule"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobroute"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobtable"
 )
 
@@ -39,19 +39,19 @@
 	// places finds nodes by their addresses, and homes by their names.
 	places map[carobaddress.Address]int
 	homes  map[carobnodeid.ID]int
-	routes *carobroutes.RouteTable
+	routes *carobroutetable.RouteTable
 	// sources are when the next call of each kind comes from outside.
-	sources *carobagenda.Schedule[int]
+	sources *carobschedule.Schedule[int]
 	// letters are on their way to nodes; mail has when they arrive.
 	letters *carobtable.Table[uint64, letter]
-	mail    *carobagenda.Schedule[uint64]
+	mail    *carobschedule.Schedule[uint64]
 	// visits are the calls that callers wait for; returns has when callers come back
 	// that were refused.
 	visits  *carobtable.Table[uint64, visit]
-	returns *carobagenda.Schedule[uint64]
+	returns *carobschedule.Schedule[uint64]
 	// jobs run at targets; work has when their next step is due.
 	jobs *carobtable.Table[carobjobid.ID, job]
-	work *carobagenda.Schedule[carobjobid.ID]
+	work *carobschedule.Schedule[carobjobid.ID]
 	// count numbers letters and visits.
 	count     uint64
 	summaries []*carobsummary.Summary
@@ -78,10 +78,10 @@
 	e := &Emulator{
 		scenario: c.Scenario, random: rand.New(rand.NewPCG(c.Seed, stream)), //nolint:gosec // a run must repeat under a seed
 		now: begin, places: map[carobaddress.Address]int{}, homes: map[carobnodeid.ID]int{},
-		sources: carobagenda.NewSchedule[int](),
-		letters: carobtable.NewTable[uint64, letter](carobtable.Config{Limit: rows}), mail: carobagenda.NewSchedule[uint64](),
-		visits: carobtable.NewTable[uint64, visit](carobtable.Config{Limit: rows}), returns: carobagenda.NewSchedule[uint64](),
-		jobs: carobtable.NewTable[carobjobid.ID, job](carobtable.Config{Limit: rows}), work: carobagenda.NewSchedule[carobjobid.ID](),
+		sources: carobschedule.NewSchedule[int](),
+		letters: carobtable.NewTable[uint64, letter](carobtable.Config{Limit: rows}), mail: carobschedule.NewSchedule[uint64](),
+		visits: carobtable.NewTable[uint64, visit](carobtable.Config{Limit: rows}), returns: carobschedule.NewSchedule[uint64](),
+		jobs: carobtable.NewTable[carobjobid.ID, job](carobtable.Config{Limit: rows}), work: carobschedule.NewSchedule[carobjobid.ID](),
 	}
 	var routes []carobroute.Route
 	for i := range e.scenario.Kinds {
@@ -93,7 +93,7 @@
 		}
 	}
 	var err error
-	if e.routes, err = carobroutes.NewRouteTable(1, routes); err != nil {
+	if e.routes, err = carobroutetable.NewRouteTable(1, routes); err != nil {
 		return nil, err
 	}
 	e.addNodes()
--- a/internal/carobemulator/node.go
+++ b/internal/carobemulator/node.go
@@ -8,7 +8,7 @@
 	"github.com/carobknot/carobknot/pkg/carobcentre"
 	"github.com/carobknot/carobknot/pkg/carobcore"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobhealth"
+	"github.com/carobknot/carobknot/pkg/carobcheckresult"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
@@ -18,16 +18,16 @@
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
-	"github.com/carobknot/carobknot/pkg/carobpart"
+	"github.com/carobknot/carobknot/pkg/carobweightedservice"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobreport"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -59,8 +59,8 @@
 	status map[carobjobid.ID]int
 }
 
-func parts(service carobservice.Service) []carobpart.WeightedService {
-	return []carobpart.WeightedService{{Service: service, Weight: 1}}
+func parts(service carobservice.Service) []carobweightedservice.WeightedService {
+	return []carobweightedservice.WeightedService{{Service: service, Weight: 1}}
 }
 
 // addNodes starts a node beside each target.
@@ -84,7 +84,7 @@
 		self: carobmember.Member{
 			Node: carobnodeid.ID(fmt.Sprintf("n%d", place)), Incarnation: 1, Region: "here", Centre: centre, PeerAddress: peer,
 		},
-		target: target{id: carobtargetid.ID{Service: service, Name: carobword.Name(fmt.Sprintf("t%d", place))}, slots: slots},
+		target: target{id: carobtargetid.ID{Service: service, Name: carobname.Name(fmt.Sprintf("t%d", place))}, slots: slots},
 	}
 	var known []carobaddress.Address
 	for _, other := range e.nodes[:min(seeds, place)] {
@@ -97,7 +97,7 @@
 		},
 		Seeds: known, Profiles: []carobprofile.Profile{e.scenario.Profile}, AnnouncementTimeout: forever, NoTracePropagation: true,
 	})
-	n.inbox.RouteTables = []*carobroutes.RouteTable{e.routes}
+	n.inbox.RouteTables = []*carobroutetable.RouteTable{e.routes}
 	n.inbox.Announcements = []carobannouncement.Announcement{{
 		Target: n.target.id, Address: peer, Profile: e.scenario.Profile.Name, Slots: slots, Connections: slots,
 		Readiness: carobreadiness.Ready,
@@ -143,7 +143,7 @@
 		e.start(n, st)
 	}
 	for range out.HealthChecks {
-		hl := carobhealth.CheckResult{Target: n.target.id, TargetLoad: e.pressure(n)}
+		hl := carobcheckresult.CheckResult{Target: n.target.id, TargetLoad: e.pressure(n)}
 		e.post(n.place, checkTime, func(in *carobinbox.Inbox) { in.CheckResults = append(in.CheckResults, hl) })
 	}
 	for _, id := range out.Cancels {
--- a/internal/carobemulator/target.go
+++ b/internal/carobemulator/target.go
@@ -9,7 +9,7 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobpressure"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 	"github.com/carobknot/carobknot/pkg/carobstart"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
@@ -56,8 +56,8 @@
 	return 1
 }
 
-func (e *Emulator) pressure(n *node) *carobpressure.TargetLoad {
-	return &carobpressure.TargetLoad{Running: n.target.running, Slots: n.target.slots, Slowness: e.slowness(&n.target)}
+func (e *Emulator) pressure(n *node) *carobtargetload.TargetLoad {
+	return &carobtargetload.TargetLoad{Running: n.target.running, Slots: n.target.slots, Slowness: e.slowness(&n.target)}
 }
 
 // start runs a job.
--- a/internal/carobentrance/caller.go
+++ b/internal/carobentrance/caller.go
@@ -9,7 +9,7 @@
 	"github.com/carobknot/carobknot/internal/carobbody"
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboutcome"
 )
@@ -22,7 +22,7 @@
 }
 
 // Answer passes an answer on, and keeps a copy if the call has a key.
-func (c *caller) Answer(an *carobanswer.Answer, abandon func(), over func(kind carobkind.Kind, kept *carobkept.StoredAnswer)) {
+func (c *caller) Answer(an *carobanswer.Answer, abandon func(), over func(kind carobkind.Kind, kept *carobstoredanswer.StoredAnswer)) {
 	carobheader.CleanResponse(&an.Response.Header)
 	an.Response.Header.CopyTo(&c.ctx.Response.Header)
 	c.ctx.Response.Header.Set(carobheader.Outcome, string(caroboutcome.Answered))
@@ -44,7 +44,7 @@
 }
 
 // Repeat passes on the answer to an earlier call.
-func (c *caller) Repeat(kept *carobkept.StoredAnswer) {
+func (c *caller) Repeat(kept *carobstoredanswer.StoredAnswer) {
 	deliverKept(c.ctx, c.call, kept)
 }
 
--- a/internal/carobentrance/kept.go
+++ b/internal/carobentrance/kept.go
@@ -9,12 +9,12 @@
 	"github.com/carobknot/carobknot/internal/carobanswer"
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/caroboutcome"
 )
 
 // deliverKept gives a caller the answer to an earlier call with its key.
-func deliverKept(rc *fasthttp.RequestCtx, call carobcallid.ID, kp *carobkept.StoredAnswer) {
+func deliverKept(rc *fasthttp.RequestCtx, call carobcallid.ID, kp *carobstoredanswer.StoredAnswer) {
 	rc.Response.SetStatusCode(kp.Status)
 	rc.Response.Header.SetContentType(kp.Type)
 	rc.Response.Header.Set(carobheader.Outcome, string(caroboutcome.Answered))
@@ -32,7 +32,7 @@
 
 // keepCopy puts a copier into an answer, or returns nil if the answer is not small.
 func keepCopy(an *carobanswer.Answer) *copier {
-	if an.Length < 0 || an.Length > carobkept.MaxBody {
+	if an.Length < 0 || an.Length > carobstoredanswer.MaxBody {
 		return nil
 	}
 	c := &copier{
@@ -50,9 +50,9 @@
 }
 
 // kept returns the copy, which is whole once the answer was passed on whole.
-func (c *copier) kept() *carobkept.StoredAnswer {
+func (c *copier) kept() *carobstoredanswer.StoredAnswer {
 	if c == nil {
 		return nil
 	}
-	return &carobkept.StoredAnswer{Status: c.status, Type: c.kind, Body: c.copied.Bytes()}
+	return &carobstoredanswer.StoredAnswer{Status: c.status, Type: c.kind, Body: c.copied.Bytes()}
 }
--- a/internal/carobexchange/exchange.go
+++ b/internal/carobexchange/exchange.go
@@ -14,7 +14,7 @@
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobsend"
@@ -150,7 +150,7 @@
 	an := at.answer
 	x.mutex.Unlock()
 	job := carobjobid.ID{Call: x.call, Attempt: number}
-	x.caller.Answer(an, at.cancel, func(kind carobkind.Kind, kept *carobkept.StoredAnswer) {
+	x.caller.Answer(an, at.cancel, func(kind carobkind.Kind, kept *carobstoredanswer.StoredAnswer) {
 		at.cancel()
 		x.upload.Release()
 		x.exchanges.config.Mailbox.Post(func(in *carobinbox.Inbox) {
--- a/internal/carobexchange/exchanges.go
+++ b/internal/carobexchange/exchanges.go
@@ -17,7 +17,7 @@
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
 	"github.com/carobknot/carobknot/pkg/carobreport"
@@ -34,9 +34,9 @@
 type caller interface {
 	// Answer passes an answer on. abandon gives the answer up; over is called once
 	// the answer was passed on or given up.
-	Answer(an *carobanswer.Answer, abandon func(), over func(kind carobkind.Kind, kept *carobkept.StoredAnswer))
+	Answer(an *carobanswer.Answer, abandon func(), over func(kind carobkind.Kind, kept *carobstoredanswer.StoredAnswer))
 	// Repeat passes on the answer to an earlier call with the same key.
-	Repeat(kept *carobkept.StoredAnswer)
+	Repeat(kept *carobstoredanswer.StoredAnswer)
 	// Refuse tells an error. A caller may try again after a time, unless it is 0.
 	Refuse(kind carobkind.Kind, after time.Duration, detail string)
 }
--- a/internal/carobfault/fault.go
+++ b/internal/carobfault/fault.go
@@ -3,7 +3,7 @@
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 )
 
 // Fault is set on command and stays until the next command. The zero value is a
@@ -14,7 +14,7 @@
 	// Deaf refuses reads with status 503, and appends go on.
 	Deaf bool `json:"deaf"`
 	// Slow is how much longer every request takes.
-	Slow carobspan.Duration `json:"slow"`
+	Slow carobduration.Duration `json:"slow"`
 	// Lose is how many appends take effect and are answered with status 504; it
 	// counts down.
 	Lose int `json:"lose"`
--- a/internal/carobfollower/follower.go
+++ b/internal/carobfollower/follower.go
@@ -14,14 +14,14 @@
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
 )
 
 // source has the operator's route tables.
 type source interface {
 	// Routes returns the newest table once there is one that was not returned
 	// before, or nil if there is none for as long as wait.
-	Routes(cx context.Context, wait time.Duration) (*carobroutes.RouteTable, error)
+	Routes(cx context.Context, wait time.Duration) (*carobroutetable.RouteTable, error)
 }
 
 // Config is how a follower is made.
--- a/internal/carobfollower/follower_test.go
+++ b/internal/carobfollower/follower_test.go
@@ -14,17 +14,17 @@
 	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
 )
 
 // source answers as a test tells it to.
 type source struct {
 	reads   chan time.Duration
 	answers chan error
-	table   *carobroutes.RouteTable
+	table   *carobroutetable.RouteTable
 }
 
-func (s *source) Routes(cx context.Context, wait time.Duration) (*carobroutes.RouteTable, error) {
+func (s *source) Routes(cx context.Context, wait time.Duration) (*carobroutetable.RouteTable, error) {
 	s.reads <- wait
 	select {
 	case err := <-s.answers:
@@ -38,7 +38,7 @@
 }
 
 func TestFollowerReadsWhileItIsWanted(t *testing.T) {
-	table, err := carobroutes.NewRouteTable(1, nil)
+	table, err := carobroutetable.NewRouteTable(1, nil)
 	require.NoError(t, err)
 	timer, mailbox := carobtimer.NewTimer(), carobmailbox.NewMailbox()
 	go timer.Run(t.Context())
--- a/internal/carobheader/offer.go
+++ b/internal/carobheader/offer.go
@@ -10,10 +10,10 @@
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobrequestid"
 	"github.com/carobknot/carobknot/pkg/carobsend"
-	"github.com/carobknot/carobknot/pkg/carobwish"
+	"github.com/carobknot/carobknot/pkg/carobrequirements"
 )
 
 const (
@@ -75,9 +75,9 @@
 	of.Job = carobjobid.ID{Call: call, Attempt: int(numbers[0])}
 	of.Incarnation = carobincarnation.Incarnation(incarnation)
 	of.TimeLeft = micros(numbers[1])
-	of.Requirements = carobwish.Requirements{
+	of.Requirements = carobrequirements.Requirements{
 		Priority: int(numbers[2]), SLOTimeLeft: micros(numbers[3]), SLO: micros(numbers[4]),
-		Guarantee: carobonce.Guarantee(fields[8]), Movable: movable,
+		Guarantee: carobguarantee.Guarantee(fields[8]), Movable: movable,
 	}
 	if len(fields) > offerFields {
 		of.Requirements.Request = carobrequestid.ID(fields[offerFields])
--- a/internal/carobheader/offer_test.go
+++ b/internal/carobheader/offer_test.go
@@ -10,19 +10,19 @@
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobrequestid"
 	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobwish"
+	"github.com/carobknot/carobknot/pkg/carobrequirements"
 )
 
 func sample(request carobrequestid.ID) carobsend.Send {
 	return carobsend.Send{
 		Job:    carobjobid.ID{Call: carobcallid.ID{Node: "there", Incarnation: 1 << 60, Sequence: 77}, Attempt: 3},
 		Target: carobtargetid.ID{Service: "lookups", Name: "i-1"}, Incarnation: 1 << 61, TimeLeft: 1500 * time.Millisecond,
-		Requirements: carobwish.Requirements{
-			Priority: 2, SLOTimeLeft: -3 * time.Millisecond, SLO: 400 * time.Millisecond, Guarantee: carobonce.Idempotent, Movable: true, Request: request,
+		Requirements: carobrequirements.Requirements{
+			Priority: 2, SLOTimeLeft: -3 * time.Millisecond, SLO: 400 * time.Millisecond, Guarantee: carobguarantee.Idempotent, Movable: true, Request: request,
 		},
 	}
 }
--- a/internal/carobheader/report.go
+++ b/internal/carobheader/report.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobreport"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
@@ -38,6 +38,6 @@
 	}
 	return &carobreport.Report{
 		Target: target, Running: values[0], Queued: values[1], Slots: values[2],
-		Latency: carobspan.Duration(time.Duration(values[3])),
+		Latency: carobduration.Duration(time.Duration(values[3])),
 	}
 }
--- a/internal/carobingress/ingress.go
+++ b/internal/carobingress/ingress.go
@@ -22,7 +22,7 @@
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
@@ -136,14 +136,14 @@
 }
 
 // Answer passes an answer on.
-func (c *caller) Answer(an *carobanswer.Answer, abandon func(), over func(kind carobkind.Kind, kept *carobkept.StoredAnswer)) {
+func (c *caller) Answer(an *carobanswer.Answer, abandon func(), over func(kind carobkind.Kind, kept *carobstoredanswer.StoredAnswer)) {
 	c.visit.Notify(abandon)
 	carobheader.CleanResponse(&an.Response.Header)
 	over(c.visit.Pass(an), nil)
 }
 
 // Repeat does not happen: no dialect has keys.
-func (c *caller) Repeat(*carobkept.StoredAnswer) {
+func (c *caller) Repeat(*carobstoredanswer.StoredAnswer) {
 	c.Refuse(carobkind.Repeated, 0, "the answer is not kept")
 }
 
--- a/internal/carobledger/ledger.go
+++ b/internal/carobledger/ledger.go
@@ -14,7 +14,7 @@
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobrevision"
 	"github.com/carobknot/carobknot/pkg/carobstream"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -81,7 +81,7 @@
 }
 
 // Of returns the offset of the profile in force under a name, or None.
-func (l *Ledger) Of(name carobword.Name) caroboffset.Offset {
+func (l *Ledger) Of(name carobname.Name) caroboffset.Offset {
 	if rv := l.world.Profiles.Get(name); rv != nil {
 		return rv.Offset
 	}
--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -34,13 +34,13 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
-	"github.com/carobknot/carobknot/pkg/carobpressure"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobsize"
 	"github.com/carobknot/carobknot/pkg/carobstart"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -63,14 +63,14 @@
 	Refuse(rs *fasthttp.Response, rq *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
 	Ask(rq *fasthttp.Request, st *carobstart.Start, target carobtargetid.ID)
 	Check(rq *fasthttp.Request, address carobaddress.Address)
-	Identity(rs *fasthttp.Response) (carobword.Name, int)
+	Identity(rs *fasthttp.Response) (carobname.Name, int)
 	Mine(rq *fasthttp.Request, rs *fasthttp.Response) bool
-	Judge(rs *fasthttp.Response) (carobkind.Kind, *carobpressure.TargetLoad)
+	Judge(rs *fasthttp.Response) (carobkind.Kind, *carobtargetload.TargetLoad)
 }
 
 // store is where a platform keeps route tables and lets nodes find each other.
 type store interface {
-	Routes(cx context.Context, wait time.Duration) (*carobroutes.RouteTable, error)
+	Routes(cx context.Context, wait time.Duration) (*carobroutetable.RouteTable, error)
 	Enrol(cx context.Context, node carobnodeid.ID, word []byte) error
 	Words(cx context.Context) ([][]byte, error)
 }
--- a/internal/carobrelay/relay.go
+++ b/internal/carobrelay/relay.go
@@ -11,7 +11,7 @@
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
@@ -56,7 +56,7 @@
 		return r.own(cx, sd, rq)
 	}
 	rq.Header.Set(carobheader.Offer, carobheader.FormatOffer(sd))
-	an, err := r.config.Peers.Do(cx, sd.PeerAddress, rq, sd.Guarantee != carobonce.Idempotent)
+	an, err := r.config.Peers.Do(cx, sd.PeerAddress, rq, sd.Guarantee != carobguarantee.Idempotent)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -8,14 +8,14 @@
 	"github.com/carobknot/carobknot/internal/carobdocument"
 	"github.com/carobknot/carobknot/pkg/carobcentre"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobmeasure"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobprobelimits"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
-	"github.com/carobknot/carobknot/pkg/carobretries"
+	"github.com/carobknot/carobknot/pkg/carobretrylimits"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobshare"
-	"github.com/carobknot/carobknot/pkg/carobspan"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Scenario is a deployment and its load.
@@ -24,13 +24,13 @@
 	Centres []carobcentre.Centre `json:"centres"`
 	// Hop is how long a message takes to another VM, and Far to one in another data
 	// centre.
-	Hop carobspan.Duration `json:"hop"`
-	Far carobspan.Duration `json:"far"`
+	Hop carobduration.Duration `json:"hop"`
+	Far carobduration.Duration `json:"far"`
 	// Noise is how the VMs' neighbours take their processors.
 	Noise noise `json:"noise"`
 	// Measure, Retries and Profile are what nodes go by.
-	Measure carobmeasure.ProbeLimits `json:"measure"`
-	Retries carobretries.RetryLimits `json:"retries"`
+	Measure carobprobelimits.ProbeLimits `json:"measure"`
+	Retries carobretrylimits.RetryLimits `json:"retries"`
 	Profile carobprofile.Profile `json:"profile"`
 	// Services has at least one.
 	Services []service `json:"services"`
@@ -44,8 +44,8 @@
 	// no noise.
 	Factor float64 `json:"factor"`
 	// Every is the mean time between two slow moments, and Lasting their mean length.
-	Every   carobspan.Duration `json:"every"`
-	Lasting carobspan.Duration `json:"lasting"`
+	Every   carobduration.Duration `json:"every"`
+	Lasting carobduration.Duration `json:"lasting"`
 }
 
 // service is a service and its targets.
@@ -59,27 +59,27 @@
 
 // kind is a kind of calls.
 type kind struct {
-	Name    carobword.Name       `json:"name"`
+	Name    carobname.Name       `json:"name"`
 	Service carobservice.Service `json:"service"`
 	// Rate is how many calls come a second from outside; 0 if only targets make them.
 	Rate float64 `json:"rate"`
 	// Work is the mean time that a target takes, and Spread its standard deviation as a
 	// part of it.
-	Work   carobspan.Duration   `json:"work"`
+	Work   carobduration.Duration   `json:"work"`
 	Spread carobshare.Share `json:"spread"`
 	// Slo, Timeout and Deadline are what callers want, the longest that the operator lets
 	// them wait, and when they give up.
-	Slo      carobspan.Duration `json:"slo"`
-	Timeout  carobspan.Duration `json:"timeout"`
-	Deadline carobspan.Duration `json:"deadline"`
-	Once     carobonce.Guarantee `json:"once"`
+	Slo      carobduration.Duration `json:"slo"`
+	Timeout  carobduration.Duration `json:"timeout"`
+	Deadline carobduration.Duration `json:"deadline"`
+	Once     carobguarantee.Guarantee `json:"once"`
 	// Rank is the priority, 0 the highest.
 	Rank int `json:"rank"`
 	// Retries is how often a caller comes back.
 	Retries int `json:"retries"`
 	// Calls is the kind of the calls that a target makes while it runs one of this kind,
 	// Times how many one after the other, and Share how many of the runs make them.
-	Calls carobword.Name   `json:"calls"`
+	Calls carobname.Name   `json:"calls"`
 	Times int              `json:"times"`
 	Share carobshare.Share `json:"share"`
 }
@@ -90,7 +90,7 @@
 	pf := carobprofile.NewProfile("emulated")
 	pf.HedgeQuantile, pf.LocalLoadLimit, pf.Policy = 0, 0, "local"
 	return Scenario{
-		Centres: []carobcentre.Centre{centre}, Measure: carobmeasure.NewProbeLimits(), Retries: carobretries.NewRetryLimits(), Profile: pf,
+		Centres: []carobcentre.Centre{centre}, Measure: carobprobelimits.NewProbeLimits(), Retries: carobretrylimits.NewRetryLimits(), Profile: pf,
 	}
 }
 
@@ -124,7 +124,7 @@
 	if err := s.Profile.Check(); err != nil {
 		return err
 	}
-	services, kinds := map[carobservice.Service]bool{}, map[carobword.Name]bool{}
+	services, kinds := map[carobservice.Service]bool{}, map[carobname.Name]bool{}
 	for i := range s.Services {
 		sv := &s.Services[i]
 		if sv.Targets < 1 || sv.Slots < 1 {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (k *kind) check(services map[carobservice.Service]bool, before map[carobword.Name]bool) error {
+func (k *kind) check(services map[carobservice.Service]bool, before map[carobname.Name]bool) error {
 	switch {
 	case !services[k.Service]:
 		return carobkind.New(carobkind.Invalid, "kind %s: there is no service %q", k.Name, k.Service)
--- a/internal/carobsettings/settings.go
+++ b/internal/carobsettings/settings.go
@@ -12,12 +12,12 @@
 	"github.com/carobknot/carobknot/pkg/carobcentre"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
-	"github.com/carobknot/carobknot/pkg/carobmeasure"
+	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobregion"
-	"github.com/carobknot/carobknot/pkg/carobretries"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobretrylimits"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 )
 
 // Settings is what a node is told about itself.
@@ -38,15 +38,15 @@
 	Log string `json:"log"`
 	// Seeds are peer addresses of other nodes to begin with. May be empty.
 	Seeds   []carobaddress.Address `json:"seeds"`
-	Measure carobmeasure.ProbeLimits   `json:"measure"`
+	Measure carobprobelimits.ProbeLimits   `json:"measure"`
 	// Retries bounds what is sent again.
-	Retries carobretries.RetryLimits `json:"retries"`
+	Retries carobretrylimits.RetryLimits `json:"retries"`
 	// Silence is how long a target may go without an announcement.
-	Silence carobspan.Duration `json:"silence"`
+	Silence carobduration.Duration `json:"silence"`
 	// Grace is how long a graceful shutdown waits for what is in flight, and Stay
 	// how long it goes on taking calls at least: callers may not know yet.
-	Grace carobspan.Duration `json:"grace"`
-	Stay  carobspan.Duration `json:"stay"`
+	Grace carobduration.Duration `json:"grace"`
+	Stay  carobduration.Duration `json:"stay"`
 	// Lines is how many lines a second are logged of decisions that went well.
 	Lines int `json:"lines"`
 	// Profiles are in force without having been published. May be empty.
@@ -57,8 +57,8 @@
 // NewSettings returns the defaults.
 func NewSettings() Settings {
 	return Settings{
-		Measure: carobmeasure.NewProbeLimits(), Retries: carobretries.NewRetryLimits(), Limits: caroblimits.NewLimits(),
-		Silence: carobspan.Duration(3 * time.Second), Grace: carobspan.Duration(time.Minute),
+		Measure: carobprobelimits.NewProbeLimits(), Retries: carobretrylimits.NewRetryLimits(), Limits: caroblimits.NewLimits(),
+		Silence: carobduration.Duration(3 * time.Second), Grace: carobduration.Duration(time.Minute),
 	}
 }
 
--- a/internal/carobstandtarget/target.go
+++ b/internal/carobstandtarget/target.go
@@ -15,13 +15,13 @@
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Config is how a target is made.
 type Config struct {
 	ID      carobtargetid.ID
-	Profile carobword.Name
+	Profile carobname.Name
 	Slots   int
 	Conns   int
 	// Behaviour is the one to begin with.
--- a/internal/carobstandtarget/target_test.go
+++ b/internal/carobstandtarget/target_test.go
@@ -17,7 +17,7 @@
 	"github.com/carobknot/carobknot/internal/carobpattern"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 )
 
 // startTarget runs a target whose node does not exist, and returns its URL.
@@ -144,8 +144,8 @@
 
 func TestTimesFollowFromTheSeed(t *testing.T) {
 	bh := carobbehaviour.NewBehaviour()
-	bh.Latency = carobspan.Duration(10 * time.Millisecond)
-	bh.Gap = carobspan.Duration(200 * time.Millisecond)
+	bh.Latency = carobduration.Duration(10 * time.Millisecond)
+	bh.Gap = carobduration.Duration(200 * time.Millisecond)
 	for _, shape := range []string{carobbehaviour.LogNormal, carobbehaviour.Pareto} {
 		bh.Shape = shape
 		first, second := newClock(5, 1), newClock(5, 1)
--- a/internal/carobstatus/status.go
+++ b/internal/carobstatus/status.go
@@ -13,10 +13,10 @@
 	"github.com/carobknot/carobknot/pkg/carobprobing"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobregion"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -54,14 +54,14 @@
 type target struct {
 	ID      carobtargetid.ID         `json:"id"`
 	Node    carobnodeid.ID           `json:"node"`
-	Profile carobword.Name           `json:"profile"`
+	Profile carobname.Name           `json:"profile"`
 	State   carobreadiness.Readiness `json:"state"`
 	Slots   int                      `json:"slots"`
 	Running int                      `json:"running"`
 	Queued  int                      `json:"queued"`
-	Latency carobspan.Duration           `json:"latency"`
+	Latency carobduration.Duration           `json:"latency"`
 	// Age is that of the report; 0 for own targets.
-	Age carobspan.Duration `json:"age"`
+	Age carobduration.Duration `json:"age"`
 	// Known is false while there is no report.
 	Known   bool `json:"known"`
 	Ejected bool `json:"ejected"`
@@ -73,11 +73,11 @@
 	Centre      carobcentre.Centre           `json:"centre"`
 	Leaving     bool                         `json:"leaving"`
 	// Age is the time since the node's newest word came.
-	Age carobspan.Duration `json:"age"`
+	Age carobduration.Duration `json:"age"`
 }
 
 type profile struct {
-	Name   carobword.Name     `json:"name"`
+	Name   carobname.Name     `json:"name"`
 	Offset caroboffset.Offset `json:"offset"`
 	Who    string             `json:"who"`
 }
@@ -95,7 +95,7 @@
 	for id, pr := range w.Peers.All() {
 		st.Peers = append(st.Peers, peer{
 			Node: id, Incarnation: pr.Member.Incarnation, Centre: pr.Member.Centre,
-			Leaving: pr.Member.Leaving, Age: carobspan.Duration(now.Sub(pr.LastContactAt)),
+			Leaving: pr.Member.Leaving, Age: carobduration.Duration(now.Sub(pr.LastContactAt)),
 		})
 	}
 	for name, rv := range w.Profiles.All() {
@@ -121,13 +121,13 @@
 	ld := w.Loads.Get(id)
 	ds.Ejected = ld != nil && ld.EjectionEnd != carobinstant.Never
 	if gt := w.AdmissionStates.Get(id); gt != nil && w.Owns(tg) {
-		ds.Running, ds.Queued, ds.Latency, ds.Known = gt.Running, gt.Queued, carobspan.Duration(gt.Latency), true
+		ds.Running, ds.Queued, ds.Latency, ds.Known = gt.Running, gt.Queued, carobduration.Duration(gt.Latency), true
 		return ds
 	}
 	if ld == nil || ld.ReportedAt == carobinstant.Never {
 		return ds
 	}
 	ds.Running, ds.Queued, ds.Latency = ld.Report.Running, ld.Report.Queued, ld.Report.Latency
-	ds.Age, ds.Known = carobspan.Duration(now.Sub(ld.ReportedAt)), true
+	ds.Age, ds.Known = carobduration.Duration(now.Sub(ld.ReportedAt)), true
 	return ds
 }
--- a/internal/carobstatus/write.go
+++ b/internal/carobstatus/write.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 )
 
 // Write prints the status as tables.
@@ -39,7 +39,7 @@
 }
 
 // short writes a span without digits that nobody reads.
-func short(s carobspan.Duration) string {
+func short(s carobduration.Duration) string {
 	d := s.Duration()
 	if d > time.Second {
 		return d.Round(time.Millisecond).String()
--- a/internal/carobsummary/summary.go
+++ b/internal/carobsummary/summary.go
@@ -12,7 +12,7 @@
 
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboutcome"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 )
 
 // Config is how a summary is made.
@@ -41,7 +41,7 @@
 	// Kinds counts the kinds of errors told by nodes.
 	Kinds map[carobkind.Kind]int `json:"kinds"`
 	// Took is from the first to the last intended arrival that was counted.
-	Took carobspan.Duration `json:"took"`
+	Took carobduration.Duration `json:"took"`
 	// Latency is that of good calls from their intended arrival.
 	Latency quantiles `json:"latency"`
 	// Felt is that of all calls; one without a good answer counts as its whole
@@ -56,11 +56,11 @@
 
 // quantiles are points of a distribution of times.
 type quantiles struct {
-	P50  carobspan.Duration `json:"p50"`
-	P90  carobspan.Duration `json:"p90"`
-	P99  carobspan.Duration `json:"p99"`
-	P999 carobspan.Duration `json:"p999"`
-	Max  carobspan.Duration `json:"max"`
+	P50  carobduration.Duration `json:"p50"`
+	P90  carobduration.Duration `json:"p90"`
+	P99  carobduration.Duration `json:"p99"`
+	P999 carobduration.Duration `json:"p999"`
+	Max  carobduration.Duration `json:"max"`
 }
 
 // NewSummary returns an empty summary.
@@ -116,7 +116,7 @@
 func (s *Summary) Close(took time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.Took = carobspan.Duration(took)
+	s.Took = carobduration.Duration(took)
 	s.Latency, s.Felt = quantilesOf(s.good), quantilesOf(s.felt)
 }
 
@@ -126,8 +126,8 @@
 }
 
 func quantilesOf(h *hdrhistogram.Histogram) quantiles {
-	at := func(percentile float64) carobspan.Duration {
-		return carobspan.Duration(h.ValueAtPercentile(percentile))
+	at := func(percentile float64) carobduration.Duration {
+		return carobduration.Duration(h.ValueAtPercentile(percentile))
 	}
 	return quantiles{P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: at(100)}
 }
@@ -146,6 +146,6 @@
 }
 
 // Milliseconds writes a time as tables show it.
-func Milliseconds(sp carobspan.Duration) string {
+func Milliseconds(sp carobduration.Duration) string {
 	return fmt.Sprintf("%.2f ms", float64(sp)/float64(time.Millisecond))
 }
--- a/internal/carobtail/tail.go
+++ b/internal/carobtail/tail.go
@@ -11,7 +11,7 @@
 	"github.com/carobknot/carobknot/internal/carobpage"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
-	"github.com/carobknot/carobknot/pkg/carobmark"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
@@ -70,7 +70,7 @@
 func (t *Tail) post(pg carobpage.Page) {
 	t.config.Mailbox.Post(func(in *carobinbox.Inbox) {
 		in.Records = append(in.Records, pg.Records...)
-		in.StreamBounds = append(in.StreamBounds, carobmark.StreamBounds{Stream: t.config.Stream, First: pg.First, Next: pg.Next})
+		in.StreamBounds = append(in.StreamBounds, carobstreambounds.StreamBounds{Stream: t.config.Stream, First: pg.First, Next: pg.Next})
 	})
 }
 
--- a/internal/carobtimer/timer.go
+++ b/internal/carobtimer/timer.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobagenda"
+	"github.com/carobknot/carobknot/pkg/carobschedule"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
@@ -17,7 +17,7 @@
 	start time.Time
 	mutex sync.Mutex
 	// agenda has the subscriptions that are due some time.
-	agenda *carobagenda.Schedule[*subscription]
+	agenda *carobschedule.Schedule[*subscription]
 	// rung tells the timer's goroutine that another subscription is due first. It holds
 	// one element, so that ringing never blocks.
 	rung chan struct{}
@@ -31,7 +31,7 @@
 // NewTimer returns a timer. It wakes nobody before Run.
 func NewTimer() *Timer {
 	return &Timer{
-		start: time.Now(), agenda: carobagenda.NewSchedule[*subscription](), rung: make(chan struct{}, 1),
+		start: time.Now(), agenda: carobschedule.NewSchedule[*subscription](), rung: make(chan struct{}, 1),
 	}
 }
 
--- a/internal/carobtransport/cost_test.go
+++ b/internal/carobtransport/cost_test.go
@@ -14,7 +14,7 @@
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
-	"github.com/carobknot/carobknot/pkg/carobpoll"
+	"github.com/carobknot/carobknot/pkg/carobloadprobe"
 	"github.com/carobknot/carobknot/pkg/carobprobing"
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
@@ -72,7 +72,7 @@
 			To: carobaddress.Address(ls.Addr().String()), From: w.Self.Node, Incarnation: w.Self.Incarnation, ReplyTo: w.Self.PeerAddress,
 		}
 		if i%2 == 0 {
-			ms.LoadProbe = &carobpoll.LoadProbe{Target: target}
+			ms.LoadProbe = &carobloadprobe.LoadProbe{Target: target}
 		} else {
 			ms.Report = &carobreport.Report{Target: target, Running: 1 << 20, Queued: 1 << 20, Slots: 1 << 20, Latency: 1<<62 + 1}
 		}
--- a/pkg/carobadmission/latency_test.go
+++ b/pkg/carobadmission/latency_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/carobknot/carobknot/pkg/carobgate"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
@@ -15,7 +15,7 @@
 func TestLatencyFollowsMostRecentStarts(t *testing.T) {
 	const ms = time.Millisecond
 	start := carobinstant.Instant(time.Hour)
-	gt := &carobgate.AdmissionState{}
+	gt := &carobadmissionstate.AdmissionState{}
 	for i := range 50 {
 		at := start.Add(time.Duration(i) * 2 * ms)
 		updateLatency(gt, at, at.Add(20*ms))
--- a/pkg/carobadmission/limit.go
+++ b/pkg/carobadmission/limit.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobgate"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjob"
 )
@@ -26,7 +26,7 @@
 // jobLimit returns how many jobs may run at a target now, at least 1. The limit is
 // lower while neighbours of the VM use its processor: jobs then take several times as
 // long, and starting more of them would only delay all of them.
-func jobLimit(gt *carobgate.AdmissionState, now carobinstant.Instant) int {
+func jobLimit(gt *carobadmissionstate.AdmissionState, now carobinstant.Instant) int {
 	slots := float64(gt.Slots)
 	if gt.Slowness > slownessThreshold && now.Sub(gt.SlownessReadAt) < maxLimitReadingAge {
 		slots *= slowSlotShare
@@ -37,7 +37,7 @@
 // jobLimitFor returns the number of running jobs below which the job may start, at
 // least 1. Some slots are reserved for nested calls because targets that call each
 // other would deadlock if jobs waiting for nested calls held every slot.
-func jobLimitFor(gt *carobgate.AdmissionState, now carobinstant.Instant, jb *carobjob.Job) int {
+func jobLimitFor(gt *carobadmissionstate.AdmissionState, now carobinstant.Instant, jb *carobjob.Job) int {
 	if isNested(jb) || gt.LastNestedAt == carobinstant.Never || now.Sub(gt.LastNestedAt) > reservationPeriod {
 		return gt.Limit
 	}
--- a/pkg/carobadmission/slowness.go
+++ b/pkg/carobadmission/slowness.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobcheck"
-	"github.com/carobknot/carobknot/pkg/carobgate"
-	"github.com/carobknot/carobknot/pkg/carobhealth"
+	"github.com/carobknot/carobknot/pkg/carobhealthcheck"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
+	"github.com/carobknot/carobknot/pkg/carobcheckresult"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
@@ -48,7 +48,7 @@
 )
 
 // handleHealth records the result of a health check and updates the job limit.
-func handleHealth(w *carobworld.World, now carobinstant.Instant, hl carobhealth.CheckResult) {
+func handleHealth(w *carobworld.World, now carobinstant.Instant, hl carobcheckresult.CheckResult) {
 	gt := w.AdmissionStates.Get(hl.Target)
 	if gt == nil {
 		return
@@ -70,7 +70,7 @@
 // recordReading records a slowness reading of a target's VM. A reading that is not slow
 // becomes the baseline at once. If all readings are slow for baselineDelay, at most
 // maxReadingGap apart, their minimum becomes the baseline.
-func recordReading(gt *carobgate.AdmissionState, now carobinstant.Instant, slowness float64) {
+func recordReading(gt *carobadmissionstate.AdmissionState, now carobinstant.Instant, slowness float64) {
 	previous := gt.SlownessReadAt
 	gt.Slowness, gt.SlownessReadAt = slowness, now
 	switch {
@@ -88,7 +88,7 @@
 
 // isSlow reports whether the newest reading is above slownessThreshold times the
 // baseline.
-func isSlow(gt *carobgate.AdmissionState) bool {
+func isSlow(gt *carobadmissionstate.AdmissionState) bool {
 	return gt.Slowness > slownessThreshold*max(1, gt.Baseline)
 }
 
@@ -97,7 +97,7 @@
 // can be obtained: if checks are disabled or backing off, if a check takes longer than
 // checkTimeout, or if the check budget is spent and there is no slow reading younger
 // than maxReadingGap.
-func mayStart(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target, gt *carobgate.AdmissionState) bool {
+func mayStart(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target, gt *carobadmissionstate.AdmissionState) bool {
 	rate := float64(w.ProbeLimits.ChecksPerSecond)
 	if rate == 0 || gt.CheckBackoffEnd != carobinstant.Never && !gt.CheckBackoffEnd.Reached(now) {
 		return true
@@ -120,14 +120,14 @@
 		return !isSlow(gt) || now.Sub(gt.SlownessReadAt) >= maxReadingGap
 	}
 	gt.CheckSentAt = now
-	w.Outbox.HealthChecks = append(w.Outbox.HealthChecks, carobcheck.HealthCheck{Target: tg.ID, Address: tg.Address})
+	w.Outbox.HealthChecks = append(w.Outbox.HealthChecks, carobhealthcheck.HealthCheck{Target: tg.ID, Address: tg.Address})
 	w.WakeAt(now.Add(checkTimeout))
 	return false
 }
 
 // refuseMovable refuses the queued jobs that can move to another target while this
 // target's VM is slow, because another target may run them sooner.
-func refuseMovable(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobgate.AdmissionState) {
+func refuseMovable(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobadmissionstate.AdmissionState) {
 	if w.ProbeLimits.ChecksPerSecond == 0 || !isSlow(gt) || now.Sub(gt.SlownessReadAt) > maxSlowReadingAge {
 		return
 	}
--- a/pkg/carobadmission/slowness_test.go
+++ b/pkg/carobadmission/slowness_test.go
@@ -6,10 +6,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/carobknot/carobknot/pkg/carobhealth"
+	"github.com/carobknot/carobknot/pkg/carobcheckresult"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobpressure"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 )
 
 const usualSlo = 500 * time.Millisecond
@@ -27,8 +27,8 @@
 // completeCheck steps with a health check result of the given slowness and returns how
 // many jobs the step started.
 func (r *rig) completeCheck(slowness float64) int {
-	r.step(time.Millisecond, carobinbox.Inbox{CheckResults: []carobhealth.CheckResult{
-		{Target: target, TargetLoad: &carobpressure.TargetLoad{Slots: 12, Slowness: slowness}},
+	r.step(time.Millisecond, carobinbox.Inbox{CheckResults: []carobcheckresult.CheckResult{
+		{Target: target, TargetLoad: &carobtargetload.TargetLoad{Slots: 12, Slowness: slowness}},
 	}})
 	return len(r.world.Outbox.Starts)
 }
@@ -108,7 +108,7 @@
 		}},
 		{"the check fails", func(_ *testing.T, r *rig) {
 			r.offer(wish(1, usualSlo))
-			r.step(time.Millisecond, carobinbox.Inbox{CheckResults: []carobhealth.CheckResult{{Target: target}}})
+			r.step(time.Millisecond, carobinbox.Inbox{CheckResults: []carobcheckresult.CheckResult{{Target: target}}})
 		}},
 		{"the check takes long", func(t *testing.T, r *rig) {
 			t.Helper()
--- a/pkg/carobadmission/system.go
+++ b/pkg/carobadmission/system.go
@@ -9,18 +9,18 @@
 	"github.com/carobknot/carobknot/pkg/carobdecision"
 	"github.com/carobknot/carobknot/pkg/carobfencing"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobgate"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobinput"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjob"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobrefusal"
 	"github.com/carobknot/carobknot/pkg/carobreport"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobstart"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
@@ -105,7 +105,7 @@
 }
 
 // shed refuses a queued job with kind Busy and records the reason as a decision.
-func shed(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, gt *carobgate.AdmissionState, reason string) {
+func shed(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, gt *carobadmissionstate.AdmissionState, reason string) {
 	w.RecordDecision(carobdecision.Decision{
 		Component: "admit", Text: reason, Request: jb.Offer.Requirements.Request, Call: jb.Offer.Job.Call,
 		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Kind: carobkind.Busy, Inputs: decisionInputs(gt, now, jb.ArrivedAt),
@@ -135,7 +135,7 @@
 		return carobkind.Leaving
 	case of.TimeLeft <= 0:
 		return carobkind.NotStartedInTime
-	case of.Requirements.Guarantee != carobonce.Idempotent && w.ShutdownDeadline.Before(now.Add(of.TimeLeft)):
+	case of.Requirements.Guarantee != carobguarantee.Idempotent && w.ShutdownDeadline.Before(now.Add(of.TimeLeft)):
 		// If the node ended before the response, the entry node could not find out
 		// whether the job ran.
 		return carobkind.Leaving
@@ -155,7 +155,7 @@
 }
 
 // startJob marks the job as started and adds the start to the outbox.
-func startJob(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, tg *carobtarget.Target, gt *carobgate.AdmissionState) {
+func startJob(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, tg *carobtarget.Target, gt *carobadmissionstate.AdmissionState) {
 	jb.StartedAt = now
 	gt.Running++
 	w.RecordDecision(carobdecision.Decision{
@@ -206,7 +206,7 @@
 // when the call started: slow calls of a short load spike end long after the spike and
 // must not outweigh fast calls that started later. After an interval without calls the
 // next call replaces nearly the whole estimate.
-func updateLatency(gt *carobgate.AdmissionState, started, now carobinstant.Instant) {
+func updateLatency(gt *carobadmissionstate.AdmissionState, started, now carobinstant.Instant) {
 	const weight = 1.0 / 8
 	duration, sinceNewest := float64(now.Sub(started)), started.Sub(gt.LatencyStart)
 	var share float64
@@ -245,7 +245,7 @@
 
 // startQueued starts the target's queued jobs, the most urgent first, while slots are
 // free and the VM is not slow.
-func startQueued(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobgate.AdmissionState) {
+func startQueued(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobadmissionstate.AdmissionState) {
 	tg := w.Targets.Get(id)
 	for tg != nil && gt.Queued > 0 && gt.Running < gt.Limit && mayStart(w, now, tg, gt) {
 		jb := mostUrgent(w, now, id)
@@ -268,7 +268,7 @@
 }
 
 // decisionInputs returns the values that admission decisions are based on.
-func decisionInputs(gt *carobgate.AdmissionState, now, arrived carobinstant.Instant) []carobinput.Input {
+func decisionInputs(gt *carobadmissionstate.AdmissionState, now, arrived carobinstant.Instant) []carobinput.Input {
 	return []carobinput.Input{
 		{Name: "running", Value: float64(gt.Running)},
 		{Name: "queued", Value: float64(gt.Queued)},
@@ -286,7 +286,7 @@
 		}
 		gt.ReportDue = false
 		w.Outbox.Reports = append(w.Outbox.Reports, carobreport.Report{
-			Target: id, Running: gt.Running, Queued: gt.Queued, Slots: gt.Limit, Latency: carobspan.Duration(gt.Latency),
+			Target: id, Running: gt.Running, Queued: gt.Queued, Slots: gt.Limit, Latency: carobduration.Duration(gt.Latency),
 		})
 	}
 }
--- a/pkg/carobadmission/urgency_test.go
+++ b/pkg/carobadmission/urgency_test.go
@@ -10,7 +10,7 @@
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobgate"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
@@ -18,14 +18,14 @@
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
-	"github.com/carobknot/carobknot/pkg/carobonce"
-	"github.com/carobknot/carobknot/pkg/carobpressure"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobrevision"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobwish"
+	"github.com/carobknot/carobknot/pkg/carobrequirements"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -45,7 +45,7 @@
 	pf.QueueLimit = queue
 	w.Profiles.Put("p", carobrevision.Revision{Change: carobchange.Change{Profile: pf}})
 	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: slots, Readiness: carobreadiness.Ready})
-	w.AdmissionStates.Put(target, carobgate.AdmissionState{Slots: slots, Limit: slots})
+	w.AdmissionStates.Put(target, carobadmissionstate.AdmissionState{Slots: slots, Limit: slots})
 	return &rig{world: w, system: carobadmission.NewSystem(), now: carobinstant.Instant(time.Hour)}
 }
 
@@ -56,7 +56,7 @@
 }
 
 // offer steps with the offer of a new job and returns the job's ID.
-func (r *rig) offer(ws carobwish.Requirements) carobjobid.ID {
+func (r *rig) offer(ws carobrequirements.Requirements) carobjobid.ID {
 	r.next++
 	job := carobjobid.ID{Call: carobcallid.ID{Node: "there", Incarnation: 1, Sequence: r.next}, Attempt: 1}
 	r.step(time.Millisecond, carobinbox.Inbox{Offers: []caroboffer.Offer{
@@ -68,7 +68,7 @@
 // finish steps with the end of a job and returns the jobs that the step started.
 func (r *rig) finish(job carobjobid.ID, slowness float64) []carobjobid.ID {
 	r.step(time.Millisecond, carobinbox.Inbox{Finishes: []carobfinish.Finish{
-		{Job: job, Status: 200, TargetLoad: &carobpressure.TargetLoad{Slots: 12, Slowness: slowness}},
+		{Job: job, Status: 200, TargetLoad: &carobtargetload.TargetLoad{Slots: 12, Slowness: slowness}},
 	}})
 	var started []carobjobid.ID
 	for _, st := range r.world.Outbox.Starts {
@@ -78,8 +78,8 @@
 }
 
 // wish returns a wish of the given rank whose SLO has just begun.
-func wish(rank int, slo time.Duration) carobwish.Requirements {
-	return carobwish.Requirements{Priority: rank, SLOTimeLeft: slo, SLO: slo}
+func wish(rank int, slo time.Duration) carobrequirements.Requirements {
+	return carobrequirements.Requirements{Priority: rank, SLOTimeLeft: slo, SLO: slo}
 }
 
 // Guards against a queue that starts jobs in another order than by urgency.
@@ -87,15 +87,15 @@
 	const usual = 500 * time.Millisecond
 	for _, c := range []struct {
 		name          string
-		first, second carobwish.Requirements
+		first, second carobrequirements.Requirements
 		secondFirst   bool
 	}{
 		{"rank", wish(2, usual), wish(1, usual), true},
 		{"rank, in order of arrival", wish(1, usual), wish(2, usual), false},
 		{"nested call", wish(1, usual), wish(2, 120*time.Millisecond), true},
 		{"due sooner", wish(1, time.Second), wish(1, usual), true},
-		{"nested call past its SLO", wish(1, usual), carobwish.Requirements{Priority: 2, SLOTimeLeft: -1, SLO: 120 * time.Millisecond}, true},
-		{"call past its SLO", carobwish.Requirements{Priority: 1, SLOTimeLeft: -1, SLO: usual}, wish(2, usual), true},
+		{"nested call past its SLO", wish(1, usual), carobrequirements.Requirements{Priority: 2, SLOTimeLeft: -1, SLO: 120 * time.Millisecond}, true},
+		{"call past its SLO", carobrequirements.Requirements{Priority: 1, SLOTimeLeft: -1, SLO: usual}, wish(2, usual), true},
 		{"equal", wish(1, usual), wish(1, usual), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -144,18 +144,18 @@
 func TestEndingNodeRefusesOnceCallsPastItsEnd(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		once     carobonce.Guarantee
+		once     carobguarantee.Guarantee
 		untilEnd time.Duration
 		accepted bool
 	}{
-		{"ends after the deadline", carobonce.OncePerCall, 11 * time.Second, true},
-		{"ends before the deadline", carobonce.OncePerCall, 9 * time.Second, false},
-		{"ends before the deadline, call may run again elsewhere", carobonce.Idempotent, 9 * time.Second, true},
+		{"ends after the deadline", carobguarantee.OncePerCall, 11 * time.Second, true},
+		{"ends before the deadline", carobguarantee.OncePerCall, 9 * time.Second, false},
+		{"ends before the deadline, call may run again elsewhere", carobguarantee.Idempotent, 9 * time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(1, 4)
 			r.step(0, carobinbox.Inbox{ShutdownDeadline: r.now.Add(c.untilEnd)})
-			r.offer(carobwish.Requirements{Guarantee: c.once})
+			r.offer(carobrequirements.Requirements{Guarantee: c.once})
 			if c.accepted {
 				require.Len(t, r.world.Outbox.Starts, 1)
 				return
--- a/pkg/carobgate/gate.go
+++ b/pkg/carobadmissionstate/admissionstate.go
@@ -1,11 +1,11 @@
-// Package carobgate holds the rows of the table with the admission state of a node's
+// Package carobadmissionstate holds the rows of the table with the admission state of a node's
 // own targets.
-package carobgate
+package carobadmissionstate
 
 import (
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobbucket"
+	"github.com/carobknot/carobknot/pkg/carobtokenbucket"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
@@ -42,7 +42,7 @@
 	// without an answer or without a reading; Never before the first.
 	CheckBackoffEnd carobinstant.Instant
 	// CheckBudget is the token bucket that limits the rate of health checks.
-	CheckBudget carobbucket.TokenBucket
+	CheckBudget carobtokenbucket.TokenBucket
 	// LastNestedAt is when the newest nested call arrived, that is, a call for which another
 	// job waits; Never before the first.
 	LastNestedAt carobinstant.Instant
--- a/pkg/carobannouncement/announcement.go
+++ b/pkg/carobannouncement/announcement.go
@@ -9,9 +9,9 @@
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Announcement is a target's description of itself, repeated as a heartbeat.
@@ -24,7 +24,7 @@
 	// Address is the address at which the node reaches the target.
 	Address carobaddress.Address `json:"address"`
 	// Profile is the routing profile that the service selected.
-	Profile carobword.Name `json:"profile"`
+	Profile carobname.Name `json:"profile"`
 	// Slots is the number of calls that the target runs at once, at least 1.
 	Slots int `json:"slots"`
 	// Connections is the number of connections that the target accepts, at least 1.
@@ -36,7 +36,7 @@
 	// number its announcements.
 	Sequence uint64 `json:"sequence"`
 	// WarmupLeft is the remaining warm-up time, during which the target is slower than usual.
-	WarmupLeft carobspan.Duration `json:"cold"`
+	WarmupLeft carobduration.Duration `json:"cold"`
 	// Readiness states whether the target accepts new work.
 	Readiness carobreadiness.Readiness `json:"state"`
 }
--- a/pkg/carobcommit/commit.go
+++ b/pkg/carobappendrequest/appendrequest.go
@@ -1,6 +1,6 @@
-// Package carobcommit holds the effect of appending a record and reporting the
+// Package carobappendrequest holds the effect of appending a record and reporting the
 // result.
-package carobcommit
+package carobappendrequest
 
 import "github.com/carobknot/carobknot/pkg/carobstream"
 
--- a/pkg/carobcommitted/committed.go
+++ b/pkg/carobappendresult/appendresult.go
@@ -1,5 +1,5 @@
-// Package carobcommitted holds the message with the result of an append.
-package carobcommitted
+// Package carobappendresult holds the message with the result of an append.
+package carobappendresult
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobkind"
--- a/pkg/carobcall/call.go
+++ b/pkg/carobcall/call.go
@@ -7,11 +7,11 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobkey"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobroute"
 	"github.com/carobknot/carobknot/pkg/carobstage"
-	"github.com/carobknot/carobknot/pkg/carobwish"
+	"github.com/carobknot/carobknot/pkg/carobrequirements"
 )
 
 // Call is the state of a call from its arrival until the response is sent to the
@@ -91,8 +91,8 @@
 
 // Requirements returns what an attempt that is sent now tells the target's node about the
 // call's priority and SLO.
-func (c *Call) Requirements(now carobinstant.Instant) carobwish.Requirements {
-	wish := carobwish.Requirements{Request: c.Arrival.Request, Priority: c.Priority(), Guarantee: c.Profile.Guarantee}
+func (c *Call) Requirements(now carobinstant.Instant) carobrequirements.Requirements {
+	wish := carobrequirements.Requirements{Request: c.Arrival.Request, Priority: c.Priority(), Guarantee: c.Profile.Guarantee}
 	if c.SLODeadline != carobinstant.Never {
 		wish.SLOTimeLeft, wish.SLO = c.SLODeadline.Sub(now), c.SLODeadline.Sub(c.ArrivedAt)
 	}
@@ -110,7 +110,7 @@
 // Key returns the idempotency key that the call must claim before it runs. It is
 // zero if the call needs none.
 func (c *Call) Key() carobkey.Key {
-	if c.Profile.Guarantee != carobonce.OncePerKey || c.Arrival.Key == "" {
+	if c.Profile.Guarantee != carobguarantee.OncePerKey || c.Arrival.Key == "" {
 		return carobkey.Key{}
 	}
 	return carobkey.Key{Service: c.Arrival.Service, Text: c.Arrival.Key}
--- a/pkg/carobcatchup/system.go
+++ b/pkg/carobcatchup/system.go
@@ -14,7 +14,7 @@
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
-	"github.com/carobknot/carobknot/pkg/carobsupply"
+	"github.com/carobknot/carobknot/pkg/carobfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -69,8 +69,8 @@
 	if message.Fetch.From > world.ProfilesRead {
 		return
 	}
-	supply := &carobsupply.FetchReply{ProfilesRead: world.ProfilesRead}
-	for offset := message.Fetch.From; offset <= world.ProfilesRead && len(supply.Records) < carobsupply.MaxRecords; offset++ {
+	supply := &carobfetchreply.FetchReply{ProfilesRead: world.ProfilesRead}
+	for offset := message.Fetch.From; offset <= world.ProfilesRead && len(supply.Records) < carobfetchreply.MaxRecords; offset++ {
 		record := world.RecentChanges.Get(offset)
 		if record == nil {
 			supply.Records, supply.Snapshot = nil, takeSnapshot(world)
--- a/pkg/carobcentre/centre.go
+++ b/pkg/carobcentre/centre.go
@@ -1,7 +1,7 @@
 // Package carobcentre defines the names of data centres.
 package carobcentre
 
-import "github.com/carobknot/carobknot/pkg/carobword"
+import "github.com/carobknot/carobknot/pkg/carobname"
 
 // Centre is the name of a data centre.
 type Centre string
@@ -9,7 +9,7 @@
 // UnmarshalText decodes a name. It returns an Invalid error if the name is not a
 // word.
 func (c *Centre) UnmarshalText(text []byte) error {
-	if err := carobword.Name(text).Check("centre"); err != nil {
+	if err := carobname.Name(text).Check("centre"); err != nil {
 		return err
 	}
 	*c = Centre(text)
--- a/pkg/carobhealth/health.go
+++ b/pkg/carobcheckresult/checkresult.go
@@ -1,8 +1,8 @@
-// Package carobhealth holds the message that a health check has ended.
-package carobhealth
+// Package carobcheckresult holds the message that a health check has ended.
+package carobcheckresult
 
 import (
-	"github.com/carobknot/carobknot/pkg/carobpressure"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
@@ -10,5 +10,5 @@
 type CheckResult struct {
 	Target carobtargetid.ID
 	// TargetLoad is the load that the target reported; nil if it did not answer.
-	TargetLoad *carobpressure.TargetLoad
+	TargetLoad *carobtargetload.TargetLoad
 }
--- a/pkg/carobclaiming/cluster_test.go
+++ b/pkg/carobclaiming/cluster_test.go
@@ -11,8 +11,8 @@
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobclaiming"
-	"github.com/carobknot/carobknot/pkg/carobcommit"
-	"github.com/carobknot/carobknot/pkg/carobcommitted"
+	"github.com/carobknot/carobknot/pkg/carobappendrequest"
+	"github.com/carobknot/carobknot/pkg/carobappendresult"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
 	"github.com/carobknot/carobknot/pkg/carobentry"
@@ -20,20 +20,20 @@
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
-	"github.com/carobknot/carobknot/pkg/carobmark"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 	"github.com/carobknot/carobknot/pkg/carobrevision"
 	"github.com/carobknot/carobknot/pkg/carobstage"
-	"github.com/carobknot/carobknot/pkg/carobstanding"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
@@ -69,7 +69,7 @@
 	// end as Unsure, and holdAppends collects appends in heldAppends instead of
 	// carrying them out.
 	logDown, loseResponses, holdAppends bool
-	heldAppends                         []carobcommit.AppendRequest
+	heldAppends                         []carobappendrequest.AppendRequest
 	// appends counts the records that were appended.
 	appends int
 }
@@ -99,7 +99,7 @@
 	world.Groups.Put("payouts", carobgroup.Group{Profile: "p"})
 	revision := carobrevision.Revision{}
 	revision.Change.Profile = carobprofile.NewProfile("p")
-	revision.Change.Profile.Guarantee = carobonce.OncePerKey
+	revision.Change.Profile.Guarantee = carobguarantee.OncePerKey
 	world.Profiles.Put("p", revision)
 	return &node{
 		world: world, entry: carobentry.NewSystem(), follows: map[carobstream.Stream]int{},
@@ -129,7 +129,7 @@
 	for stream, next := range n.follows {
 		if records := c.log[stream]; !c.logDown && next < len(records) {
 			n.inbox.Records = append(n.inbox.Records, records[next:]...)
-			n.inbox.StreamBounds = append(n.inbox.StreamBounds, carobmark.StreamBounds{Stream: stream, Next: caroboffset.Offset(len(records))})
+			n.inbox.StreamBounds = append(n.inbox.StreamBounds, carobstreambounds.StreamBounds{Stream: stream, Next: caroboffset.Offset(len(records))})
 			n.follows[stream] = len(records)
 		}
 	}
@@ -160,8 +160,8 @@
 }
 
 // handleCommit carries out an append as the log's state allows.
-func (c *cluster) handleCommit(n *node, commit carobcommit.AppendRequest) {
-	committed := carobcommitted.AppendResult{Stream: commit.Stream, Number: commit.Number}
+func (c *cluster) handleCommit(n *node, commit carobappendrequest.AppendRequest) {
+	committed := carobappendresult.AppendResult{Stream: commit.Stream, Number: commit.Number}
 	switch {
 	case c.holdAppends:
 		c.heldAppends = append(c.heldAppends, commit)
@@ -178,7 +178,7 @@
 }
 
 // appendRecord puts a record into the log.
-func (c *cluster) appendRecord(commit carobcommit.AppendRequest) {
+func (c *cluster) appendRecord(commit carobappendrequest.AppendRequest) {
 	c.appends++
 	c.log[commit.Stream] = append(c.log[commit.Stream], carobrecord.Record{
 		Stream: commit.Stream, Offset: caroboffset.Offset(len(c.log[commit.Stream])), Data: commit.Data,
@@ -208,7 +208,7 @@
 	n.world.Calls.Get(id).Stage = carobstage.Delivering
 	n.inbox.Deliveries = append(n.inbox.Deliveries, carobdelivery.Delivery{
 		Job:  carobjobid.ID{Call: id, Attempt: 1},
-		StoredAnswer: &carobkept.StoredAnswer{Status: 201, Body: []byte(body)},
+		StoredAnswer: &carobstoredanswer.StoredAnswer{Status: 201, Body: []byte(body)},
 	})
 }
 
@@ -227,7 +227,7 @@
 }
 
 // setStanding sets the standing of a node in the view of all other nodes.
-func (c *cluster) setStanding(name string, standing carobstanding.Liveness) {
+func (c *cluster) setStanding(name string, standing carobliveness.Liveness) {
 	for _, n := range c.nodes {
 		if peer := n.world.Peers.Get(carobnodeid.ID(name)); peer != nil {
 			peer.Member.Liveness = standing
--- a/pkg/carobclaiming/system.go
+++ b/pkg/carobclaiming/system.go
@@ -19,11 +19,11 @@
 	"github.com/carobknot/carobknot/pkg/carobclaim"
 	"github.com/carobknot/carobknot/pkg/carobclaimbatch"
 	"github.com/carobknot/carobknot/pkg/carobclaimreply"
-	"github.com/carobknot/carobknot/pkg/carobclaims"
-	"github.com/carobknot/carobknot/pkg/carobcommit"
-	"github.com/carobknot/carobknot/pkg/carobcommitted"
-	"github.com/carobknot/carobknot/pkg/carobfollow"
-	"github.com/carobknot/carobknot/pkg/carobgrant"
+	"github.com/carobknot/carobknot/pkg/carobclaimstate"
+	"github.com/carobknot/carobknot/pkg/carobappendrequest"
+	"github.com/carobknot/carobknot/pkg/carobappendresult"
+	"github.com/carobknot/carobknot/pkg/carobsubscription"
+	"github.com/carobknot/carobknot/pkg/carobclaimresult"
 	"github.com/carobknot/carobknot/pkg/carobhome"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobkey"
@@ -33,7 +33,7 @@
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 	"github.com/carobknot/carobknot/pkg/carobsettlement"
 	"github.com/carobknot/carobknot/pkg/carobshard"
-	"github.com/carobknot/carobknot/pkg/carobstanding"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
@@ -140,7 +140,7 @@
 	bestNode, address, leaving := world.Self.Node, world.Self.PeerAddress, world.Stopping
 	for id, peer := range world.Peers.All() {
 		member := &peer.Member
-		if member.Liveness != carobstanding.Alive || member.Leaving && !leaving {
+		if member.Liveness != carobliveness.Alive || member.Leaving && !leaving {
 			continue
 		}
 		if leaving && !member.Leaving || shard.Weight(id) > shard.Weight(bestNode) {
@@ -159,13 +159,13 @@
 		if isHome == (home != nil) {
 			continue
 		}
-		world.Outbox.Subscriptions = append(world.Outbox.Subscriptions, carobfollow.Subscription{Stream: shard.Stream(), Active: isHome})
+		world.Outbox.Subscriptions = append(world.Outbox.Subscriptions, carobsubscription.Subscription{Stream: shard.Stream(), Active: isHome})
 		if !isHome {
 			world.Homes.Delete(shard)
 			continue
 		}
 		world.Homes.Put(shard, carobhome.Home{
-			State: carobclaims.NewClaimState(carobclaims.Config{MaxKeys: s.config.MaxKeys, MaxStoredBytes: s.config.MaxStoredBytes}),
+			State: carobclaimstate.NewClaimState(carobclaimstate.Config{MaxKeys: s.config.MaxKeys, MaxStoredBytes: s.config.MaxStoredBytes}),
 			HomeSince:   now,
 			ReplyTo:    map[carobcallid.ID]carobaddress.Address{},
 		})
@@ -220,7 +220,7 @@
 // handleCommitted schedules an earlier retry if the append in flight certainly
 // failed. All other results are ignored, since only reading the batch back from
 // the log proves that it was appended.
-func (s *System) handleCommitted(world *carobworld.World, now carobinstant.Instant, committed carobcommitted.AppendResult) {
+func (s *System) handleCommitted(world *carobworld.World, now carobinstant.Instant, committed carobappendresult.AppendResult) {
 	home := homeOfStream(world, committed.Stream)
 	if home != nil && home.InFlight != nil && home.InFlight.Number == committed.Number && committed.Kind == carobkind.LogUnavailable {
 		home.ResendAt = now.Add(s.config.RetryDelay)
@@ -246,7 +246,7 @@
 	}
 	home.SentAt, home.ResendAt = now, now.Add(s.config.ReadBackTimeout)
 	world.WakeAt(home.ResendAt)
-	world.Outbox.AppendRequests = append(world.Outbox.AppendRequests, carobcommit.AppendRequest{
+	world.Outbox.AppendRequests = append(world.Outbox.AppendRequests, carobappendrequest.AppendRequest{
 		Stream: shard.Stream(), Number: home.InFlight.Number, Data: data,
 	})
 }
@@ -366,15 +366,15 @@
 	case holding == nil && home.State.HasRoom(), holding != nil && holding.Call == claim.Call && holding.Settled:
 		return
 	case holding == nil:
-		result.Result = carobgrant.Unclaimed
+		result.Result = carobclaimresult.Unclaimed
 	case holding.Call == claim.Call:
-		result.Result = carobgrant.Granted
+		result.Result = carobclaimresult.Granted
 	case !holding.Settled && !entryReplaced(world, holding.Call):
-		result.Result = carobgrant.Wait
+		result.Result = carobclaimresult.Wait
 	case holding.Settled && holding.Kind == carobkind.None:
-		result.Result, result.StoredAnswer = carobgrant.Repeated, holding.StoredAnswer
+		result.Result, result.StoredAnswer = carobclaimresult.Repeated, holding.StoredAnswer
 	default:
-		result.Result = carobgrant.Unknown
+		result.Result = carobclaimresult.Unknown
 	}
 	world.SendMessage(carobmessage.Message{To: replyTo, ClaimReply: &result})
 }
--- a/pkg/carobclaimreply/reply.go
+++ b/pkg/carobclaimreply/reply.go
@@ -3,14 +3,14 @@
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobgrant"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobclaimresult"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
 // Reply is the home's answer to a claim, sent to the entry node of the call.
 type Reply struct {
 	Call  carobcallid.ID   `json:"call"`
-	Result carobgrant.ClaimResult `json:"grant"`
+	Result carobclaimresult.ClaimResult `json:"grant"`
 	// StoredAnswer is the stored answer of the earlier call that ran, or nil.
-	StoredAnswer *carobkept.StoredAnswer `json:"kept,omitempty"`
+	StoredAnswer *carobstoredanswer.StoredAnswer `json:"kept,omitempty"`
 }
--- a/pkg/carobgrant/grant.go
+++ b/pkg/carobclaimresult/claimresult.go
@@ -1,5 +1,5 @@
-// Package carobgrant holds the results of claims.
-package carobgrant
+// Package carobclaimresult holds the results of claims.
+package carobclaimresult
 
 import "github.com/carobknot/carobknot/pkg/carobkind"
 
--- a/pkg/carobclaims/claims.go
+++ b/pkg/carobclaimstate/claimstate.go
@@ -1,11 +1,11 @@
-// Package carobclaims folds the stream of claims of a shard into its state: which
+// Package carobclaimstate folds the stream of claims of a shard into its state: which
 // node may write claims, and which call holds which key.
 //
 // Only the order of the log matters. The epoch is the offset of the newest
 // takeover record, so it only grows, even if the log no longer keeps older
 // takeovers. The claims of a batch with an older epoch that follows the takeover
 // are void, whichever node wrote them.
-package carobclaims
+package carobclaimstate
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobclaim"
--- a/pkg/carobclaims/claims_test.go
+++ b/pkg/carobclaimstate/claimstate_test.go
@@ -1,4 +1,4 @@
-package carobclaims_test
+package carobclaimstate_test
 
 import (
 	"testing"
@@ -8,8 +8,8 @@
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobclaim"
 	"github.com/carobknot/carobknot/pkg/carobclaimbatch"
-	"github.com/carobknot/carobknot/pkg/carobclaims"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobclaimstate"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkey"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
@@ -79,7 +79,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			shard := carobclaims.NewClaimState(carobclaims.Config{MaxKeys: 10, MaxStoredBytes: 10})
+			shard := carobclaimstate.NewClaimState(carobclaimstate.Config{MaxKeys: 10, MaxStoredBytes: 10})
 			for i, record := range tc.records {
 				shard.Fold(tc.from+caroboffset.Offset(i), record)
 			}
@@ -99,7 +99,7 @@
 // keys: its key is not in the table, so it would look free. No new key may be
 // claimed until the log has dropped that claim.
 func TestFullTableRejectsKeysUntilTheLogDropsTheExcessClaim(t *testing.T) {
-	shard := carobclaims.NewClaimState(carobclaims.Config{MaxKeys: 2, MaxStoredBytes: 10})
+	shard := carobclaimstate.NewClaimState(carobclaimstate.Config{MaxKeys: 2, MaxStoredBytes: 10})
 	shard.Fold(0, takeover("a"))
 	shard.Fold(1, batch("a", 0, 2, claim("k", 1)))
 	require.True(t, shard.HasRoom())
@@ -117,13 +117,13 @@
 // Guards against unbounded memory for kept answers, and against releasing a key
 // when its answer is evicted.
 func TestOldestKeptAnswersAreEvictedAndKeysStayHeld(t *testing.T) {
-	shard := carobclaims.NewClaimState(carobclaims.Config{MaxKeys: 10, MaxStoredBytes: 10})
+	shard := carobclaimstate.NewClaimState(carobclaimstate.Config{MaxKeys: 10, MaxStoredBytes: 10})
 	shard.Fold(0, takeover("a"))
 	for i, key := range []string{"k", "l", "m"} {
 		newClaim := claim(key, uint64(i))
 		shard.Fold(1, batch("a", 0, uint64(i+2), newClaim))
 		settlements := settle(newClaim, carobkind.None)
-		settlements.Settlements[0].StoredAnswer = &carobkept.StoredAnswer{Body: []byte("12345")}
+		settlements.Settlements[0].StoredAnswer = &carobstoredanswer.StoredAnswer{Body: []byte("12345")}
 		shard.Fold(2, settlements)
 	}
 	require.Nil(t, shard.Holding(claim("k", 0).Key).StoredAnswer)
--- a/pkg/carobcompaction/system.go
+++ b/pkg/carobcompaction/system.go
@@ -14,7 +14,7 @@
 
 	"github.com/carobknot/carobknot/pkg/carobappend"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
-	"github.com/carobknot/carobknot/pkg/carobmark"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
 	"github.com/carobknot/carobknot/pkg/carobstream"
@@ -37,7 +37,7 @@
 // System appends snapshots of the profiles to the log.
 type System struct {
 	// bounds holds the bounds of the stream that the newest read found.
-	bounds carobmark.StreamBounds
+	bounds carobstreambounds.StreamBounds
 	// lastSnapshot is the offset of the newest snapshot that this node has read.
 	lastSnapshot caroboffset.Offset
 	// periodEnd is when a snapshot is due even if no record has been added; Never
--- a/pkg/carobconclusion/conclusion.go
+++ b/pkg/carobconclusion/conclusion.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
@@ -24,5 +24,5 @@
 	Attempt int
 	// StoredAnswer is the kept answer to an earlier call with the same idempotency key; nil
 	// if the caller gets something else. Kind is None and Attempt is 0 if it is set.
-	StoredAnswer *carobkept.StoredAnswer
+	StoredAnswer *carobstoredanswer.StoredAnswer
 }
--- a/pkg/carobcore/core.go
+++ b/pkg/carobcore/core.go
@@ -20,7 +20,7 @@
 	"github.com/carobknot/carobknot/pkg/carobentry"
 	"github.com/carobknot/carobknot/pkg/carobfencing"
 	"github.com/carobknot/carobknot/pkg/carobfold"
-	"github.com/carobknot/carobknot/pkg/carobfollowing"
+	"github.com/carobknot/carobknot/pkg/carobelection"
 	"github.com/carobknot/carobknot/pkg/carobgrouping"
 	"github.com/carobknot/carobknot/pkg/carobhedging"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
@@ -113,7 +113,7 @@
 			carobdetection.NewSystem(),
 			carobreconciliation.NewSystem(),
 			carobroutesync.NewSystem(),
-			carobfollowing.NewSystem(),
+			carobelection.NewSystem(),
 			carobfold.NewSystem(),
 			carobcatchup.NewSystem(),
 			carobcompaction.NewSystem(),
--- a/pkg/carobdelivery/delivery.go
+++ b/pkg/carobdelivery/delivery.go
@@ -4,7 +4,7 @@
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
@@ -14,5 +14,5 @@
 	// Kind is None if the whole answer was forwarded.
 	Kind carobkind.Kind
 	// StoredAnswer is the whole answer if it is small enough to be kept; nil otherwise.
-	StoredAnswer *carobkept.StoredAnswer
+	StoredAnswer *carobstoredanswer.StoredAnswer
 }
--- a/pkg/carobdetection/monitorset.go
+++ b/pkg/carobdetection/monitorset.go
@@ -7,7 +7,7 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
-	"github.com/carobknot/carobknot/pkg/carobversion"
+	"github.com/carobknot/carobknot/pkg/carobmemberversion"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -74,13 +74,13 @@
 		node     carobnodeid.ID
 		distance uint64
 	}
-	own := carobversion.Hash(w.Self.Node)
+	own := carobmemberversion.Hash(w.Self.Node)
 	var next []successor
 	for id, pr := range w.Peers.All() {
 		if pr.Member.Liveness.Down() {
 			continue
 		}
-		next = append(next, successor{id, carobversion.Hash(id) - own})
+		next = append(next, successor{id, carobmemberversion.Hash(id) - own})
 		if i := len(next) - 1; i >= successors {
 			slices.SortFunc(next, func(a, b successor) int {
 				if a.distance < b.distance {
--- a/pkg/carobdetection/restart_test.go
+++ b/pkg/carobdetection/restart_test.go
@@ -12,7 +12,7 @@
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
-	"github.com/carobknot/carobknot/pkg/carobstanding"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -23,7 +23,7 @@
 	start := carobinstant.Instant(time.Hour)
 	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "self", PeerAddress: "127.0.0.1:1"}, Limits: caroblimits.NewLimits()})
 	w.Peers.Put("gone", carobpeer.Peer{
-		Member: carobmember.Member{Node: "gone", PeerAddress: "127.0.0.1:2", Liveness: carobstanding.Left}, LivenessSince: start,
+		Member: carobmember.Member{Node: "gone", PeerAddress: "127.0.0.1:2", Liveness: carobliveness.Left}, LivenessSince: start,
 	})
 	system := carobdetection.NewSystem()
 	sent := map[bool]int{}
--- a/pkg/carobdetection/system.go
+++ b/pkg/carobdetection/system.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobgossip"
-	"github.com/carobknot/carobknot/pkg/carobinquiry"
+	"github.com/carobknot/carobknot/pkg/carobpendingheartbeat"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
-	"github.com/carobknot/carobknot/pkg/carobprobe"
-	"github.com/carobknot/carobknot/pkg/carobstanding"
+	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -91,7 +91,7 @@
 		w.PendingHeartbeats.Delete(number)
 	}
 	for _, pr := range w.Peers.All() {
-		if pr.Member.Liveness == carobstanding.Suspect {
+		if pr.Member.Liveness == carobliveness.Suspect {
 			pr.LivenessSince = now
 		}
 	}
@@ -115,7 +115,7 @@
 		pr.LastContactAt = now
 	}
 	outdated := ms.Incarnation < pr.Member.Incarnation ||
-		ms.Incarnation == pr.Member.Incarnation && pr.Member.Liveness != carobstanding.Alive
+		ms.Incarnation == pr.Member.Incarnation && pr.Member.Liveness != carobliveness.Alive
 	if outdated && ms.Heartbeat != nil {
 		w.SendMessage(carobmessage.Message{To: ms.ReplyTo, Gossip: &carobgossip.Gossip{Members: []carobmember.Member{pr.Member}}})
 	}
@@ -124,10 +124,10 @@
 // answer handles a heartbeat: it forwards a relayed answer to the node that requested the
 // relay, removes an answered heartbeat from the pending ones, relays a heartbeat for
 // another node, or answers a heartbeat to this node.
-func answer(w *carobworld.World, ms *carobmessage.Message, pb *carobprobe.PeerHeartbeat) {
+func answer(w *carobworld.World, ms *carobmessage.Message, pb *carobpeerheartbeat.PeerHeartbeat) {
 	switch {
 	case pb.Answer && pb.RelayFor != "" && pb.RelayFor != w.Self.PeerAddress:
-		w.SendMessage(carobmessage.Message{To: pb.RelayFor, Heartbeat: &carobprobe.PeerHeartbeat{
+		w.SendMessage(carobmessage.Message{To: pb.RelayFor, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
 			Number: pb.Number, Node: pb.Node, Answer: true, ProfilesRead: w.ProfilesRead,
 		}})
 	case pb.Answer:
@@ -135,11 +135,11 @@
 			w.PendingHeartbeats.Delete(pb.Number)
 		}
 	case pb.RelayTo != "":
-		w.SendMessage(carobmessage.Message{To: pb.RelayTo, Heartbeat: &carobprobe.PeerHeartbeat{
+		w.SendMessage(carobmessage.Message{To: pb.RelayTo, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
 			Number: pb.Number, Node: pb.Node, RelayFor: ms.ReplyTo, ProfilesRead: w.ProfilesRead,
 		}})
 	case pb.Node == "" || pb.Node == w.Self.Node:
-		w.SendMessage(carobmessage.Message{To: ms.ReplyTo, Heartbeat: &carobprobe.PeerHeartbeat{
+		w.SendMessage(carobmessage.Message{To: ms.ReplyTo, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
 			Number: pb.Number, Node: w.Self.Node, Answer: true, RelayFor: pb.RelayFor, ProfilesRead: w.ProfilesRead, Checksums: w.Checksums(),
 		}})
 	}
@@ -175,28 +175,28 @@
 // relay requests random live peers to send the heartbeat to a node in place of this one.
 func relay(w *carobworld.World, number uint64, pr *carobpeer.Peer) {
 	others := w.SamplePeers(relayFanout, func(o *carobpeer.Peer) bool {
-		return o.Member.Liveness == carobstanding.Alive && o.Member.Node != pr.Member.Node
+		return o.Member.Liveness == carobliveness.Alive && o.Member.Node != pr.Member.Node
 	})
 	for _, o := range others {
-		w.SendMessage(carobmessage.Message{To: o.Member.PeerAddress, Heartbeat: &carobprobe.PeerHeartbeat{
+		w.SendMessage(carobmessage.Message{To: o.Member.PeerAddress, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
 			Number: number, Node: pr.Member.Node, RelayTo: pr.Member.PeerAddress, ProfilesRead: w.ProfilesRead,
 		}})
 	}
 }
 
 func suspect(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer) {
-	if pr.Member.Liveness != carobstanding.Alive {
+	if pr.Member.Liveness != carobliveness.Alive {
 		return
 	}
-	setState(w, now, pr, carobstanding.Suspect)
+	setState(w, now, pr, carobliveness.Suspect)
 }
 
 // expireSuspicions marks suspects as unreachable that did not refute the suspicion in
 // time, and removes their targets from the target table.
 func expireSuspicions(w *carobworld.World, now carobinstant.Instant) {
 	for _, pr := range w.Peers.All() {
-		if pr.Member.Liveness == carobstanding.Suspect && pr.LivenessSince.Add(suspicionTimeout).Reached(now) {
-			setState(w, now, pr, carobstanding.Unreachable)
+		if pr.Member.Liveness == carobliveness.Suspect && pr.LivenessSince.Add(suspicionTimeout).Reached(now) {
+			setState(w, now, pr, carobliveness.Unreachable)
 			w.DropTargets(pr.Member.Node)
 		}
 	}
@@ -204,7 +204,7 @@
 
 // setState sets the liveness state of a peer, records it in the audit trail, and
 // schedules it for gossip.
-func setState(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer, sd carobstanding.Liveness) {
+func setState(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer, sd carobliveness.Liveness) {
 	w.Audit("member", string(w.Self.Node), "node "+string(pr.Member.Node), pr.Member.Liveness.String(), sd.String())
 	pr.Member.Liveness, pr.LivenessSince, pr.GossipCount = sd, now, 0
 	w.PeerChanges++
@@ -218,7 +218,7 @@
 		return
 	}
 	s.number++
-	w.PendingHeartbeats.Put(s.number, carobinquiry.PendingHeartbeat{Node: pr.Member.Node, SentAt: now})
+	w.PendingHeartbeats.Put(s.number, carobpendingheartbeat.PendingHeartbeat{Node: pr.Member.Node, SentAt: now})
 	s.sendHeartbeat(w, pr.Member)
 }
 
@@ -239,9 +239,9 @@
 // cannot read their addresses.
 func shouldRetry(now carobinstant.Instant, pr *carobpeer.Peer) bool {
 	switch pr.Member.Liveness {
-	case carobstanding.Unreachable:
+	case carobliveness.Unreachable:
 		return true
-	case carobstanding.Left:
+	case carobliveness.Left:
 		return now.Sub(pr.LivenessSince) < restartWindow
 	default:
 		return false
@@ -250,7 +250,7 @@
 
 // sendHeartbeat sends a direct heartbeat with the checksums of this node's peer table.
 func (s *System) sendHeartbeat(w *carobworld.World, mb carobmember.Member) {
-	w.SendMessage(carobmessage.Message{To: mb.PeerAddress, Heartbeat: &carobprobe.PeerHeartbeat{
+	w.SendMessage(carobmessage.Message{To: mb.PeerAddress, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
 		Number: s.number, Node: mb.Node, Checksums: w.Checksums(), ProfilesRead: w.ProfilesRead,
 	}})
 }
--- a/pkg/carobdigest/digest.go
+++ b/pkg/carobdigest/digest.go
@@ -5,8 +5,8 @@
 import (
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
-	"github.com/carobknot/carobknot/pkg/carobprobe"
-	"github.com/carobknot/carobknot/pkg/carobversion"
+	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
+	"github.com/carobknot/carobknot/pkg/carobmemberversion"
 )
 
 // Digest lists the version of each description that the sender has of a partition. The
@@ -16,7 +16,7 @@
 	// Partition is the index of the partition, from 0.
 	Partition int `json:"part"`
 	// Versions are the versions of the sender's descriptions, at most one for each node.
-	Versions []carobversion.Version `json:"rows,omitempty"`
+	Versions []carobmemberversion.Version `json:"rows,omitempty"`
 	// Requested are the nodes whose newest description the sender requests. If there are any,
 	// the digest lists no versions.
 	Requested []carobnodeid.ID `json:"wanted,omitempty"`
@@ -27,7 +27,7 @@
 
 // Check returns an error of kind Invalid if the digest is out of bounds.
 func (d Digest) Check() error {
-	if d.Partition < 0 || d.Partition >= carobprobe.Partitions || len(d.Versions) > maxRows || len(d.Requested) > maxRows {
+	if d.Partition < 0 || d.Partition >= carobpeerheartbeat.Partitions || len(d.Versions) > maxRows || len(d.Requested) > maxRows {
 		return carobkind.New(carobkind.Invalid, "digest: partition %d with %d rows is out of bounds", d.Partition, len(d.Versions))
 	}
 	for _, vs := range d.Versions {
--- a/pkg/carobdissemination/system.go
+++ b/pkg/carobdissemination/system.go
@@ -19,7 +19,7 @@
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobrate"
 	"github.com/carobknot/carobknot/pkg/carobsize"
-	"github.com/carobknot/carobknot/pkg/carobstanding"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobthrottle"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
@@ -184,8 +184,8 @@
 	w.LeaveAnnounced = true
 	w.Self.Sequence++
 	mb := w.Describe()
-	mb.Liveness = carobstanding.Left
-	w.Audit("member", string(w.Self.Node), "node "+string(w.Self.Node), carobstanding.Alive.String(), mb.Liveness.String())
+	mb.Liveness = carobliveness.Left
+	w.Audit("member", string(w.Self.Node), "node "+string(w.Self.Node), carobliveness.Alive.String(), mb.Liveness.String())
 	for _, pr := range recipients(w) {
 		send(w, pr.Member, []carobmember.Member{mb})
 	}
--- a/pkg/carobspan/span.go
+++ b/pkg/carobduration/duration.go
@@ -1,5 +1,5 @@
-// Package carobspan defines the text form of durations in settings and profiles.
-package carobspan
+// Package carobduration defines the text form of durations in settings and profiles.
+package carobduration
 
 import (
 	"time"
--- a/pkg/carobejection/system_test.go
+++ b/pkg/carobejection/system_test.go
@@ -18,12 +18,12 @@
 	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobrevision"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
 func target(name string) carobtargetid.ID {
-	return carobtargetid.ID{Service: "lookups", Name: carobword.Name(name)}
+	return carobtargetid.ID{Service: "lookups", Name: carobname.Name(name)}
 }
 
 // newWorld returns a world with one service, whose targets have the given
--- a/pkg/carobfollowing/system.go
+++ b/pkg/carobelection/system.go
@@ -1,4 +1,4 @@
-// Package carobfollowing selects the nodes that read the operator's records from the
+// Package carobelection selects the nodes that read the operator's records from the
 // store, where each read has a cost.
 //
 // In each data centre one node reads: the one with the lowest id among those that are
@@ -9,7 +9,7 @@
 // A long-poll read that the store holds open can miss a record. This was observed after
 // the store had been slow, for all readers at once. So no read is held open for long, and
 // the readers' polls end at different times; a record found by one reaches all other nodes.
-package carobfollowing
+package carobelection
 
 import (
 	"time"
@@ -17,7 +17,7 @@
 	"github.com/carobknot/carobknot/pkg/carobcentre"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
-	"github.com/carobknot/carobknot/pkg/carobstanding"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -61,7 +61,7 @@
 	}
 	centres := map[carobcentre.Centre]struct{}{w.Self.Centre: {}}
 	for _, pr := range w.Peers.All() {
-		if pr.Member.Liveness == carobstanding.Alive {
+		if pr.Member.Liveness == carobliveness.Alive {
 			centres[pr.Member.Centre] = struct{}{}
 		}
 	}
@@ -74,7 +74,7 @@
 func takesPrecedence(w *carobworld.World) bool {
 	return len(w.SamplePeers(1, func(pr *carobpeer.Peer) bool {
 		mb := &pr.Member
-		if mb.Centre != w.Self.Centre || mb.Liveness != carobstanding.Alive || mb.Leaving {
+		if mb.Centre != w.Self.Centre || mb.Liveness != carobliveness.Alive || mb.Leaving {
 			return false
 		}
 		if mb.StoreUnreadable != w.Self.StoreUnreadable {
--- a/pkg/carobfollowing/system_test.go
+++ b/pkg/carobelection/system_test.go
@@ -1,4 +1,4 @@
-package carobfollowing_test
+package carobelection_test
 
 import (
 	"testing"
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/carobknot/carobknot/pkg/carobcentre"
-	"github.com/carobknot/carobknot/pkg/carobfollowing"
+	"github.com/carobknot/carobknot/pkg/carobelection"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
-	"github.com/carobknot/carobknot/pkg/carobstanding"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -42,7 +42,7 @@
 		{"another data centre has a lower id", []carobmember.Member{member("a", "y", nil)}, false, false, true},
 		{"the lowest id cannot read the store", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, false, false, true},
 		{"the lowest id is leaving", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Leaving = true })}, false, false, true},
-		{"the lowest id is suspected", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Liveness = carobstanding.Suspect })}, false, false, true},
+		{"the lowest id is suspected", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Liveness = carobliveness.Suspect })}, false, false, true},
 		{"cannot read the store, another can", []carobmember.Member{member("z", "x", nil)}, true, false, false},
 		{"none can read the store, the lowest id goes on", []carobmember.Member{member("z", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, true, false, true},
 		{"has no route table", []carobmember.Member{member("a", "x", nil)}, false, true, true},
@@ -52,7 +52,7 @@
 				Self: carobmember.Member{Node: "m", Centre: "x"}, Limits: caroblimits.NewLimits(),
 			})
 			if !c.noRoutes {
-				rs, err := carobroutes.NewRouteTable(1, nil)
+				rs, err := carobroutetable.NewRouteTable(1, nil)
 				require.NoError(t, err)
 				w.RouteTable = rs
 			}
@@ -65,7 +65,7 @@
 			}
 			sequence := w.Self.Sequence
 			w.BeginTick(in)
-			carobfollowing.NewSystem().Run(w, 1)
+			carobelection.NewSystem().Run(w, 1)
 			require.Equal(t, c.reads, w.Outbox.ReadingStore)
 			require.Equal(t, c.reads, w.Outbox.LongPollTimeout > 0)
 			require.Equal(t, c.unreadable, w.Self.Sequence != sequence, "other nodes learn whether it can read the store")
@@ -83,7 +83,7 @@
 			w.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Centre: centre}})
 		}
 		w.BeginTick(carobinbox.Inbox{})
-		carobfollowing.NewSystem().Run(w, 1)
+		carobelection.NewSystem().Run(w, 1)
 		return w.Outbox.LongPollTimeout
 	}
 	alone := hold()
--- a/pkg/carobentry/backoff_test.go
+++ b/pkg/carobentry/backoff_test.go
@@ -8,13 +8,13 @@
 
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 )
 
 // Guards against a call being refused, or retried in a tight loop, while all targets
 // are busy: it has to back off with growing waits and conclude as Late.
 func TestBusyCallBacksOffUntilDeadline(t *testing.T) {
-	r := newRig(t, carobonce.OncePerCall)
+	r := newRig(t, carobguarantee.OncePerCall)
 	r.arrive(false)
 	arrivedAt, attempt := r.now, 1
 	for len(r.world.Outbox.Conclusions) == 0 && attempt < 1000 {
--- a/pkg/carobentry/claim.go
+++ b/pkg/carobentry/claim.go
@@ -8,15 +8,15 @@
 	"github.com/carobknot/carobknot/pkg/carobclaiming"
 	"github.com/carobknot/carobknot/pkg/carobclaimreply"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
-	"github.com/carobknot/carobknot/pkg/carobgrant"
+	"github.com/carobknot/carobknot/pkg/carobclaimresult"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkey"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobsettlement"
 	"github.com/carobknot/carobknot/pkg/carobstage"
-	"github.com/carobknot/carobknot/pkg/carobunsettled"
+	"github.com/carobknot/carobknot/pkg/carobpendingsettlement"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -64,13 +64,13 @@
 		return
 	}
 	switch reply.Result {
-	case carobgrant.Granted:
+	case carobclaimresult.Granted:
 		call.Stage = carobstage.Waiting
-	case carobgrant.Wait:
+	case carobclaimresult.Wait:
 		call.KeyHeld = true
-	case carobgrant.Repeated:
+	case carobclaimresult.Repeated:
 		concludeRepeated(world, now, call, reply.StoredAnswer)
-	case carobgrant.Unclaimed:
+	case carobclaimresult.Unclaimed:
 		conclude(world, now, call, carobkind.Unclaimed)
 	default:
 		conclude(world, now, call, carobkind.KeyUnknown)
@@ -79,7 +79,7 @@
 
 // concludeRepeated concludes a call with the stored answer to an earlier call that
 // had the same key, or with the kind Repeated if that answer was not stored.
-func concludeRepeated(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kept *carobkept.StoredAnswer) {
+func concludeRepeated(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kept *carobstoredanswer.StoredAnswer) {
 	if kept == nil {
 		conclude(world, now, call, carobkind.Repeated)
 		return
@@ -91,11 +91,11 @@
 // addSettlement stores the settlement of a call that may hold its key, until the home
 // of the key acknowledges it, and sends it for the first time. If the table is
 // full, the key stays claimed and later calls with it do not run.
-func addSettlement(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kind carobkind.Kind, kept *carobkept.StoredAnswer) {
+func addSettlement(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kind carobkind.Kind, kept *carobstoredanswer.StoredAnswer) {
 	if call.Key() == (carobkey.Key{}) || call.ClaimSentAt == carobinstant.Never {
 		return
 	}
-	unsettled := world.PendingSettlements.Put(call.Arrival.Call, carobunsettled.PendingSettlement{
+	unsettled := world.PendingSettlements.Put(call.Arrival.Call, carobpendingsettlement.PendingSettlement{
 		Settlement: carobsettlement.Settlement{
 			Claim: carobclaim.Claim{Key: call.Key(), Call: call.Arrival.Call}, Kind: kind, StoredAnswer: kept,
 		},
@@ -108,7 +108,7 @@
 
 // sendSettlement sends a settlement to the home of its key if it is due, and
 // doubles the backoff.
-func sendSettlement(world *carobworld.World, now carobinstant.Instant, unsettled *carobunsettled.PendingSettlement) {
+func sendSettlement(world *carobworld.World, now carobinstant.Instant, unsettled *carobpendingsettlement.PendingSettlement) {
 	if !unsettled.ResendAt.Reached(now) {
 		world.WakeAt(unsettled.ResendAt)
 		return
--- a/pkg/carobentry/fence_test.go
+++ b/pkg/carobentry/fence_test.go
@@ -12,13 +12,13 @@
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobjobstate"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 )
 
 // Guards against a second run of a call that may run once: after a broken connection
 // it is retried only once the fence reply says that the first attempt never runs.
 func TestCallIsRetriedAfterFencedAsNever(t *testing.T) {
-	r := newRig(t, carobonce.OncePerCall)
+	r := newRig(t, carobguarantee.OncePerCall)
 	r.arrive(false)
 	r.reply(1, carobkind.ConnectionLost)
 	require.Empty(t, r.world.Outbox.Sends)
@@ -32,7 +32,7 @@
 func TestCallIsNotRetriedUnlessFencedAsNever(t *testing.T) {
 	for _, state := range []carobjobstate.JobState{carobjobstate.Done, carobjobstate.Unknown} {
 		t.Run(string(state), func(t *testing.T) {
-			r := newRig(t, carobonce.OncePerCall)
+			r := newRig(t, carobguarantee.OncePerCall)
 			r.arrive(false)
 			r.reply(1, carobkind.ConnectionLost)
 			r.fenceReply(1, state)
@@ -44,7 +44,7 @@
 // Guards against a caller without a response when fences or their replies are lost:
 // fences are sent again, and the call is concluded soon after its deadline.
 func TestCallIsConcludedWithoutFenceReply(t *testing.T) {
-	r := newRig(t, carobonce.OncePerCall)
+	r := newRig(t, carobguarantee.OncePerCall)
 	r.arrive(false)
 	arrivedAt := r.now
 	r.reply(1, carobkind.ConnectionLost)
@@ -73,7 +73,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, carobonce.OncePerCall)
+			r := newRig(t, carobguarantee.OncePerCall)
 			r.arrive(false)
 			r.advance(callTimeout)
 			r.step(carobinbox.Inbox{})
@@ -84,7 +84,7 @@
 		})
 	}
 	t.Run("no reply", func(t *testing.T) {
-		r := newRig(t, carobonce.OncePerCall)
+		r := newRig(t, carobguarantee.OncePerCall)
 		r.arrive(false)
 		arrivedAt := r.now
 		r.advance(2 * callTimeout)
@@ -92,7 +92,7 @@
 		require.LessOrEqual(t, r.now.Sub(arrivedAt), callTimeout+maxOverrun+time.Millisecond)
 	})
 	t.Run("answer within the grace period", func(t *testing.T) {
-		r := newRig(t, carobonce.OncePerCall)
+		r := newRig(t, carobguarantee.OncePerCall)
 		r.arrive(false)
 		r.advance(callTimeout)
 		r.step(carobinbox.Inbox{})
@@ -100,7 +100,7 @@
 		require.Equal(t, 1, r.world.Outbox.Conclusions[0].Attempt)
 	})
 	t.Run("cancelled at the deadline", func(t *testing.T) {
-		r := newRig(t, carobonce.OncePerCall)
+		r := newRig(t, carobguarantee.OncePerCall)
 		r.arrive(false)
 		r.advance(callTimeout)
 		r.step(carobinbox.Inbox{})
@@ -109,7 +109,7 @@
 		r.requireConcluded(carobkind.Expired)
 	})
 	t.Run("node replaced", func(t *testing.T) {
-		r := newRig(t, carobonce.OncePerCall)
+		r := newRig(t, carobguarantee.OncePerCall)
 		r.arrive(false)
 		for _, pr := range r.world.Peers.All() {
 			pr.Member.Incarnation++
@@ -122,7 +122,7 @@
 // Guards against the outcome "not run" when only some of the attempts are known never
 // to run.
 func TestOneUnknownAttemptMakesOutcomeUnknown(t *testing.T) {
-	r := newRig(t, carobonce.Idempotent)
+	r := newRig(t, carobguarantee.Idempotent)
 	r.arrive(false)
 	r.reply(1, carobkind.ConnectionLost)
 	r.requireSent(2)
@@ -137,7 +137,7 @@
 }
 
 func TestCallIsWithdrawnIfNoAttemptRan(t *testing.T) {
-	r := newRig(t, carobonce.Idempotent)
+	r := newRig(t, carobguarantee.Idempotent)
 	r.arrive(false)
 	r.reply(1, carobkind.ConnectionLost)
 	r.reply(2, carobkind.ConnectionLost)
@@ -150,7 +150,7 @@
 // Guards against retrying a call with a truncated body: a streamed body is not kept,
 // and part of it may already be consumed.
 func TestStreamedBodyIsNotSentAgain(t *testing.T) {
-	r := newRig(t, carobonce.OncePerCall)
+	r := newRig(t, carobguarantee.OncePerCall)
 	r.arrive(true)
 	r.reply(1, carobkind.ConnectionLost)
 	r.fenceReply(1, carobjobstate.Never)
@@ -160,7 +160,7 @@
 // Guards against late, duplicate or misaddressed fence replies changing the state of
 // a call.
 func TestStrayFenceRepliesAreIgnored(t *testing.T) {
-	r := newRig(t, carobonce.OncePerCall)
+	r := newRig(t, carobguarantee.OncePerCall)
 	r.arrive(false)
 	r.reply(1, carobkind.ConnectionLost)
 	r.fenceReply(1, carobjobstate.Never)
@@ -179,7 +179,7 @@
 // for moving a queued one.
 func TestWithdraw(t *testing.T) {
 	t.Run("queued", func(t *testing.T) {
-		r := newRig(t, carobonce.OncePerCall)
+		r := newRig(t, carobguarantee.OncePerCall)
 		r.arrive(false)
 		r.world.BeginTick(carobinbox.Inbox{})
 		carobentry.Withdraw(r.world, r.now, r.world.Calls.Get(r.call), 1)
@@ -190,7 +190,7 @@
 		require.Zero(t, r.world.RetryBudgetOf(service).Spent)
 	})
 	t.Run("running", func(t *testing.T) {
-		r := newRig(t, carobonce.OncePerCall)
+		r := newRig(t, carobguarantee.OncePerCall)
 		r.arrive(false)
 		carobentry.Withdraw(r.world, r.now, r.world.Calls.Get(r.call), 1)
 		r.fenceReply(1, carobjobstate.Running)
@@ -204,7 +204,7 @@
 // stay within a few per cent of the calls.
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	const calls, burst = 1000, 10
-	r := newRig(t, carobonce.Idempotent)
+	r := newRig(t, carobguarantee.Idempotent)
 	sends := 0
 	for i := range calls {
 		r.call = carobcallid.ID{Node: "here", Incarnation: 3, Sequence: uint64(i + 1)}
--- a/pkg/carobentry/rig_test.go
+++ b/pkg/carobentry/rig_test.go
@@ -21,7 +21,7 @@
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
@@ -31,7 +31,7 @@
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -53,14 +53,14 @@
 	router *carobrouting.System
 }
 
-func newRig(t *testing.T, once carobonce.Guarantee) *rig {
+func newRig(t *testing.T, once carobguarantee.Guarantee) *rig {
 	t.Helper()
 	world := carobworld.NewWorld(carobworld.Config{
 		Self: carobmember.Member{Node: "here", Incarnation: 3}, Limits: caroblimits.NewLimits(), Seed: 1,
 	})
 	group := carobgroup.Group{Profile: "p"}
 	for _, name := range []string{"a", "b", "c", "d"} {
-		id := carobtargetid.ID{Service: service, Name: carobword.Name(name)}
+		id := carobtargetid.ID{Service: service, Name: carobname.Name(name)}
 		node := carobnodeid.ID("node-" + name)
 		world.Targets.Put(id, carobtarget.Target{ID: id, Node: node, Profile: "p", Slots: 4, Readiness: carobreadiness.Ready})
 		world.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Incarnation: targetIncarnation, PeerAddress: "peer"}})
--- a/pkg/carobentry/route.go
+++ b/pkg/carobentry/route.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobpart"
+	"github.com/carobknot/carobknot/pkg/carobweightedservice"
 	"github.com/carobknot/carobknot/pkg/carobroute"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
@@ -25,7 +25,7 @@
 // pickPart returns the index of a random part of a route, weighted by the parts'
 // weights. The load of a part does not count, because the weights are the shares
 // of calls that the operator set.
-func pickPart(world *carobworld.World, split []carobpart.WeightedService) int {
+func pickPart(world *carobworld.World, split []carobweightedservice.WeightedService) int {
 	if len(split) == 1 {
 		return 0
 	}
--- a/pkg/carobentry/route_test.go
+++ b/pkg/carobentry/route_test.go
@@ -10,26 +10,26 @@
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobonce"
-	"github.com/carobknot/carobknot/pkg/carobpart"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
+	"github.com/carobknot/carobknot/pkg/carobweightedservice"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobroute"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 )
 
 const slo = 200 * time.Millisecond
 
 // setRoute sets a route table with one route, by default to the rig's service.
-func (r *rig) setRoute(once carobonce.Guarantee, split ...carobpart.WeightedService) {
+func (r *rig) setRoute(once carobguarantee.Guarantee, split ...carobweightedservice.WeightedService) {
 	r.t.Helper()
 	if len(split) == 0 {
-		split = []carobpart.WeightedService{{Service: service, Weight: 1}}
+		split = []carobweightedservice.WeightedService{{Service: service, Weight: 1}}
 	}
-	routes, err := carobroutes.NewRouteTable(1, []carobroute.Route{{
+	routes, err := carobroutetable.NewRouteTable(1, []carobroute.Route{{
 		Name: "r", Host: "a.example", Prefix: "/one/", Guarantee: once, Attempts: 2,
-		Timeout: carobspan.Duration(400 * time.Millisecond), SLO: carobspan.Duration(slo), WeightedServices: split,
+		Timeout: carobduration.Duration(400 * time.Millisecond), SLO: carobduration.Duration(slo), WeightedServices: split,
 	}})
 	require.NoError(r.t, err)
 	r.world.RouteTable = routes
@@ -49,10 +49,10 @@
 
 // Guards against a 404 for an existing route from a node that has no route table yet.
 func TestNoRouteNeedsRouteTable(t *testing.T) {
-	r := newRig(t, carobonce.OncePerCall)
+	r := newRig(t, carobguarantee.OncePerCall)
 	r.arriveAt("/one/x")
 	r.requireConcluded(carobkind.NotReady)
-	r.setRoute(carobonce.Idempotent)
+	r.setRoute(carobguarantee.Idempotent)
 	r.arriveAt("/two/x")
 	r.requireConcluded(carobkind.NoRoute)
 	r.arriveAt("/one/x")
@@ -61,11 +61,11 @@
 
 // Guards against a caller's longer timeout overriding the timeout of the route.
 func TestRouteTimeoutLimitsCallerTimeout(t *testing.T) {
-	r := newRig(t, carobonce.OncePerCall)
-	r.setRoute(carobonce.OncePerCall)
+	r := newRig(t, carobguarantee.OncePerCall)
+	r.setRoute(carobguarantee.OncePerCall)
 	r.arriveAt("/one/x")
 	require.Equal(t, 400*time.Millisecond, r.world.Outbox.Sends[0].TimeLeft)
-	require.Equal(t, carobonce.OncePerCall, r.world.Outbox.Sends[0].Guarantee)
+	require.Equal(t, carobguarantee.OncePerCall, r.world.Outbox.Sends[0].Guarantee)
 	require.Equal(t, slo, r.world.Outbox.Sends[0].Requirements.SLOTimeLeft)
 	r.advance(400*time.Millisecond + maxOverrun + time.Millisecond)
 	require.Len(t, r.world.Outbox.Conclusions, 1, "the call is concluded soon after the route's timeout")
@@ -74,8 +74,8 @@
 // Guards against calls of a part without targets spilling over to the other part of
 // the split.
 func TestSplitKeepsShareOfPartWithoutTargets(t *testing.T) {
-	r := newRig(t, carobonce.OncePerCall)
-	r.setRoute(carobonce.Idempotent, carobpart.WeightedService{Service: service, Weight: 80}, carobpart.WeightedService{Service: "elsewhere", Weight: 20})
+	r := newRig(t, carobguarantee.OncePerCall)
+	r.setRoute(carobguarantee.Idempotent, carobweightedservice.WeightedService{Service: service, Weight: 80}, carobweightedservice.WeightedService{Service: "elsewhere", Weight: 20})
 	const calls = 2000
 	sentHere := 0
 	for i := range calls {
@@ -90,8 +90,8 @@
 // Guards against unbounded retries of calls that targets shed: each one costs a token
 // of the retry budget.
 func TestShedCallIsRetriedWithinBudget(t *testing.T) {
-	r := newRig(t, carobonce.OncePerCall)
-	r.setRoute(carobonce.OncePerCall)
+	r := newRig(t, carobguarantee.OncePerCall)
+	r.setRoute(carobguarantee.OncePerCall)
 	r.world.RetryBudgetOf(service).Tokens = 1
 	r.arriveAt("/one/x")
 	r.reply(1, carobkind.Shed)
@@ -107,16 +107,16 @@
 func TestFailedAnswerIsRetriedOnlyIfIdempotentAndInBudget(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		once    carobonce.Guarantee
+		once    carobguarantee.Guarantee
 		tokens  float64
 		retried bool
 	}{
-		{"idempotent", carobonce.Idempotent, 1, true},
-		{"idempotent, no budget", carobonce.Idempotent, 0, false},
-		{"at most once", carobonce.OncePerCall, 1, false},
+		{"idempotent", carobguarantee.Idempotent, 1, true},
+		{"idempotent, no budget", carobguarantee.Idempotent, 0, false},
+		{"at most once", carobguarantee.OncePerCall, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, carobonce.OncePerCall)
+			r := newRig(t, carobguarantee.OncePerCall)
 			r.setRoute(c.once)
 			r.arriveAt("/one/x")
 			r.world.RetryBudgetOf(service).Tokens = c.tokens
@@ -134,8 +134,8 @@
 // Guards against refusing a busy call so late that a retry of the caller misses the
 // SLO.
 func TestBusyCallIsRefusedEarlyEnoughToRetryWithinSlo(t *testing.T) {
-	r := newRig(t, carobonce.OncePerCall)
-	r.setRoute(carobonce.OncePerCall)
+	r := newRig(t, carobguarantee.OncePerCall)
+	r.setRoute(carobguarantee.OncePerCall)
 	r.arriveAt("/one/x")
 	arrivedAt := r.now
 	for attempt := 1; len(r.world.Outbox.Conclusions) == 0; attempt++ {
@@ -164,8 +164,8 @@
 		{"has not run", carobkind.Busy, carobkind.Leaving},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, carobonce.OncePerCall)
-			r.setRoute(carobonce.OncePerCall)
+			r := newRig(t, carobguarantee.OncePerCall)
+			r.setRoute(carobguarantee.OncePerCall)
 			r.arriveAt("/one/x")
 			for attempt := 1; c.reply != carobkind.None && len(r.world.Outbox.Sends) > 0; attempt++ {
 				r.reply(attempt, c.reply)
@@ -180,8 +180,8 @@
 // Guards against a call that has no ready target waiting for its deadline instead of
 // being refused within its SLO.
 func TestCallWithoutTargetIsRefusedEarly(t *testing.T) {
-	r := newRig(t, carobonce.OncePerCall)
-	r.setRoute(carobonce.OncePerCall)
+	r := newRig(t, carobguarantee.OncePerCall)
+	r.setRoute(carobguarantee.OncePerCall)
 	for _, tg := range r.world.Targets.All() {
 		tg.Readiness = carobreadiness.Leaving
 	}
@@ -206,8 +206,8 @@
 		{"ends before the route's timeout", 380 * time.Millisecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, carobonce.OncePerCall)
-			r.setRoute(carobonce.Idempotent)
+			r := newRig(t, carobguarantee.OncePerCall)
+			r.setRoute(carobguarantee.Idempotent)
 			r.step(carobinbox.Inbox{ShutdownDeadline: r.now.Add(c.left)})
 			r.arriveAt("/one/x")
 			if c.taken {
--- a/pkg/carobentry/system.go
+++ b/pkg/carobentry/system.go
@@ -19,7 +19,7 @@
 	"github.com/carobknot/carobknot/pkg/carobkey"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobreply"
@@ -286,7 +286,7 @@
 // mayRunAgain reports whether a call may be sent again even if an earlier attempt
 // may have run: it is idempotent, and its body is kept.
 func mayRunAgain(call *carobcall.Call) bool {
-	return call.Profile.Guarantee == carobonce.Idempotent && !call.Arrival.Streamed
+	return call.Profile.Guarantee == carobguarantee.Idempotent && !call.Arrival.Streamed
 }
 
 // forwardAnswer orders that the answer to an attempt is forwarded to the caller, and
--- a/pkg/carobring/ring.go
+++ b/pkg/carobevictingmap/evictingmap.go
@@ -1,5 +1,5 @@
-// Package carobring is a map of limited size that evicts the oldest rows.
-package carobring
+// Package carobevictingmap is a map of limited size that evicts the oldest rows.
+package carobevictingmap
 
 // Config holds the settings of a ring.
 type Config struct {
--- a/pkg/carobring/ring_test.go
+++ b/pkg/carobevictingmap/evictingmap_test.go
@@ -1,18 +1,18 @@
-package carobring_test
+package carobevictingmap_test
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/carobknot/carobknot/pkg/carobring"
+	"github.com/carobknot/carobknot/pkg/carobevictingmap"
 )
 
 // Guards against a ring that grows beyond its limit, evicts a newer row than
 // the oldest, or evicts one when a row is replaced.
 func TestFullRingEvictsOldestRow(t *testing.T) {
 	const limit = 3
-	r := carobring.NewEvictingMap[int, string](carobring.Config{Limit: limit})
+	r := carobevictingmap.NewEvictingMap[int, string](carobevictingmap.Config{Limit: limit})
 	for key := range 10 * limit {
 		evicted, row, full := r.Put(key, "row")
 		require.Equal(t, key >= limit, full)
--- a/pkg/carobfencing/system_test.go
+++ b/pkg/carobfencing/system_test.go
@@ -11,7 +11,7 @@
 	"github.com/carobknot/carobknot/pkg/carobfence"
 	"github.com/carobknot/carobknot/pkg/carobfencing"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobgate"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
@@ -49,7 +49,7 @@
 	limits.Jobs, limits.Peers = jobs, 1
 	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "here", Incarnation: nodeIncarnation}, Limits: limits})
 	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
-	w.AdmissionStates.Put(target, carobgate.AdmissionState{Limit: 1})
+	w.AdmissionStates.Put(target, carobadmissionstate.AdmissionState{Limit: 1})
 	rv := carobrevision.Revision{}
 	rv.Change.Profile = carobprofile.NewProfile("p")
 	w.Profiles.Put("p", rv)
--- a/pkg/carobsupply/supply.go
+++ b/pkg/carobfetchreply/fetchreply.go
@@ -1,5 +1,5 @@
-// Package carobsupply holds the message that sends profile records to another node.
-package carobsupply
+// Package carobfetchreply holds the message that sends profile records to another node.
+package carobfetchreply
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobkind"
--- a/pkg/carobfinish/finish.go
+++ b/pkg/carobfinish/finish.go
@@ -4,7 +4,7 @@
 import (
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobpressure"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 )
 
 // Finish reports to a target's node how a started or queued job has ended.
@@ -15,5 +15,5 @@
 	// Status is the HTTP status of the target's response; 0 if there was none.
 	Status int
 	// TargetLoad is the load that the target reported; nil if the response had none.
-	TargetLoad *carobpressure.TargetLoad
+	TargetLoad *carobtargetload.TargetLoad
 }
--- a/pkg/carobfold/system_test.go
+++ b/pkg/carobfold/system_test.go
@@ -19,8 +19,8 @@
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
 	"github.com/carobknot/carobknot/pkg/carobstream"
-	"github.com/carobknot/carobknot/pkg/carobsupply"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobfetchreply"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -44,14 +44,14 @@
 }
 
 // receiveSupply runs a tick with records that another node sent.
-func (n *node) receiveSupply(supply carobsupply.FetchReply) {
+func (n *node) receiveSupply(supply carobfetchreply.FetchReply) {
 	n.world.BeginTick(carobinbox.Inbox{Messages: []carobmessage.Message{{FetchReply: &supply}}})
 	n.fold.Run(n.world, 1)
 }
 
 // inForce returns the offset of the revision in force of each profile.
-func (n *node) inForce() map[carobword.Name]caroboffset.Offset {
-	all := map[carobword.Name]caroboffset.Offset{}
+func (n *node) inForce() map[carobname.Name]caroboffset.Offset {
+	all := map[carobname.Name]caroboffset.Offset{}
 	for name, revision := range n.world.Profiles.All() {
 		all[name] = revision.Offset
 	}
@@ -62,7 +62,7 @@
 	return carobrecord.Record{Stream: carobstream.Profiles, Offset: offset, Data: []byte(data)}
 }
 
-func changeRecord(offset caroboffset.Offset, name carobword.Name, base caroboffset.Offset) carobrecord.Record {
+func changeRecord(offset caroboffset.Offset, name carobname.Name, base caroboffset.Offset) carobrecord.Record {
 	profile := carobprofile.NewProfile(name)
 	profile.Base = base
 	data, err := json.Marshal(carobchange.Change{Profile: profile, Who: "alma", When: time.Unix(0, 0)})
@@ -85,7 +85,7 @@
 func TestChangeOnAnOldBaseHasNoEffect(t *testing.T) {
 	n := newNode()
 	n.read(changeRecord(0, "rota", -1), changeRecord(1, "rota", 0), changeRecord(2, "rota", 0), changeRecord(3, "rota", -1))
-	require.Equal(t, map[carobword.Name]caroboffset.Offset{"rota": 1}, n.inForce())
+	require.Equal(t, map[carobname.Name]caroboffset.Offset{"rota": 1}, n.inForce())
 	require.EqualValues(t, 3, n.world.ProfilesRead)
 	result := n.world.Outbox.ChangeResults[2]
 	require.False(t, result.Applied)
@@ -107,7 +107,7 @@
 		t.Run(name, func(t *testing.T) {
 			n := newNode()
 			n.read(changeRecord(0, "rota", -1), newRecord(1, data), changeRecord(2, "rota", 0))
-			require.Equal(t, map[carobword.Name]caroboffset.Offset{"rota": 2}, n.inForce())
+			require.Equal(t, map[carobname.Name]caroboffset.Offset{"rota": 2}, n.inForce())
 			require.EqualValues(t, 2, n.world.ProfilesRead)
 		})
 	}
@@ -120,8 +120,8 @@
 	n.read(changeRecord(0, "rota", -1))
 	n.read(changeRecord(2, "rota", 1), changeRecord(3, "rota", 2))
 	require.EqualValues(t, 0, n.world.ProfilesRead, "the change at 1 may have come into force")
-	n.receiveSupply(carobsupply.FetchReply{Records: []carobrecord.Record{changeRecord(1, "rota", 0)}, ProfilesRead: 3})
-	require.Equal(t, map[carobword.Name]caroboffset.Offset{"rota": 3}, n.inForce())
+	n.receiveSupply(carobfetchreply.FetchReply{Records: []carobrecord.Record{changeRecord(1, "rota", 0)}, ProfilesRead: 3})
+	require.Equal(t, map[carobname.Name]caroboffset.Offset{"rota": 3}, n.inForce())
 }
 
 // Guards against a lost change when a snapshot is taken before the change and
@@ -132,7 +132,7 @@
 	old.read(changeRecord(0, "rota", -1))
 	racing := snapshotRecord(2, old.world.TakeSnapshot())
 	records := []carobrecord.Record{changeRecord(1, "rota", 0), racing, changeRecord(3, "payouts", -1)}
-	want := map[carobword.Name]caroboffset.Offset{"rota": 1, "payouts": 3}
+	want := map[carobname.Name]caroboffset.Offset{"rota": 1, "payouts": 3}
 
 	old.read(records...)
 	require.Equal(t, want, old.inForce(), "the snapshot reverts nothing")
@@ -147,8 +147,8 @@
 	n.read(changeRecord(0, "rota", -1), changeRecord(1, "rota", 0))
 	before := n.world.TakeSnapshot()
 	n.read(changeRecord(2, "rota", 1))
-	n.receiveSupply(carobsupply.FetchReply{Snapshot: &before, ProfilesRead: 1})
-	require.Equal(t, map[carobword.Name]caroboffset.Offset{"rota": 2}, n.inForce())
+	n.receiveSupply(carobfetchreply.FetchReply{Snapshot: &before, ProfilesRead: 1})
+	require.Equal(t, map[carobname.Name]caroboffset.Offset{"rota": 2}, n.inForce())
 	require.EqualValues(t, 2, n.world.ProfilesRead)
 }
 
@@ -189,7 +189,7 @@
 	var snapshots []carobsnapshot.Snapshot
 	for i := range rapid.IntRange(1, 40).Draw(t, "records") {
 		offset := caroboffset.Offset(i)
-		name := carobword.Name(fmt.Sprint("p", rapid.IntRange(0, 2).Draw(t, "name")))
+		name := carobname.Name(fmt.Sprint("p", rapid.IntRange(0, 2).Draw(t, "name")))
 		base := caroboffset.BeforeFirst
 		if current, ok := reference.inForce()[name]; ok && rapid.IntRange(0, 3).Draw(t, "fits") > 0 {
 			base = current
--- a/pkg/carobgroup/group.go
+++ b/pkg/carobgroup/group.go
@@ -3,14 +3,14 @@
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Group has the targets of one service.
 type Group struct {
 	// Profile is the name that most targets of the service announce; of
 	// several, the first in the order of names.
-	Profile carobword.Name
+	Profile carobname.Name
 	// Targets are sorted by name.
 	Targets []carobtargetid.ID
 	// Subset is the subset of Targets that this node sends to; empty if it sends
--- a/pkg/carobgrouping/system.go
+++ b/pkg/carobgrouping/system.go
@@ -9,7 +9,7 @@
 	"github.com/carobknot/carobknot/pkg/carobgroup"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -51,9 +51,9 @@
 
 // mostCommonProfile returns the profile that most targets of a service
 // announce; of several, the first in the order of names.
-func mostCommonProfile(world *carobworld.World, group *carobgroup.Group) carobword.Name {
-	counts := map[carobword.Name]int{}
-	var mostCommon carobword.Name
+func mostCommonProfile(world *carobworld.World, group *carobgroup.Group) carobname.Name {
+	counts := map[carobname.Name]int{}
+	var mostCommon carobname.Name
 	for _, id := range group.Targets {
 		profile := world.Targets.Get(id).Profile
 		counts[profile]++
--- a/pkg/carobonce/once.go
+++ b/pkg/carobguarantee/guarantee.go
@@ -1,5 +1,5 @@
-// Package carobonce defines how often a call may run.
-package carobonce
+// Package carobguarantee defines how often a call may run.
+package carobguarantee
 
 import "github.com/carobknot/carobknot/pkg/carobkind"
 
--- a/pkg/carobcheck/check.go
+++ b/pkg/carobhealthcheck/healthcheck.go
@@ -1,6 +1,6 @@
-// Package carobcheck holds the effect that runs a health check of one of the node's own
+// Package carobhealthcheck holds the effect that runs a health check of one of the node's own
 // targets.
-package carobcheck
+package carobhealthcheck
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobaddress"
--- a/pkg/carobhedging/system.go
+++ b/pkg/carobhedging/system.go
@@ -5,14 +5,14 @@
 import (
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobagenda"
+	"github.com/carobknot/carobknot/pkg/carobschedule"
 	"github.com/carobknot/carobknot/pkg/carobattempt"
 	"github.com/carobknot/carobknot/pkg/carobcall"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobonce"
-	"github.com/carobknot/carobknot/pkg/carobpace"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
+	"github.com/carobknot/carobknot/pkg/caroblatency"
 	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobservice"
@@ -38,12 +38,12 @@
 type System struct {
 	// pending has the calls that may be hedged, by the time of the next
 	// request.
-	pending *carobagenda.Schedule[carobcallid.ID]
+	pending *carobschedule.Schedule[carobcallid.ID]
 }
 
 // NewSystem returns a System without pending hedges.
 func NewSystem() *System {
-	return &System{pending: carobagenda.NewSchedule[carobcallid.ID]()}
+	return &System{pending: carobschedule.NewSchedule[carobcallid.ID]()}
 }
 
 // Run records the latencies of answered calls and requests the hedges that are
@@ -103,7 +103,7 @@
 // mayHedge reports whether a call may have a second attempt beside the open
 // one.
 func mayHedge(call *carobcall.Call) bool {
-	return call.Profile.HedgeQuantile > 0 && call.Profile.Guarantee == carobonce.Idempotent && !call.Arrival.Streamed &&
+	return call.Profile.HedgeQuantile > 0 && call.Profile.Guarantee == carobguarantee.Idempotent && !call.Arrival.Streamed &&
 		len(call.Attempts) < call.Profile.Attempts && call.OpenAttempts() == 1
 }
 
@@ -127,7 +127,7 @@
 }
 
 // delay returns the age of an attempt at which the call is hedged.
-func delay(call *carobcall.Call, pace *carobpace.Latency) time.Duration {
+func delay(call *carobcall.Call, pace *caroblatency.Latency) time.Duration {
 	return max(pace.Histogram.Quantile(float64(call.Profile.HedgeQuantile)), minDelay)
 }
 
@@ -138,9 +138,9 @@
 
 // paceOf returns the row of a service and adds it if it is missing. It returns
 // nil if the row is missing and the table is full.
-func paceOf(world *carobworld.World, service carobservice.Service) *carobpace.Latency {
+func paceOf(world *carobworld.World, service carobservice.Service) *caroblatency.Latency {
 	if pace := world.Latencies.Get(service); pace != nil {
 		return pace
 	}
-	return world.Latencies.Put(service, carobpace.Latency{})
+	return world.Latencies.Put(service, caroblatency.Latency{})
 }
--- a/pkg/carobhedging/system_test.go
+++ b/pkg/carobhedging/system_test.go
@@ -14,7 +14,7 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobstage"
@@ -27,7 +27,7 @@
 	t.Helper()
 	world := carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()})
 	profile := carobprofile.NewProfile("lookups")
-	profile.Guarantee = carobonce.Idempotent
+	profile.Guarantee = carobguarantee.Idempotent
 	pace := paceOf(world, "lookups")
 	for range 1000 {
 		pace.Histogram.Add(10 * time.Millisecond)
@@ -53,8 +53,8 @@
 		want   bool
 	}{
 		{"idempotent", func(*carobcall.Call) {}, true},
-		{"at most once", func(call *carobcall.Call) { call.Profile.Guarantee = carobonce.OncePerCall }, false},
-		{"keyed", func(call *carobcall.Call) { call.Profile.Guarantee = carobonce.OncePerKey }, false},
+		{"at most once", func(call *carobcall.Call) { call.Profile.Guarantee = carobguarantee.OncePerCall }, false},
+		{"keyed", func(call *carobcall.Call) { call.Profile.Guarantee = carobguarantee.OncePerKey }, false},
 		{"body not kept", func(call *carobcall.Call) { call.Arrival.Streamed = true }, false},
 		{"one attempt allowed", func(call *carobcall.Call) { call.Profile.Attempts = 1 }, false},
 		{"no hedging", func(call *carobcall.Call) { call.Profile.HedgeQuantile = 0 }, false},
--- a/pkg/carobdistribution/distribution.go
+++ b/pkg/carobhistogram/histogram.go
@@ -1,6 +1,6 @@
-// Package carobdistribution estimates quantiles of recent durations with a
+// Package carobhistogram estimates quantiles of recent durations with a
 // histogram of exponential buckets.
-package carobdistribution
+package carobhistogram
 
 import (
 	"math"
--- a/pkg/carobdistribution/distribution_test.go
+++ b/pkg/carobhistogram/histogram_test.go
@@ -1,4 +1,4 @@
-package carobdistribution
+package carobhistogram
 
 import (
 	"testing"
--- a/pkg/carobholding/holding.go
+++ b/pkg/carobholding/holding.go
@@ -3,7 +3,7 @@
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 )
@@ -19,5 +19,5 @@
 	// Kind is the error kind that the call ended with, or None if it was answered.
 	Kind carobkind.Kind
 	// StoredAnswer is the stored answer, or nil if none is stored.
-	StoredAnswer *carobkept.StoredAnswer
+	StoredAnswer *carobstoredanswer.StoredAnswer
 }
--- a/pkg/carobhome/home.go
+++ b/pkg/carobhome/home.go
@@ -8,7 +8,7 @@
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobclaim"
 	"github.com/carobknot/carobknot/pkg/carobclaimbatch"
-	"github.com/carobknot/carobknot/pkg/carobclaims"
+	"github.com/carobknot/carobknot/pkg/carobclaimstate"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobsettlement"
@@ -17,7 +17,7 @@
 // Home is the state of a shard whose claims this node appends to the log.
 type Home struct {
 	// State is the state folded from the records of the stream.
-	State *carobclaims.ClaimState
+	State *carobclaimstate.ClaimState
 	// HomeSince is when this node became the home in its own view.
 	HomeSince carobinstant.Instant
 	// CaughtUp is true once the stream has been read up to the end that a read found.
--- a/pkg/carobhop/hop.go
+++ b/pkg/carobhop/hop.go
@@ -7,7 +7,7 @@
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
@@ -32,7 +32,7 @@
 	// StartedAt is when the call or job arrived, by the node's own clock.
 	StartedAt time.Time `json:"start"`
 	// Duration is the time from Start to the end of the call or job.
-	Duration carobspan.Duration `json:"took"`
+	Duration carobduration.Duration `json:"took"`
 	// Kind is the error kind; None if there was no error.
 	Kind carobkind.Kind `json:"kind,omitempty"`
 }
--- a/pkg/carobinbox/inbox.go
+++ b/pkg/carobinbox/inbox.go
@@ -5,17 +5,17 @@
 	"github.com/carobknot/carobknot/pkg/carobannouncement"
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobcommitted"
+	"github.com/carobknot/carobknot/pkg/carobappendresult"
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobhealth"
+	"github.com/carobknot/carobknot/pkg/carobcheckresult"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
-	"github.com/carobknot/carobknot/pkg/carobmark"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 	"github.com/carobknot/carobknot/pkg/carobreply"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
 )
 
 // Inbox has one queue for each kind of input from the traffic goroutines. Systems read the
@@ -30,9 +30,9 @@
 	Announcements []carobannouncement.Announcement
 	Records       []carobrecord.Record
 	// StreamBounds are the bounds of the log streams that Records were read from.
-	StreamBounds []carobmark.StreamBounds
+	StreamBounds []carobstreambounds.StreamBounds
 	// RouteTables are the route tables read from the store.
-	RouteTables []*carobroutes.RouteTable
+	RouteTables []*carobroutetable.RouteTable
 	// StoreUnreadable has a value for each change of whether the store can be read, true if it
 	// cannot, the newest last.
 	StoreUnreadable []bool
@@ -49,9 +49,9 @@
 	Offers   []caroboffer.Offer
 	Finishes []carobfinish.Finish
 	// CheckResults are the results of health checks.
-	CheckResults []carobhealth.CheckResult
+	CheckResults []carobcheckresult.CheckResult
 	// AppendResults has the results of appending claims to the log.
-	AppendResults []carobcommitted.AppendResult
+	AppendResults []carobappendresult.AppendResult
 
 	// Entry and routing.
 
--- a/pkg/caroblife/life.go
+++ b/pkg/carobinstance/instance.go
@@ -1,6 +1,6 @@
-// Package caroblife holds the newest instance of a target at an address on the
+// Package carobinstance holds the newest instance of a target at an address on the
 // node's VM.
-package caroblife
+package carobinstance
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
--- a/pkg/carobjoining/system.go
+++ b/pkg/carobjoining/system.go
@@ -17,8 +17,8 @@
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
-	"github.com/carobknot/carobknot/pkg/carobprobe"
-	"github.com/carobknot/carobknot/pkg/carobstanding"
+	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
@@ -66,7 +66,7 @@
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	found := storeAddresses(w)
 	if s.nextRenewal == carobinstant.Never {
-		w.Audit("member", string(w.Self.Node), "node "+string(w.Self.Node), "none", carobstanding.Alive.String())
+		w.Audit("member", string(w.Self.Node), "node "+string(w.Self.Node), "none", carobliveness.Alive.String())
 	}
 	if s.nextRenewal == carobinstant.Never || s.nextRenewal.Reached(now) {
 		s.nextRenewal = now.Add(renewInterval - time.Duration(w.Random.Int64N(int64(renewInterval/4))))
@@ -154,5 +154,5 @@
 // makes the receiver compare its peer table with this node's.
 func contact(w *carobworld.World, to carobaddress.Address) {
 	w.SendMessage(carobmessage.Message{To: to, Gossip: &carobgossip.Gossip{Members: []carobmember.Member{w.Describe()}}})
-	w.SendMessage(carobmessage.Message{To: to, Heartbeat: &carobprobe.PeerHeartbeat{Checksums: w.Checksums(), ProfilesRead: w.ProfilesRead}})
+	w.SendMessage(carobmessage.Message{To: to, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{Checksums: w.Checksums(), ProfilesRead: w.ProfilesRead}})
 }
--- a/pkg/carobpace/pace.go
+++ b/pkg/caroblatency/latency.go
@@ -1,12 +1,12 @@
-// Package carobpace holds the recent latencies of a service.
-package carobpace
+// Package caroblatency holds the recent latencies of a service.
+package caroblatency
 
-import "github.com/carobknot/carobknot/pkg/carobdistribution"
+import "github.com/carobknot/carobknot/pkg/carobhistogram"
 
 // Latency is how fast the targets of one service answer this node.
 type Latency struct {
 	// Histogram is the distribution over the attempts, from sending to the head
 	// of the response. A cancelled attempt counts with the time until it was
 	// cancelled.
-	Histogram carobdistribution.Histogram
+	Histogram carobhistogram.Histogram
 }
--- a/pkg/caroblimits/limits.go
+++ b/pkg/caroblimits/limits.go
@@ -6,7 +6,7 @@
 
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobsize"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 )
 
 // Limits bounds the tables of a node, and the connections and calls of callers.
@@ -34,12 +34,12 @@
 	// that needs whole bodies refuses the call instead.
 	BufferedBodySize carobsize.Size `json:"kept"`
 	// HeaderTimeout is the time-out for receiving the header of a call.
-	HeaderTimeout carobspan.Duration `json:"head"`
+	HeaderTimeout carobduration.Duration `json:"head"`
 	// StallTimeout is the time without progress after which the transfer of a body counts
 	// as cut.
-	StallTimeout carobspan.Duration `json:"stall"`
+	StallTimeout carobduration.Duration `json:"stall"`
 	// IdleTimeout is how long an unused connection of a caller stays open.
-	IdleTimeout carobspan.Duration `json:"idle"`
+	IdleTimeout carobduration.Duration `json:"idle"`
 }
 
 // NewLimits returns the default limits, which suffice for several times the size of
@@ -55,9 +55,9 @@
 		HeaderSize:  16 * carobsize.KiB,
 		BodySize:    1024 * carobsize.MiB,
 		BufferedBodySize:    32 * carobsize.MiB,
-		HeaderTimeout:    carobspan.Duration(10 * time.Second),
-		StallTimeout:   carobspan.Duration(30 * time.Second),
-		IdleTimeout:    carobspan.Duration(60 * time.Second),
+		HeaderTimeout:    carobduration.Duration(10 * time.Second),
+		StallTimeout:   carobduration.Duration(30 * time.Second),
+		IdleTimeout:    carobduration.Duration(60 * time.Second),
 	}
 }
 
--- a/pkg/carobstanding/standing.go
+++ b/pkg/carobliveness/liveness.go
@@ -1,5 +1,5 @@
-// Package carobstanding holds the liveness states of a node.
-package carobstanding
+// Package carobliveness holds the liveness states of a node.
+package carobliveness
 
 import "github.com/carobknot/carobknot/pkg/carobkind"
 
--- a/pkg/carobpoll/poll.go
+++ b/pkg/carobloadprobe/loadprobe.go
@@ -1,5 +1,5 @@
-// Package carobpoll holds the message that requests the load of a target.
-package carobpoll
+// Package carobloadprobe holds the message that requests the load of a target.
+package carobloadprobe
 
 import "github.com/carobknot/carobknot/pkg/carobtargetid"
 
--- a/pkg/carobmember/member.go
+++ b/pkg/carobmember/member.go
@@ -8,10 +8,10 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobregion"
-	"github.com/carobknot/carobknot/pkg/carobstanding"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
-	"github.com/carobknot/carobknot/pkg/carobversion"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobmemberversion"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Member is a node's description of itself, and its liveness state. Other nodes may change
@@ -27,7 +27,7 @@
 	// incarnation the higher one is newer.
 	Sequence uint64 `json:"beat"`
 	// Liveness is the liveness state that other nodes assign to the node.
-	Liveness carobstanding.Liveness `json:"standing,omitempty"`
+	Liveness carobliveness.Liveness `json:"standing,omitempty"`
 	// Leaving is true if the node is shutting down.
 	Leaving bool `json:"leaving,omitempty"`
 	// StoreUnreadable is true if the node cannot read the operator's records from the store.
@@ -40,8 +40,8 @@
 const MaxTargets = 64
 
 // Version returns the version of the description.
-func (m Member) Version() carobversion.Version {
-	return carobversion.Version{Node: m.Node, Incarnation: m.Incarnation, Sequence: m.Sequence, Liveness: m.Liveness}
+func (m Member) Version() carobmemberversion.Version {
+	return carobmemberversion.Version{Node: m.Node, Incarnation: m.Incarnation, Sequence: m.Sequence, Liveness: m.Liveness}
 }
 
 // Newer reports whether m is a newer description of the same node than o.
@@ -60,10 +60,10 @@
 	if err := m.Version().Check(); err != nil {
 		return err
 	}
-	if err := carobword.Name(m.Region).Check("region"); err != nil {
+	if err := carobname.Name(m.Region).Check("region"); err != nil {
 		return err
 	}
-	if err := carobword.Name(m.Centre).Check("centre"); err != nil {
+	if err := carobname.Name(m.Centre).Check("centre"); err != nil {
 		return err
 	}
 	if err := m.PeerAddress.Check(); err != nil {
--- a/pkg/carobmembership/system.go
+++ b/pkg/carobmembership/system.go
@@ -17,7 +17,7 @@
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
-	"github.com/carobknot/carobknot/pkg/carobstanding"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
@@ -102,7 +102,7 @@
 // suspicion, and records in the audit trail if another node uses the same id.
 func (s *System) mergeSelf(w *carobworld.World, mb carobmember.Member) {
 	if mb.Incarnation == w.Self.Incarnation {
-		if mb.Liveness != carobstanding.Alive && mb.Sequence >= w.Self.Sequence && !w.LeaveAnnounced {
+		if mb.Liveness != carobliveness.Alive && mb.Sequence >= w.Self.Sequence && !w.LeaveAnnounced {
 			w.Self.Sequence = mb.Sequence + 1
 		}
 		return
@@ -147,8 +147,8 @@
 func dropExpired(w *carobworld.World, now carobinstant.Instant) {
 	for id, pr := range w.Peers.All() {
 		age := now.Sub(pr.LivenessSince)
-		if pr.Member.Liveness == carobstanding.Unreachable && age > unreachableRetention ||
-			pr.Member.Liveness == carobstanding.Left && age > leftRetention {
+		if pr.Member.Liveness == carobliveness.Unreachable && age > unreachableRetention ||
+			pr.Member.Liveness == carobliveness.Left && age > leftRetention {
 			w.Peers.Delete(id)
 			w.PeerChanges++
 		}
--- a/pkg/carobversion/version.go
+++ b/pkg/carobmemberversion/memberversion.go
@@ -1,10 +1,10 @@
-// Package carobversion holds the versions of the descriptions of nodes.
-package carobversion
+// Package carobmemberversion holds the versions of the descriptions of nodes.
+package carobmemberversion
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
-	"github.com/carobknot/carobknot/pkg/carobstanding"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 )
 
 // Version identifies a description of a node, and orders the descriptions of the same
@@ -17,7 +17,7 @@
 	Sequence uint64 `json:"beat"`
 	// Liveness is the liveness state that other nodes assign to the node. Within an update
 	// sequence the higher one is newer.
-	Liveness carobstanding.Liveness `json:"standing,omitempty"`
+	Liveness carobliveness.Liveness `json:"standing,omitempty"`
 }
 
 // Newer reports whether v is the version of a newer description of the same node than o.
--- a/pkg/carobmessage/message.go
+++ b/pkg/carobmessage/message.go
@@ -14,14 +14,14 @@
 	"github.com/carobknot/carobknot/pkg/carobgossip"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
-	"github.com/carobknot/carobknot/pkg/carobpoll"
-	"github.com/carobknot/carobknot/pkg/carobprobe"
+	"github.com/carobknot/carobknot/pkg/carobloadprobe"
+	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobroutefetch"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobrouteversion"
 	"github.com/carobknot/carobknot/pkg/carobsettlement"
-	"github.com/carobknot/carobknot/pkg/carobsupply"
+	"github.com/carobknot/carobknot/pkg/carobfetchreply"
 )
 
 // Message is one control message. At most one of the pointers is set, which makes it the
@@ -44,16 +44,16 @@
 	// Gossip carries descriptions of nodes.
 	Gossip *carobgossip.Gossip `json:"gossip,omitempty"`
 	// Heartbeat is a heartbeat or the answer to one.
-	Heartbeat *carobprobe.PeerHeartbeat `json:"probe,omitempty"`
+	Heartbeat *carobpeerheartbeat.PeerHeartbeat `json:"probe,omitempty"`
 	// Digest lists the versions of the sender's descriptions of some nodes.
 	Digest *carobdigest.Digest `json:"digest,omitempty"`
 	// Fetch requests profile records, and Supply carries them.
 	Fetch  *carobfetch.Fetch   `json:"fetch,omitempty"`
-	FetchReply *carobsupply.FetchReply `json:"supply,omitempty"`
+	FetchReply *carobfetchreply.FetchReply `json:"supply,omitempty"`
 
 	// RouteFetch requests the route table, and Routes carries it.
 	RouteFetch *carobroutefetch.Fetch `json:"routefetch,omitempty"`
-	RouteTable     *carobroutes.RouteTable    `json:"routes,omitempty"`
+	RouteTable     *carobroutetable.RouteTable    `json:"routes,omitempty"`
 
 	// Calls and claims.
 
@@ -71,7 +71,7 @@
 	// Measuring.
 
 	// LoadProbe queries the load of a target.
-	LoadProbe *carobpoll.LoadProbe `json:"poll,omitempty"`
+	LoadProbe *carobloadprobe.LoadProbe `json:"poll,omitempty"`
 	// Report answers a query for a load.
 	Report *carobreport.Report `json:"report,omitempty"`
 }
--- a/pkg/carobword/word.go
+++ b/pkg/carobname/name.go
@@ -1,6 +1,6 @@
-// Package carobword defines the syntax of the names of services, targets, nodes,
+// Package carobname defines the syntax of the names of services, targets, nodes,
 // profiles, regions and data centres.
-package carobword
+package carobname
 
 import "github.com/carobknot/carobknot/pkg/carobkind"
 
--- a/pkg/carobnodeid/id.go
+++ b/pkg/carobnodeid/id.go
@@ -1,7 +1,7 @@
 // Package carobnodeid defines the IDs of nodes.
 package carobnodeid
 
-import "github.com/carobknot/carobknot/pkg/carobword"
+import "github.com/carobknot/carobknot/pkg/carobname"
 
 // ID is the name of a node, from its settings. It is stable over restarts: a node
 // that restarts has the same ID and a higher incarnation.
@@ -9,7 +9,7 @@
 
 // Check returns an Invalid error if the name is not a word.
 func (i ID) Check() error {
-	return carobword.Name(i).Check("node")
+	return carobname.Name(i).Check("node")
 }
 
 // UnmarshalText decodes a name and checks it as Check does.
--- a/pkg/caroboffer/offer.go
+++ b/pkg/caroboffer/offer.go
@@ -7,7 +7,7 @@
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobwish"
+	"github.com/carobknot/carobknot/pkg/carobrequirements"
 )
 
 // Offer is the request to a target's node to run a job.
@@ -19,7 +19,7 @@
 	// TimeLeft is the time left until the call's deadline.
 	TimeLeft time.Duration
 	// Requirements holds the caller's requirements for the call.
-	Requirements carobwish.Requirements
+	Requirements carobrequirements.Requirements
 	// Key is the idempotency key; empty if there is none.
 	Key string
 	// Traceparent is the trace context in W3C format; empty if there is none.
--- a/pkg/carobtrace/trace.go
+++ b/pkg/carobopenhop/openhop.go
@@ -1,10 +1,10 @@
-// Package carobtrace holds the rows of the tables of hops in progress, which become trace
+// Package carobopenhop holds the rows of the tables of hops in progress, which become trace
 // records when they end.
-package carobtrace
+package carobopenhop
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobinstant"
-	"github.com/carobknot/carobknot/pkg/carobparent"
+	"github.com/carobknot/carobknot/pkg/carobspancontext"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
@@ -12,9 +12,9 @@
 // target's node.
 type OpenHop struct {
 	// Context is the hop's own span, which is the parent of the next hop's span.
-	Context carobparent.SpanContext
+	Context carobspancontext.SpanContext
 	// Parent is the span of the previous hop; zero if the trace began here.
-	Parent carobparent.SpanContext
+	Parent carobspancontext.SpanContext
 	// StartedAt is when the hop started.
 	StartedAt carobinstant.Instant
 	// Targets holds the target of attempt n of a call at index n-1. For a job it holds
--- a/pkg/caroboutbox/outbox.go
+++ b/pkg/caroboutbox/outbox.go
@@ -7,11 +7,11 @@
 	"github.com/carobknot/carobknot/pkg/carobappend"
 	"github.com/carobknot/carobknot/pkg/carobaudit"
 	"github.com/carobknot/carobknot/pkg/carobchangeresult"
-	"github.com/carobknot/carobknot/pkg/carobcheck"
-	"github.com/carobknot/carobknot/pkg/carobcommit"
+	"github.com/carobknot/carobknot/pkg/carobhealthcheck"
+	"github.com/carobknot/carobknot/pkg/carobappendrequest"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobdecision"
-	"github.com/carobknot/carobknot/pkg/carobfollow"
+	"github.com/carobknot/carobknot/pkg/carobsubscription"
 	"github.com/carobknot/carobknot/pkg/carobhop"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
@@ -46,11 +46,11 @@
 	Refusals []carobrefusal.Refusal
 	// AppendRequests are batches of claims to append to the log. The result of each comes back in
 	// the inbox.
-	AppendRequests []carobcommit.AppendRequest
+	AppendRequests []carobappendrequest.AppendRequest
 	// Subscriptions are the log streams to start or stop reading.
-	Subscriptions []carobfollow.Subscription
+	Subscriptions []carobsubscription.Subscription
 	// HealthChecks are health checks of the node's own targets.
-	HealthChecks []carobcheck.HealthCheck
+	HealthChecks []carobhealthcheck.HealthCheck
 	// Reports are the target loads to attach to answers and refusals from now on.
 	Reports []carobreport.Report
 
--- a/pkg/carobpause/system_test.go
+++ b/pkg/carobpause/system_test.go
@@ -9,7 +9,7 @@
 	"github.com/carobknot/carobknot/pkg/carobadmission"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobgate"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
@@ -84,7 +84,7 @@
 		Self: carobmember.Member{Node: "here", Incarnation: 7}, Limits: caroblimits.NewLimits(),
 	})
 	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
-	w.AdmissionStates.Put(target, carobgate.AdmissionState{Limit: 1})
+	w.AdmissionStates.Put(target, carobadmissionstate.AdmissionState{Limit: 1})
 	rv := carobrevision.Revision{}
 	rv.Change.Profile = carobprofile.NewProfile("p")
 	w.Profiles.Put("p", rv)
--- a/pkg/carobprobe/probe.go
+++ b/pkg/carobpeerheartbeat/peerheartbeat.go
@@ -1,6 +1,6 @@
-// Package carobprobe holds the heartbeat message, by which nodes detect whether others are
+// Package carobpeerheartbeat holds the heartbeat message, by which nodes detect whether others are
 // alive.
-package carobprobe
+package carobpeerheartbeat
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobaddress"
--- a/pkg/carobinquiry/inquiry.go
+++ b/pkg/carobpendingheartbeat/pendingheartbeat.go
@@ -1,5 +1,5 @@
-// Package carobinquiry holds the liveness probes that await an answer.
-package carobinquiry
+// Package carobpendingheartbeat holds the liveness probes that await an answer.
+package carobpendingheartbeat
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobinstant"
--- a/pkg/carobunsettled/unsettled.go
+++ b/pkg/carobpendingsettlement/pendingsettlement.go
@@ -1,6 +1,6 @@
-// Package carobunsettled holds the rows of the settlements that the homes of their
+// Package carobpendingsettlement holds the rows of the settlements that the homes of their
 // keys have not confirmed yet.
-package carobunsettled
+package carobpendingsettlement
 
 import (
 	"time"
--- a/pkg/carobmeasure/measure.go
+++ b/pkg/carobprobelimits/probelimits.go
@@ -1,5 +1,5 @@
-// Package carobmeasure holds the budget for measuring load and latency.
-package carobmeasure
+// Package carobprobelimits holds the budget for measuring load and latency.
+package carobprobelimits
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobrate"
--- a/pkg/carobprobing/system.go
+++ b/pkg/carobprobing/system.go
@@ -6,25 +6,25 @@
 	"math"
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobbucket"
-	"github.com/carobknot/carobknot/pkg/carobgate"
+	"github.com/carobknot/carobknot/pkg/carobtokenbucket"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobload"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
-	"github.com/carobknot/carobknot/pkg/carobpoll"
+	"github.com/carobknot/carobknot/pkg/carobloadprobe"
 	"github.com/carobknot/carobknot/pkg/carobreport"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
 // Keys of the measuring budget in World.Buckets.
 const (
 	// BytesBucket is the bucket of the bytes sent for measuring.
-	BytesBucket carobword.Name = "bytes"
+	BytesBucket carobname.Name = "bytes"
 	// CPUTimeBucket is the bucket of the processor time spent on measuring, in seconds.
-	CPUTimeBucket carobword.Name = "time"
+	CPUTimeBucket carobname.Name = "time"
 )
 
 const (
@@ -92,13 +92,13 @@
 	}
 	world.SendMessage(carobmessage.Message{To: message.ReplyTo, Report: &carobreport.Report{
 		Target: target.ID, Running: gate.Running, Queued: gate.Queued, Slots: max(gate.Limit, 1),
-		Latency: carobspan.Duration(decayedLatency(gate, now)),
+		Latency: carobduration.Duration(decayedLatency(gate, now)),
 	}})
 }
 
 // decayedLatency returns a target's latency. It decays while the target has no
 // calls; otherwise a target that was slow once would never be picked again.
-func decayedLatency(gate *carobgate.AdmissionState, now carobinstant.Instant) time.Duration {
+func decayedLatency(gate *carobadmissionstate.AdmissionState, now carobinstant.Instant) time.Duration {
 	if gate.Running > 0 || gate.LatencyStart == carobinstant.Never {
 		return gate.Latency
 	}
@@ -154,7 +154,7 @@
 		return
 	}
 	load.ProbedAt = now
-	world.SendMessage(carobmessage.Message{To: peer.Member.PeerAddress, LoadProbe: &carobpoll.LoadProbe{Target: id}})
+	world.SendMessage(carobmessage.Message{To: peer.Member.PeerAddress, LoadProbe: &carobloadprobe.LoadProbe{Target: id}})
 }
 
 // spendBudget takes the cost of one message from both buckets, or from neither
@@ -179,7 +179,7 @@
 // rate below two messages a second is halved instead, which keeps longer
 // periods below the cap. If the rate is below one message a second, the bucket
 // stays empty.
-func refill(bucket *carobbucket.TokenBucket, now carobinstant.Instant, rate, price float64) {
+func refill(bucket *carobtokenbucket.TokenBucket, now carobinstant.Instant, rate, price float64) {
 	if rate < price {
 		return
 	}
@@ -194,9 +194,9 @@
 
 // bucketOf returns a bucket and adds it if it is missing, or returns nil if the
 // table is full.
-func bucketOf(world *carobworld.World, name carobword.Name) *carobbucket.TokenBucket {
+func bucketOf(world *carobworld.World, name carobname.Name) *carobtokenbucket.TokenBucket {
 	if bucket := world.Buckets.Get(name); bucket != nil {
 		return bucket
 	}
-	return world.Buckets.Put(name, carobbucket.TokenBucket{})
+	return world.Buckets.Put(name, carobtokenbucket.TokenBucket{})
 }
--- a/pkg/carobprobing/system_test.go
+++ b/pkg/carobprobing/system_test.go
@@ -8,17 +8,17 @@
 	"pgregory.net/rapid"
 
 	"github.com/carobknot/carobknot/pkg/carobchange"
-	"github.com/carobknot/carobknot/pkg/carobgate"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobgroup"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobload"
-	"github.com/carobknot/carobknot/pkg/carobmeasure"
+	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
-	"github.com/carobknot/carobknot/pkg/carobpoll"
+	"github.com/carobknot/carobknot/pkg/carobloadprobe"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobrate"
 	"github.com/carobknot/carobknot/pkg/carobreport"
@@ -35,7 +35,7 @@
 func newWorld(rate carobrate.Rate) *carobworld.World {
 	world := carobworld.NewWorld(carobworld.Config{
 		Self: carobmember.Member{Node: "one", PeerAddress: "127.0.0.1:1"}, Limits: caroblimits.NewLimits(),
-		ProbeLimits: carobmeasure.ProbeLimits{BytesPerSecond: rate, CPUShare: 0.01},
+		ProbeLimits: carobprobelimits.ProbeLimits{BytesPerSecond: rate, CPUShare: 0.01},
 	})
 	world.Profiles.Put("p", carobrevision.Revision{Change: carobchange.Change{Profile: carobprofile.NewProfile("p")}})
 	world.Groups.Put("lookups", carobgroup.Group{Profile: "p", Targets: []carobtargetid.ID{other}})
@@ -76,11 +76,11 @@
 	s, world := NewSystem(), newWorld(2048)
 	own := carobtargetid.ID{Service: "lookups", Name: "a"}
 	world.Targets.Put(own, carobtarget.Target{ID: own, Node: "one"})
-	world.AdmissionStates.Put(own, carobgate.AdmissionState{Limit: 12, Running: 3, Queued: 1, Latency: time.Second, LatencyStart: now.Add(-time.Minute)})
-	sent := tick(s, world, now, carobmessage.Message{ReplyTo: "127.0.0.1:2", LoadProbe: &carobpoll.LoadProbe{Target: own}})
+	world.AdmissionStates.Put(own, carobadmissionstate.AdmissionState{Limit: 12, Running: 3, Queued: 1, Latency: time.Second, LatencyStart: now.Add(-time.Minute)})
+	sent := tick(s, world, now, carobmessage.Message{ReplyTo: "127.0.0.1:2", LoadProbe: &carobloadprobe.LoadProbe{Target: own}})
 	require.Len(t, sent, 1)
 	require.Equal(t, &carobreport.Report{Target: own, Running: 3, Queued: 1, Slots: 12, Latency: sent[0].Report.Latency}, sent[0].Report)
-	require.Empty(t, tick(s, world, now, carobmessage.Message{LoadProbe: &carobpoll.LoadProbe{Target: other}}), "target of another node")
+	require.Empty(t, tick(s, world, now, carobmessage.Message{LoadProbe: &carobloadprobe.LoadProbe{Target: other}}), "target of another node")
 }
 
 // Guards against probes that exceed the configured bytes or processor time,
--- a/pkg/carobprofile/profile.go
+++ b/pkg/carobprofile/profile.go
@@ -8,27 +8,27 @@
 
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobshare"
 	"github.com/carobknot/carobknot/pkg/carobsize"
-	"github.com/carobknot/carobknot/pkg/carobspan"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Profile holds the routing rules for the calls of the services that select it.
 type Profile struct {
 	// Name is the name by which services select the profile.
-	Name carobword.Name `json:"name"`
+	Name carobname.Name `json:"name"`
 	// Base is the revision that this change replaces, or None for a new
 	// profile. The change has no effect if another revision is in force.
 	Base caroboffset.Offset `json:"base"`
 	// Policy is the name of the policy that chooses a target.
-	Policy carobword.Name `json:"policy"`
+	Policy carobname.Name `json:"policy"`
 	// SubsetSize is the size of the subset of a service's targets that each entry node
 	// uses, at least 1.
 	SubsetSize int `json:"spread"`
 	// Deadline is the time until the deadline of a call whose caller sets none.
-	Deadline carobspan.Duration `json:"deadline"`
+	Deadline carobduration.Duration `json:"deadline"`
 	// Attempts is the number of attempts of a call before it waits for a free slot, at
 	// least 1.
 	Attempts int `json:"tries"`
@@ -38,10 +38,10 @@
 	// QueueLimit is the maximum number of calls queued for each target, at least 0.
 	QueueLimit int `json:"queue"`
 	// Guarantee is the limit on how often a call may run.
-	Guarantee carobonce.Guarantee `json:"once"`
+	Guarantee carobguarantee.Guarantee `json:"once"`
 	// ReportAgeLimit is the age of a load report at which the target is probed again; 0
 	// disables it.
-	ReportAgeLimit carobspan.Duration `json:"measure"`
+	ReportAgeLimit carobduration.Duration `json:"measure"`
 	// EjectErrorRate is how far the error rate of a target must exceed that of the other
 	// targets for it to be ejected for a while; 0 disables ejection.
 	EjectErrorRate carobshare.Share `json:"eject"`
@@ -62,23 +62,23 @@
 	MaxAttempts    = 10
 	MaxQueueLimit    = 10_000
 	MaxBufferedBodyLimit     = 16 * carobsize.MiB
-	MaxDeadline = carobspan.Duration(time.Hour)
-	MaxReportAgeLimit  = carobspan.Duration(time.Minute)
+	MaxDeadline = carobduration.Duration(time.Hour)
+	MaxReportAgeLimit  = carobduration.Duration(time.Minute)
 )
 
 // NewProfile returns a profile with the default rules.
-func NewProfile(name carobword.Name) Profile {
+func NewProfile(name carobname.Name) Profile {
 	return Profile{
 		Name:     name,
 		Base:     caroboffset.BeforeFirst,
 		Policy:   "expected",
 		SubsetSize:   16,
-		Deadline: carobspan.Duration(10 * time.Second),
+		Deadline: carobduration.Duration(10 * time.Second),
 		Attempts:    3,
 		HedgeQuantile:    0.95,
 		QueueLimit:    24,
-		Guarantee:     carobonce.OncePerCall,
-		ReportAgeLimit:  carobspan.Duration(100 * time.Millisecond),
+		Guarantee:     carobguarantee.OncePerCall,
+		ReportAgeLimit:  carobduration.Duration(100 * time.Millisecond),
 		EjectErrorRate:    0.5,
 		LocalLoadLimit:     0.8,
 		BufferedBodyLimit:     64 * carobsize.KiB,
--- a/pkg/carobreconciliation/system.go
+++ b/pkg/carobreconciliation/system.go
@@ -17,11 +17,11 @@
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
-	"github.com/carobknot/carobknot/pkg/carobprobe"
+	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
 	"github.com/carobknot/carobknot/pkg/carobrate"
 	"github.com/carobknot/carobknot/pkg/carobsize"
 	"github.com/carobknot/carobknot/pkg/carobthrottle"
-	"github.com/carobknot/carobknot/pkg/carobversion"
+	"github.com/carobknot/carobknot/pkg/carobmemberversion"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -56,7 +56,7 @@
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	for i := range w.Inbox.Messages {
 		ms := &w.Inbox.Messages[i]
-		if ms.Heartbeat != nil && len(ms.Heartbeat.Checksums) == carobprobe.Partitions {
+		if ms.Heartbeat != nil && len(ms.Heartbeat.Checksums) == carobpeerheartbeat.Partitions {
 			s.compare(w, now, ms)
 		}
 		if ms.Digest != nil {
@@ -73,7 +73,7 @@
 	if len(different) == 0 {
 		return
 	}
-	if w.PendingGossip.Len() > 0 && len(different) <= carobprobe.Partitions/2 && s.nextCompare != carobinstant.Never && !s.nextCompare.Reached(now) {
+	if w.PendingGossip.Len() > 0 && len(different) <= carobpeerheartbeat.Partitions/2 && s.nextCompare != carobinstant.Never && !s.nextCompare.Reached(now) {
 		return
 	}
 	s.nextCompare = now.Add(compareInterval)
@@ -100,8 +100,8 @@
 
 // versions returns the version of each description in a partition of the peer table, this
 // node's own included.
-func versions(w *carobworld.World, partition int) []carobversion.Version {
-	var rows []carobversion.Version
+func versions(w *carobworld.World, partition int) []carobmemberversion.Version {
+	var rows []carobmemberversion.Version
 	if carobworld.PartitionOf(w.Self.Node) == partition {
 		rows = append(rows, w.Self.Version())
 	}
@@ -131,8 +131,8 @@
 // compareVersions compares the versions of a partition. It returns the nodes whose newest
 // description the sender of the digest lacks, and those whose newest description this node
 // lacks. A node that is down and that one side has dropped is not added again.
-func compareVersions(own, others []carobversion.Version) (missing, requested []carobnodeid.ID) {
-	theirs := make(map[carobnodeid.ID]carobversion.Version, len(others))
+func compareVersions(own, others []carobmemberversion.Version) (missing, requested []carobnodeid.ID) {
+	theirs := make(map[carobnodeid.ID]carobmemberversion.Version, len(others))
 	for _, vs := range others {
 		theirs[vs.Node] = vs
 	}
--- a/pkg/carobregion/region.go
+++ b/pkg/carobregion/region.go
@@ -1,7 +1,7 @@
 // Package carobregion defines the names of regions.
 package carobregion
 
-import "github.com/carobknot/carobknot/pkg/carobword"
+import "github.com/carobknot/carobknot/pkg/carobname"
 
 // Region is the name of a group of data centres. A network partition can separate a
 // region from the others.
@@ -10,7 +10,7 @@
 // UnmarshalText decodes a name. It returns an Invalid error if the name is not a
 // word.
 func (r *Region) UnmarshalText(text []byte) error {
-	if err := carobword.Name(text).Check("region"); err != nil {
+	if err := carobname.Name(text).Check("region"); err != nil {
 		return err
 	}
 	*r = Region(text)
--- a/pkg/carobregistry/system.go
+++ b/pkg/carobregistry/system.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobannouncement"
-	"github.com/carobknot/carobknot/pkg/carobgate"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
-	"github.com/carobknot/carobknot/pkg/caroblife"
+	"github.com/carobknot/carobknot/pkg/carobinstance"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
@@ -82,7 +82,7 @@
 
 // newestLife returns the record of a target's newest incarnation, or nil. The service
 // of id may be empty, because a target may withdraw without naming its service.
-func newestLife(w *carobworld.World, id carobtargetid.ID) *caroblife.Instance {
+func newestLife(w *carobworld.World, id carobtargetid.ID) *carobinstance.Instance {
 	for _, lf := range w.Instances.All() {
 		if lf.Target.Name == id.Name && (id.Service == "" || lf.Target.Service == id.Service) {
 			return lf
@@ -105,7 +105,7 @@
 			gt.AddedAt = now
 		}
 	}
-	w.Instances.Put(an.Address, caroblife.Instance{Target: an.Target, Incarnation: an.Incarnation, Sequence: an.Sequence})
+	w.Instances.Put(an.Address, carobinstance.Instance{Target: an.Target, Incarnation: an.Incarnation, Sequence: an.Sequence})
 }
 
 // handleAnnouncement adds or updates the target of an announcement and its gate.
@@ -126,7 +126,7 @@
 	}
 	gt := w.AdmissionStates.Get(an.Target)
 	if gt == nil {
-		gt = w.AdmissionStates.Put(an.Target, carobgate.AdmissionState{AddedAt: now})
+		gt = w.AdmissionStates.Put(an.Target, carobadmissionstate.AdmissionState{AddedAt: now})
 	}
 	gt.Slots, gt.Limit = an.Slots, an.Slots
 	if !changed {
--- a/pkg/carobregistry/system_test.go
+++ b/pkg/carobregistry/system_test.go
@@ -15,7 +15,7 @@
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobregistry"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -40,21 +40,21 @@
 }
 
 // state returns the readiness of a target; empty if the target is unknown.
-func (r *rig) state(name carobword.Name) carobreadiness.Readiness {
+func (r *rig) state(name carobname.Name) carobreadiness.Readiness {
 	if tg := r.world.Targets.Get(carobtargetid.ID{Service: "lookups", Name: name}); tg != nil {
 		return tg.Readiness
 	}
 	return ""
 }
 
-func announcement(name carobword.Name, incarnation carobincarnation.Incarnation, sequence uint64, state carobreadiness.Readiness) carobannouncement.Announcement {
+func announcement(name carobname.Name, incarnation carobincarnation.Incarnation, sequence uint64, state carobreadiness.Readiness) carobannouncement.Announcement {
 	return carobannouncement.Announcement{
 		Target: carobtargetid.ID{Service: "lookups", Name: name}, Address: "127.0.0.1:1", Profile: "p",
 		Slots: 12, Connections: 1, Readiness: state, Incarnation: incarnation, Sequence: sequence,
 	}
 }
 
-func leave(name carobword.Name, incarnation carobincarnation.Incarnation) carobannouncement.Announcement {
+func leave(name carobname.Name, incarnation carobincarnation.Incarnation) carobannouncement.Announcement {
 	return carobannouncement.Announcement{Target: carobtargetid.ID{Name: name}, Withdrawn: true, Incarnation: incarnation}
 }
 
@@ -65,52 +65,52 @@
 	for _, c := range []struct {
 		name          string
 		announcements []carobannouncement.Announcement
-		want          map[carobword.Name]carobreadiness.Readiness
+		want          map[carobname.Name]carobreadiness.Readiness
 	}{
 		{
 			"older sequence",
 			[]carobannouncement.Announcement{announcement("a", 5, 4, leaving), announcement("a", 5, 3, ready)},
-			map[carobword.Name]carobreadiness.Readiness{"a": leaving},
+			map[carobname.Name]carobreadiness.Readiness{"a": leaving},
 		},
 		{
 			"newer sequence",
 			[]carobannouncement.Announcement{announcement("a", 5, 4, leaving), announcement("a", 5, 5, ready)},
-			map[carobword.Name]carobreadiness.Readiness{"a": ready},
+			map[carobname.Name]carobreadiness.Readiness{"a": ready},
 		},
 		{
 			"earlier incarnation, of another target at the address",
 			[]carobannouncement.Announcement{announcement("b", 7, 1, ready), announcement("a", 5, 9, ready)},
-			map[carobword.Name]carobreadiness.Readiness{"a": "", "b": ready},
+			map[carobname.Name]carobreadiness.Readiness{"a": "", "b": ready},
 		},
 		{
 			"later incarnation, of another target at the address",
 			[]carobannouncement.Announcement{announcement("a", 5, 9, ready), announcement("b", 7, 1, ready)},
-			map[carobword.Name]carobreadiness.Readiness{"a": "", "b": ready},
+			map[carobname.Name]carobreadiness.Readiness{"a": "", "b": ready},
 		},
 		{
 			"later incarnation of the same target restarts the sequence",
 			[]carobannouncement.Announcement{announcement("a", 5, 9, leaving), announcement("a", 7, 1, ready)},
-			map[carobword.Name]carobreadiness.Readiness{"a": ready},
+			map[carobname.Name]carobreadiness.Readiness{"a": ready},
 		},
 		{
 			"announcement after the target left",
 			[]carobannouncement.Announcement{announcement("a", 5, 1, ready), leave("a", 0), announcement("a", 5, 2, ready)},
-			map[carobword.Name]carobreadiness.Readiness{"a": ""},
+			map[carobname.Name]carobreadiness.Readiness{"a": ""},
 		},
 		{
 			"withdrawal of an earlier incarnation",
 			[]carobannouncement.Announcement{announcement("a", 7, 1, ready), leave("a", 5)},
-			map[carobword.Name]carobreadiness.Readiness{"a": ready},
+			map[carobname.Name]carobreadiness.Readiness{"a": ready},
 		},
 		{
 			"target without incarnation",
 			[]carobannouncement.Announcement{announcement("a", 0, 0, leaving), announcement("a", 0, 0, ready)},
-			map[carobword.Name]carobreadiness.Readiness{"a": ready},
+			map[carobname.Name]carobreadiness.Readiness{"a": ready},
 		},
 		{
 			"health check result after a heartbeat",
 			[]carobannouncement.Announcement{announcement("a", 5, 1, leaving), announcement("a", 0, 0, ready)},
-			map[carobword.Name]carobreadiness.Readiness{"a": leaving},
+			map[carobname.Name]carobreadiness.Readiness{"a": leaving},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/pkg/carobreport/report.go
+++ b/pkg/carobreport/report.go
@@ -2,7 +2,7 @@
 package carobreport
 
 import (
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
@@ -17,5 +17,5 @@
 	// Slots is the number of calls that may run now, at least 1.
 	Slots int `json:"slots"`
 	// Latency is the estimated time that the target needs for a call.
-	Latency carobspan.Duration `json:"latency"`
+	Latency carobduration.Duration `json:"latency"`
 }
--- a/pkg/carobwish/wish.go
+++ b/pkg/carobrequirements/requirements.go
@@ -1,11 +1,11 @@
-// Package carobwish defines the attributes of a call by which a target's node orders
+// Package carobrequirements defines the attributes of a call by which a target's node orders
 // its queue.
-package carobwish
+package carobrequirements
 
 import (
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobrequestid"
 )
 
@@ -23,7 +23,7 @@
 	// the call has none.
 	SLO time.Duration
 	// Guarantee is how often the call may run.
-	Guarantee carobonce.Guarantee
+	Guarantee carobguarantee.Guarantee
 	// Movable is set if the call can be sent to another target at little cost,
 	// instead of waiting for a slow one.
 	Movable bool
--- a/pkg/carobbudget/budget.go
+++ b/pkg/carobretrybudget/retrybudget.go
@@ -1,6 +1,6 @@
-// Package carobbudget limits the retries and hedges of a service's calls, so that
+// Package carobretrybudget limits the retries and hedges of a service's calls, so that
 // retries cannot multiply the load of an overloaded or failing service.
-package carobbudget
+package carobretrybudget
 
 // RetryBudget is the token bucket for the retries and hedges of one service at this node.
 // A retry after a refusal by a target's node costs no token, because the refused
--- a/pkg/carobretries/retries.go
+++ b/pkg/carobretrylimits/retrylimits.go
@@ -1,5 +1,5 @@
-// Package carobretries defines the settings of the retry budgets.
-package carobretries
+// Package carobretrylimits defines the settings of the retry budgets.
+package carobretrylimits
 
 import "github.com/carobknot/carobknot/pkg/carobshare"
 
--- a/pkg/carobroute/route.go
+++ b/pkg/carobroute/route.go
@@ -6,34 +6,34 @@
 	"strings"
 
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobonce"
-	"github.com/carobknot/carobknot/pkg/carobpart"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
+	"github.com/carobknot/carobknot/pkg/carobweightedservice"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
-	"github.com/carobknot/carobknot/pkg/carobspan"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Route selects the services that get the calls and how the calls are treated.
 type Route struct {
 	// Name is given by the operator and used in logs.
-	Name carobword.Name `json:"name"`
+	Name carobname.Name `json:"name"`
 	// Host is the host of the calls, without a port.
 	Host string `json:"host"`
 	// Prefix is the path prefix of the calls. It begins and ends with a slash.
 	Prefix string `json:"prefix"`
 	// Guarantee says how often a call may run.
-	Guarantee carobonce.Guarantee `json:"once"`
+	Guarantee carobguarantee.Guarantee `json:"once"`
 	// Attempts is the maximum number of targets that a call may run on, at least 1.
 	Attempts int `json:"tries"`
 	// Timeout limits the time until a call's final response; 0 is the caller's
 	// deadline.
-	Timeout carobspan.Duration `json:"timeout"`
+	Timeout carobduration.Duration `json:"timeout"`
 	// SLO is the latency that callers expect; 0 if none is set.
-	SLO carobspan.Duration `json:"slo"`
+	SLO carobduration.Duration `json:"slo"`
 	// Priority is the priority, 0 the highest.
 	Priority int `json:"rank"`
 	// WeightedServices has at least one part.
-	WeightedServices []carobpart.WeightedService `json:"split"`
+	WeightedServices []carobweightedservice.WeightedService `json:"split"`
 }
 
 // Check returns an error of kind Invalid if a field is out of bounds.
--- a/pkg/carobroutesync/system.go
+++ b/pkg/carobroutesync/system.go
@@ -12,7 +12,7 @@
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobroutefetch"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -60,7 +60,7 @@
 }
 
 // apply applies a table and reports true if it is newer than the one in force.
-func apply(w *carobworld.World, rs *carobroutes.RouteTable, from string) bool {
+func apply(w *carobworld.World, rs *carobroutetable.RouteTable, from string) bool {
 	if rs.Version <= w.RoutesVersion() {
 		return false
 	}
