--- a/pkg/carobroutesync/system_test.go
+++ b/pkg/carobroutesync/system_test.go
@@ -16,7 +16,7 @@
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobroutefetch"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobroutesync"
 	"github.com/carobknot/carobknot/pkg/carobrouteversion"
 	"github.com/carobknot/carobknot/pkg/carobworld"
@@ -61,9 +61,9 @@
 	}})
 }
 
-func table(t *testing.T, version carobrouteversion.Version) *carobroutes.RouteTable {
+func table(t *testing.T, version carobrouteversion.Version) *carobroutetable.RouteTable {
 	t.Helper()
-	rs, err := carobroutes.NewRouteTable(version, nil)
+	rs, err := carobroutetable.NewRouteTable(version, nil)
 	require.NoError(t, err)
 	return rs
 }
@@ -72,8 +72,8 @@
 // replace a newer one.
 func TestVersionsNeverGoBack(t *testing.T) {
 	r := newRig(t)
-	r.step(0, carobinbox.Inbox{RouteTables: []*carobroutes.RouteTable{table(t, 9)}})
-	r.step(time.Millisecond, carobinbox.Inbox{RouteTables: []*carobroutes.RouteTable{table(t, 5)}})
+	r.step(0, carobinbox.Inbox{RouteTables: []*carobroutetable.RouteTable{table(t, 9)}})
+	r.step(time.Millisecond, carobinbox.Inbox{RouteTables: []*carobroutetable.RouteTable{table(t, 5)}})
 	r.step(time.Millisecond, carobinbox.Inbox{Messages: []carobmessage.Message{{From: "near", Incarnation: 1, RouteTable: table(t, 8)}}})
 	require.EqualValues(t, 9, r.world.RoutesVersion())
 }
@@ -82,7 +82,7 @@
 // the node's data centre, where traffic is cheapest.
 func TestNewTableIsAnnouncedInTheDataCentre(t *testing.T) {
 	r := newRig(t)
-	sent := r.step(0, carobinbox.Inbox{RouteTables: []*carobroutes.RouteTable{table(t, 9)}})
+	sent := r.step(0, carobinbox.Inbox{RouteTables: []*carobroutetable.RouteTable{table(t, 9)}})
 	require.Len(t, sent, 1)
 	require.EqualValues(t, "near", sent[0].To)
 	require.EqualValues(t, 9, sent[0].RoutesVersion)
@@ -93,7 +93,7 @@
 // newer one before it requests it from elsewhere.
 func TestOutdatedNodeRequestsInItsDataCentreFirst(t *testing.T) {
 	r := newRig(t)
-	r.step(0, carobinbox.Inbox{RouteTables: []*carobroutes.RouteTable{table(t, 3)}})
+	r.step(0, carobinbox.Inbox{RouteTables: []*carobroutetable.RouteTable{table(t, 3)}})
 	require.Empty(t, r.receive("far", 9), "nodes of its data centre get a head start")
 	sent := r.receive("near", 9)
 	require.Len(t, sent, 1)
@@ -105,7 +105,7 @@
 // elsewhere, and again if the answer is lost.
 func TestNodeRequestsElsewhereIfItsDataCentreHasNoNewerTable(t *testing.T) {
 	r := newRig(t)
-	r.step(0, carobinbox.Inbox{RouteTables: []*carobroutes.RouteTable{table(t, 3)}})
+	r.step(0, carobinbox.Inbox{RouteTables: []*carobroutetable.RouteTable{table(t, 3)}})
 	r.receive("far", 9)
 	sent := r.step(200*time.Millisecond, carobinbox.Inbox{})
 	require.Len(t, sent, 1)
@@ -124,7 +124,7 @@
 // A request is answered only with a newer table, since any other would only cost traffic.
 func TestOnlyNewerTablesAreSent(t *testing.T) {
 	r := newRig(t)
-	r.step(0, carobinbox.Inbox{RouteTables: []*carobroutes.RouteTable{table(t, 9)}})
+	r.step(0, carobinbox.Inbox{RouteTables: []*carobroutetable.RouteTable{table(t, 9)}})
 	request := func(have carobrouteversion.Version) []carobmessage.Message {
 		return r.step(time.Millisecond, carobinbox.Inbox{Messages: []carobmessage.Message{
 			{From: "far", Incarnation: 1, ReplyTo: "far", RoutesVersion: have, RouteFetch: &carobroutefetch.Fetch{Have: have}},
--- a/pkg/carobroutes/routes.go
+++ b/pkg/carobroutetable/routetable.go
@@ -1,6 +1,6 @@
-// Package carobroutes holds the route table, which an operator publishes as a
+// Package carobroutetable holds the route table, which an operator publishes as a
 // whole.
-package carobroutes
+package carobroutetable
 
 import (
 	"cmp"
--- a/pkg/carobroutes/routes_test.go
+++ b/pkg/carobroutetable/routetable_test.go
@@ -1,4 +1,4 @@
-package carobroutes_test
+package carobroutetable_test
 
 import (
 	"encoding/json"
@@ -6,23 +6,23 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/carobknot/carobknot/pkg/carobonce"
-	"github.com/carobknot/carobknot/pkg/carobpart"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
+	"github.com/carobknot/carobknot/pkg/carobweightedservice"
 	"github.com/carobknot/carobknot/pkg/carobroute"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
 )
 
 func newRoute(host, prefix string) carobroute.Route {
 	return carobroute.Route{
-		Name: "r", Host: host, Prefix: prefix, Guarantee: carobonce.Idempotent, Attempts: 2,
-		WeightedServices: []carobpart.WeightedService{{Service: "lookups", Weight: 1}},
+		Name: "r", Host: host, Prefix: prefix, Guarantee: carobguarantee.Idempotent, Attempts: 2,
+		WeightedServices: []carobweightedservice.WeightedService{{Service: "lookups", Weight: 1}},
 	}
 }
 
 // Guards against calls that follow a shorter prefix, or that are not matched
 // because of a port or a query.
 func TestLongestPrefixWins(t *testing.T) {
-	table, err := carobroutes.NewRouteTable(7, []carobroute.Route{
+	table, err := carobroutetable.NewRouteTable(7, []carobroute.Route{
 		newRoute("a.example", "/one/"), newRoute("a.example", "/one/two/"), newRoute("b.example", "/"),
 	})
 	require.NoError(t, err)
@@ -64,21 +64,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			route := newRoute("a.example", "/one/")
 			c.change(&route)
-			_, err := carobroutes.NewRouteTable(7, []carobroute.Route{route})
+			_, err := carobroutetable.NewRouteTable(7, []carobroute.Route{route})
 			require.Error(t, err)
 		})
 	}
-	_, err := carobroutes.NewRouteTable(0, nil)
+	_, err := carobroutetable.NewRouteTable(0, nil)
 	require.Error(t, err, "a table needs a version")
 }
 
 // Guards against a decoded table without an index, in which no route matches.
 func TestTableIsUsableAfterJSONRoundTrip(t *testing.T) {
-	table, err := carobroutes.NewRouteTable(7, []carobroute.Route{newRoute("a.example", "/one/")})
+	table, err := carobroutetable.NewRouteTable(7, []carobroute.Route{newRoute("a.example", "/one/")})
 	require.NoError(t, err)
 	text, err := json.Marshal(table)
 	require.NoError(t, err)
-	var decoded carobroutes.RouteTable
+	var decoded carobroutetable.RouteTable
 	require.NoError(t, json.Unmarshal(text, &decoded))
 	require.Equal(t, table.Routes, decoded.Routes)
 	require.NotNil(t, decoded.Match("a.example", "/one/x"))
@@ -89,7 +89,7 @@
 func FuzzRoutes(f *testing.F) {
 	f.Add([]byte(`{"version":7,"routes":[{"name":"r","host":"a","prefix":"/","once":"no","tries":1,"split":[{"service":"s","weight":1}]}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var table carobroutes.RouteTable
+		var table carobroutetable.RouteTable
 		if json.Unmarshal(text, &table) != nil {
 			return
 		}
--- a/pkg/carobrouting/policies.go
+++ b/pkg/carobrouting/policies.go
@@ -3,7 +3,7 @@
 import (
 	"math/rand/v2"
 
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // policy picks a target for an attempt.
@@ -15,7 +15,7 @@
 
 // policies has all policies by the name that profiles use. A new policy needs a
 // file and a row here.
-var policies = map[carobword.Name]policy{
+var policies = map[carobname.Name]policy{
 	"expected":   expected{},
 	"leastown":   leastOwn{},
 	"local":      local{},
@@ -26,7 +26,7 @@
 }
 
 // policyOf returns the policy of a name, or expected if there is none.
-func policyOf(name carobword.Name) policy {
+func policyOf(name carobname.Name) policy {
 	if pl, ok := policies[name]; ok {
 		return pl
 	}
@@ -34,7 +34,7 @@
 }
 
 // HasPolicy reports whether a policy of that name exists.
-func HasPolicy(name carobword.Name) bool {
+func HasPolicy(name carobname.Name) bool {
 	_, ok := policies[name]
 	return ok
 }
--- a/pkg/carobrouting/policies_test.go
+++ b/pkg/carobrouting/policies_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/carobknot/carobknot/pkg/carobload"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // newCandidates returns candidates with 12 slots each.
@@ -30,7 +30,7 @@
 	similar := []time.Duration{20 * ms, 21 * ms, 19 * ms, 20 * ms}
 	for _, tc := range []struct {
 		name      string
-		policy    carobword.Name
+		policy    carobname.Name
 		inFlight  []float64
 		latencies []time.Duration
 		// want has the only indices that may be picked.
--- a/pkg/carobrouting/subset_test.go
+++ b/pkg/carobrouting/subset_test.go
@@ -14,7 +14,7 @@
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -28,7 +28,7 @@
 	})
 	group := &carobgroup.Group{}
 	for i := range targets {
-		id := carobtargetid.ID{Service: "lookups", Name: carobword.Name(fmt.Sprintf("t%d", i))}
+		id := carobtargetid.ID{Service: "lookups", Name: carobname.Name(fmt.Sprintf("t%d", i))}
 		node := carobnodeid.ID(fmt.Sprintf("n%d", i))
 		group.Targets = append(group.Targets, id)
 		world.Targets.Put(id, carobtarget.Target{ID: id, Node: node})
--- a/pkg/carobrouting/waiting_test.go
+++ b/pkg/carobrouting/waiting_test.go
@@ -18,7 +18,7 @@
 	"github.com/carobknot/carobknot/pkg/carobsize"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -28,7 +28,7 @@
 	world := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "self"}, Limits: caroblimits.NewLimits()})
 	group := carobgroup.Group{}
 	for i := range targets {
-		id := carobtargetid.ID{Service: "lookups", Name: carobword.Name(rune('a' + i))}
+		id := carobtargetid.ID{Service: "lookups", Name: carobname.Name(rune('a' + i))}
 		world.Targets.Put(id, carobtarget.Target{ID: id, Node: "self", Slots: 1, Readiness: state})
 		group.Targets = append(group.Targets, id)
 	}
--- a/pkg/carobagenda/agenda.go
+++ b/pkg/carobschedule/schedule.go
@@ -1,9 +1,9 @@
-// Package carobagenda is a priority queue of keys, ordered by the instants at
+// Package carobschedule is a priority queue of keys, ordered by the instants at
 // which they are due.
 //
 // Systems use it instead of scanning a table of thousands of rows in each tick
 // for the few that are due.
-package carobagenda
+package carobschedule
 
 import (
 	"container/heap"
--- a/pkg/carobagenda/agenda_test.go
+++ b/pkg/carobschedule/schedule_test.go
@@ -1,4 +1,4 @@
-package carobagenda
+package carobschedule
 
 import (
 	"slices"
--- a/pkg/carobsend/send.go
+++ b/pkg/carobsend/send.go
@@ -7,9 +7,9 @@
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobwish"
+	"github.com/carobknot/carobknot/pkg/carobrequirements"
 )
 
 // Send orders that an attempt is sent to a target's node.
@@ -23,9 +23,9 @@
 	// TimeLeft is the time left until the deadline of the call.
 	TimeLeft time.Duration
 	// Guarantee is how often the call may run.
-	Guarantee carobonce.Guarantee
+	Guarantee carobguarantee.Guarantee
 	// Requirements holds the priority and the SLO, by which the target's node orders its queue.
-	Requirements carobwish.Requirements
+	Requirements carobrequirements.Requirements
 	// Traceparent is the W3C traceparent header for the target's node.
 	Traceparent string
 }
--- a/pkg/carobservice/service.go
+++ b/pkg/carobservice/service.go
@@ -3,7 +3,7 @@
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Service is the name of a group of targets that answer the same calls. Callers send
@@ -13,7 +13,7 @@
 // Check returns an Invalid error if the name is not a word. Each word can be used as
 // a host name.
 func (s Service) Check() error {
-	return carobword.Name(s).Check("service")
+	return carobname.Name(s).Check("service")
 }
 
 // UnmarshalText decodes a name and checks it as Check does.
--- a/pkg/carobsettlement/settlement.go
+++ b/pkg/carobsettlement/settlement.go
@@ -3,7 +3,7 @@
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobclaim"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
@@ -15,5 +15,5 @@
 	// not run releases the key; with any other kind, it is unknown whether it ran.
 	Kind carobkind.Kind `json:"kind,omitempty"`
 	// StoredAnswer is the answer to store for resubmissions, or nil.
-	StoredAnswer *carobkept.StoredAnswer `json:"kept,omitempty"`
+	StoredAnswer *carobstoredanswer.StoredAnswer `json:"kept,omitempty"`
 }
--- a/pkg/carobshutdown/system_test.go
+++ b/pkg/carobshutdown/system_test.go
@@ -21,7 +21,7 @@
 	"github.com/carobknot/carobknot/pkg/carobshutdown"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobunsettled"
+	"github.com/carobknot/carobknot/pkg/carobpendingsettlement"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -43,7 +43,7 @@
 			func(w *carobworld.World) { w.Jobs.Delete(carobjobid.ID{Call: call}) },
 		},
 		"unsettled call": {
-			func(w *carobworld.World) { w.PendingSettlements.Put(call, carobunsettled.PendingSettlement{}) },
+			func(w *carobworld.World) { w.PendingSettlements.Put(call, carobpendingsettlement.PendingSettlement{}) },
 			func(w *carobworld.World) { w.PendingSettlements.Delete(call) },
 		},
 	}
--- a/pkg/carobparent/parent.go
+++ b/pkg/carobspancontext/spancontext.go
@@ -1,6 +1,6 @@
-// Package carobparent encodes and decodes the traceparent header of the W3C
+// Package carobspancontext encodes and decodes the traceparent header of the W3C
 // recommendation "Trace Context", which calls carry from hop to hop.
-package carobparent
+package carobspancontext
 
 import (
 	"encoding/binary"
--- a/pkg/carobparent/parent_test.go
+++ b/pkg/carobspancontext/spancontext_test.go
@@ -1,4 +1,4 @@
-package carobparent
+package carobspancontext
 
 import (
 	"math/rand/v2"
--- a/pkg/carobstart/start.go
+++ b/pkg/carobstart/start.go
@@ -6,7 +6,7 @@
 
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/carobonce"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 )
 
 // Start orders the traffic side to send a job to its target.
@@ -17,7 +17,7 @@
 	// TimeLeft is the time left until the call's deadline.
 	TimeLeft time.Duration
 	// Guarantee states how often the call may run.
-	Guarantee carobonce.Guarantee
+	Guarantee carobguarantee.Guarantee
 	// Traceparent is the trace context for the target in W3C format; empty if it is not
 	// propagated.
 	Traceparent string
--- a/pkg/carobkept/kept.go
+++ b/pkg/carobstoredanswer/storedanswer.go
@@ -1,6 +1,6 @@
-// Package carobkept defines the answers that are kept for later calls with the same
+// Package carobstoredanswer defines the answers that are kept for later calls with the same
 // idempotency key.
-package carobkept
+package carobstoredanswer
 
 // MaxBody is the length in bytes of the longest body that is kept.
 const MaxBody = 4 << 10
--- a/pkg/carobmark/mark.go
+++ b/pkg/carobstreambounds/streambounds.go
@@ -1,5 +1,5 @@
-// Package carobmark holds the bounds of the streams in the platform's log.
-package carobmark
+// Package carobstreambounds holds the bounds of the streams in the platform's log.
+package carobstreambounds
 
 import (
 	"github.com/carobknot/carobknot/pkg/caroboffset"
--- a/pkg/carobfollow/follow.go
+++ b/pkg/carobsubscription/subscription.go
@@ -1,5 +1,5 @@
-// Package carobfollow holds the effect that starts or stops the reading of a log stream.
-package carobfollow
+// Package carobsubscription holds the effect that starts or stops the reading of a log stream.
+package carobsubscription
 
 import "github.com/carobknot/carobknot/pkg/carobstream"
 
--- a/pkg/carobtarget/target.go
+++ b/pkg/carobtarget/target.go
@@ -7,7 +7,7 @@
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Target is the identity, address and announced properties of a target. Its
@@ -21,7 +21,7 @@
 	// Address is known only to the target's own node; empty on others.
 	Address carobaddress.Address `json:"-"`
 	// Profile is the name of the routing profile that the target announced.
-	Profile carobword.Name `json:"profile"`
+	Profile carobname.Name `json:"profile"`
 	// Slots is the number of calls that the target runs at once, at least 1.
 	Slots int `json:"slots"`
 	// Connections is the number of connections that the target accepts, at least 1.
--- a/pkg/carobtargetid/id.go
+++ b/pkg/carobtargetid/id.go
@@ -6,14 +6,14 @@
 
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobservice"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // ID identifies a target by its service and its name within the service.
 type ID struct {
 	Service carobservice.Service
 	// Name is unique within the service.
-	Name carobword.Name
+	Name carobname.Name
 }
 
 // String returns the ID as "service/name".
@@ -33,7 +33,7 @@
 	if !ok {
 		return carobkind.New(carobkind.Invalid, "target %q is not of the form service/name", text)
 	}
-	id := ID{Service: carobservice.Service(service), Name: carobword.Name(name)}
+	id := ID{Service: carobservice.Service(service), Name: carobname.Name(name)}
 	if err := id.Service.Check(); err != nil {
 		return err
 	}
--- a/pkg/carobpressure/pressure.go
+++ b/pkg/carobtargetload/targetload.go
@@ -1,5 +1,5 @@
-// Package carobpressure holds the load that a target reports of itself.
-package carobpressure
+// Package carobtargetload holds the load that a target reports of itself.
+package carobtargetload
 
 // TargetLoad is a target's own measurement of its load. It is as recent as the
 // response that it was attached to.
--- a/pkg/carobthrottle/throttle.go
+++ b/pkg/carobthrottle/throttle.go
@@ -3,7 +3,7 @@
 package carobthrottle
 
 import (
-	"github.com/carobknot/carobknot/pkg/carobbucket"
+	"github.com/carobknot/carobknot/pkg/carobtokenbucket"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobrate"
 	"github.com/carobknot/carobknot/pkg/carobsize"
@@ -21,7 +21,7 @@
 // the period, plus the one amount that overdraws the bucket.
 type Throttle struct {
 	config Config
-	bucket carobbucket.TokenBucket
+	bucket carobtokenbucket.TokenBucket
 }
 
 // NewThrottle returns a throttle with a full burst.
--- a/pkg/carobbucket/bucket.go
+++ b/pkg/carobtokenbucket/tokenbucket.go
@@ -1,5 +1,5 @@
-// Package carobbucket is a token bucket, which limits what is spent over time.
-package carobbucket
+// Package carobtokenbucket is a token bucket, which limits what is spent over time.
+package carobtokenbucket
 
 import "github.com/carobknot/carobknot/pkg/carobinstant"
 
--- a/pkg/carobbucket/bucket_test.go
+++ b/pkg/carobtokenbucket/tokenbucket_test.go
@@ -1,4 +1,4 @@
-package carobbucket
+package carobtokenbucket
 
 import (
 	"testing"
--- a/pkg/carobtracing/system.go
+++ b/pkg/carobtracing/system.go
@@ -12,10 +12,10 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobparent"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobspancontext"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobtrace"
+	"github.com/carobknot/carobknot/pkg/carobopenhop"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -74,12 +74,12 @@
 
 // newTrace returns a hop whose parent is the span in the header, or the first hop of a
 // new trace if the header is not a valid trace context.
-func (s *System) newTrace(header string, now carobinstant.Instant) carobtrace.OpenHop {
-	parent, ok := carobparent.Parse(header)
+func (s *System) newTrace(header string, now carobinstant.Instant) carobopenhop.OpenHop {
+	parent, ok := carobspancontext.Parse(header)
 	if !ok {
-		return carobtrace.OpenHop{Context: carobparent.NewSpanContext(s.random), StartedAt: now}
+		return carobopenhop.OpenHop{Context: carobspancontext.NewSpanContext(s.random), StartedAt: now}
 	}
-	return carobtrace.OpenHop{Context: parent.Child(s.random), Parent: parent, StartedAt: now}
+	return carobopenhop.OpenHop{Context: parent.Child(s.random), Parent: parent, StartedAt: now}
 }
 
 // propagate records the targets of the attempts that are sent and, unless propagation is
@@ -158,12 +158,12 @@
 
 // newHop returns the record of a hop that ends now, without its role, call, attempt,
 // target and kind.
-func newHop(w *carobworld.World, now carobinstant.Instant, tr *carobtrace.OpenHop) carobhop.Hop {
+func newHop(w *carobworld.World, now carobinstant.Instant, tr *carobopenhop.OpenHop) carobhop.Hop {
 	hp := carobhop.Hop{
 		Node: w.Self.Node, Traceparent: tr.Context.String(),
-		StartedAt: time.Unix(0, int64(tr.StartedAt)).UTC(), Duration: carobspan.Duration(now.Sub(tr.StartedAt)),
+		StartedAt: time.Unix(0, int64(tr.StartedAt)).UTC(), Duration: carobduration.Duration(now.Sub(tr.StartedAt)),
 	}
-	if tr.Parent != (carobparent.SpanContext{}) {
+	if tr.Parent != (carobspancontext.SpanContext{}) {
 		hp.Parent = hex.EncodeToString(tr.Parent.SpanID[:])
 	}
 	return hp
--- a/pkg/carobtracing/system_test.go
+++ b/pkg/carobtracing/system_test.go
@@ -19,10 +19,10 @@
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
-	"github.com/carobknot/carobknot/pkg/carobparent"
+	"github.com/carobknot/carobknot/pkg/carobspancontext"
 	"github.com/carobknot/carobknot/pkg/carobrefusal"
 	"github.com/carobknot/carobknot/pkg/carobsend"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobstart"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 	"github.com/carobknot/carobknot/pkg/carobworld"
@@ -60,9 +60,9 @@
 }
 
 // parse requires a header to be a valid trace context and returns the context.
-func parse(t *testing.T, header string) carobparent.SpanContext {
+func parse(t *testing.T, header string) carobspancontext.SpanContext {
 	t.Helper()
-	p, ok := carobparent.Parse(header)
+	p, ok := carobspancontext.Parse(header)
 	require.True(t, ok, header)
 	return p
 }
@@ -94,7 +94,7 @@
 	require.Len(t, hops, 1)
 	require.Equal(t, entry, hops[0].Role)
 	require.Equal(t, first, hops[0].Target, "the target is that of the delivered attempt, not of the last one")
-	require.Equal(t, carobspan.Duration(2*time.Millisecond), hops[0].Duration)
+	require.Equal(t, carobduration.Duration(2*time.Millisecond), hops[0].Duration)
 	require.Equal(t, sent, hops[0].Traceparent)
 	require.Empty(t, hops[0].Parent)
 }
--- a/pkg/carobpart/part.go
+++ b/pkg/carobweightedservice/weightedservice.go
@@ -1,5 +1,5 @@
-// Package carobpart holds a service and its weight in a route.
-package carobpart
+// Package carobweightedservice holds a service and its weight in a route.
+package carobweightedservice
 
 import "github.com/carobknot/carobknot/pkg/carobservice"
 
--- a/pkg/carobworld/calls.go
+++ b/pkg/carobworld/calls.go
@@ -1,7 +1,7 @@
 package carobworld
 
 import (
-	"github.com/carobknot/carobknot/pkg/carobbudget"
+	"github.com/carobknot/carobknot/pkg/carobretrybudget"
 	"github.com/carobknot/carobknot/pkg/carobcall"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
@@ -10,11 +10,11 @@
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
-	"github.com/carobknot/carobknot/pkg/carobring"
+	"github.com/carobknot/carobknot/pkg/carobevictingmap"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobshard"
 	"github.com/carobknot/carobknot/pkg/carobtable"
-	"github.com/carobknot/carobknot/pkg/carobunsettled"
+	"github.com/carobknot/carobknot/pkg/carobpendingsettlement"
 	"github.com/carobknot/carobknot/pkg/carobwatermark"
 )
 
@@ -22,10 +22,10 @@
 func (w *World) makeCallTables(lm caroblimits.Limits) {
 	w.Calls = carobtable.NewTable[carobcallid.ID, carobcall.Call](carobtable.Config{Limit: lm.Calls})
 	w.Jobs = carobtable.NewTable[carobjobid.ID, carobjob.Job](carobtable.Config{Limit: lm.Jobs})
-	w.RetryBudgets = carobtable.NewTable[carobservice.Service, carobbudget.RetryBudget](carobtable.Config{Limit: lm.Targets})
-	w.EndedJobs = carobring.NewEvictingMap[carobjobid.ID, carobfinish.Finish](carobring.Config{Limit: lm.Jobs})
-	w.Tombstones = carobring.NewEvictingMap[carobjobid.ID, struct{}](carobring.Config{Limit: lm.Jobs})
+	w.RetryBudgets = carobtable.NewTable[carobservice.Service, carobretrybudget.RetryBudget](carobtable.Config{Limit: lm.Targets})
+	w.EndedJobs = carobevictingmap.NewEvictingMap[carobjobid.ID, carobfinish.Finish](carobevictingmap.Config{Limit: lm.Jobs})
+	w.Tombstones = carobevictingmap.NewEvictingMap[carobjobid.ID, struct{}](carobevictingmap.Config{Limit: lm.Jobs})
 	w.Homes = carobtable.NewTable[carobshard.Shard, carobhome.Home](carobtable.Config{Limit: carobshard.Count})
-	w.PendingSettlements = carobtable.NewTable[carobcallid.ID, carobunsettled.PendingSettlement](carobtable.Config{Limit: lm.Calls})
-	w.Watermarks = carobring.NewEvictingMap[carobnodeid.ID, carobwatermark.Watermark](carobring.Config{Limit: lm.Peers})
+	w.PendingSettlements = carobtable.NewTable[carobcallid.ID, carobpendingsettlement.PendingSettlement](carobtable.Config{Limit: lm.Calls})
+	w.Watermarks = carobevictingmap.NewEvictingMap[carobnodeid.ID, carobwatermark.Watermark](carobevictingmap.Config{Limit: lm.Peers})
 }
--- a/pkg/carobworld/members.go
+++ b/pkg/carobworld/members.go
@@ -4,8 +4,8 @@
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
-	"github.com/carobknot/carobknot/pkg/carobprobe"
-	"github.com/carobknot/carobknot/pkg/carobversion"
+	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
+	"github.com/carobknot/carobknot/pkg/carobmemberversion"
 )
 
 // Describe returns this node's description of itself as it is gossiped to other nodes:
@@ -25,14 +25,14 @@
 // PartitionOf returns the partition of the peer table that a node belongs to. It depends on the
 // node's id alone, so all nodes agree on it.
 func PartitionOf(node carobnodeid.ID) int {
-	return int(carobversion.Hash(node) % carobprobe.Partitions)
+	return int(carobmemberversion.Hash(node) % carobpeerheartbeat.Partitions)
 }
 
 // Checksums returns a checksum of each partition of the peer table, this node's own description
 // included. Nodes that are down don't count, because other nodes may already have dropped
 // their rows.
 func (w *World) Checksums() []uint64 {
-	sums := make([]uint64, carobprobe.Partitions)
+	sums := make([]uint64, carobpeerheartbeat.Partitions)
 	sums[PartitionOf(w.Self.Node)] = w.Self.Version().Checksum()
 	for id, pr := range w.Peers.All() {
 		if !pr.Member.Liveness.Down() {
--- a/pkg/carobworld/world.go
+++ b/pkg/carobworld/world.go
@@ -7,38 +7,38 @@
 
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobaudit"
-	"github.com/carobknot/carobknot/pkg/carobbucket"
-	"github.com/carobknot/carobknot/pkg/carobbudget"
+	"github.com/carobknot/carobknot/pkg/carobtokenbucket"
+	"github.com/carobknot/carobknot/pkg/carobretrybudget"
 	"github.com/carobknot/carobknot/pkg/carobcall"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobdecision"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobgate"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobgroup"
 	"github.com/carobknot/carobknot/pkg/carobhome"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
-	"github.com/carobknot/carobknot/pkg/carobinquiry"
+	"github.com/carobknot/carobknot/pkg/carobpendingheartbeat"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjob"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/caroblife"
+	"github.com/carobknot/carobknot/pkg/carobinstance"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobload"
-	"github.com/carobknot/carobknot/pkg/carobmeasure"
+	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
-	"github.com/carobknot/carobknot/pkg/carobpace"
+	"github.com/carobknot/carobknot/pkg/caroblatency"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
-	"github.com/carobknot/carobknot/pkg/carobretries"
+	"github.com/carobknot/carobknot/pkg/carobretrylimits"
 	"github.com/carobknot/carobknot/pkg/carobrevision"
-	"github.com/carobknot/carobknot/pkg/carobring"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
+	"github.com/carobknot/carobknot/pkg/carobevictingmap"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobrouteversion"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobshard"
@@ -46,10 +46,10 @@
 	"github.com/carobknot/carobknot/pkg/carobtable"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobtrace"
-	"github.com/carobknot/carobknot/pkg/carobunsettled"
+	"github.com/carobknot/carobknot/pkg/carobopenhop"
+	"github.com/carobknot/carobknot/pkg/carobpendingsettlement"
 	"github.com/carobknot/carobknot/pkg/carobwatermark"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Config holds the settings that a World is created with.
@@ -57,8 +57,8 @@
 	// Self is this node's description of itself.
 	Self    carobmember.Member
 	Limits  caroblimits.Limits
-	ProbeLimits carobmeasure.ProbeLimits
-	RetryLimits carobretries.RetryLimits
+	ProbeLimits carobprobelimits.ProbeLimits
+	RetryLimits carobretrylimits.RetryLimits
 	// Seed is the seed of the random number generator.
 	Seed uint64
 }
@@ -70,8 +70,8 @@
 	// gossiped.
 	Self    carobmember.Member
 	Limits  caroblimits.Limits
-	ProbeLimits carobmeasure.ProbeLimits
-	RetryLimits carobretries.RetryLimits
+	ProbeLimits carobprobelimits.ProbeLimits
+	RetryLimits carobretrylimits.RetryLimits
 	// Random is the only random number generator that systems use, so that a run is
 	// reproducible from its seed.
 	Random *rand.Rand
@@ -85,7 +85,7 @@
 	// Targets has all known targets, including the node's own.
 	Targets *carobtable.Table[carobtargetid.ID, carobtarget.Target]
 	// Instances has the newest incarnation of a target at each address on the VM.
-	Instances *carobtable.Table[carobaddress.Address, caroblife.Instance]
+	Instances *carobtable.Table[carobaddress.Address, carobinstance.Instance]
 	// TargetsChanged is true while Groups is out of date with respect to Targets.
 	TargetsChanged bool
 	// Groups has the targets by service, derived from Targets.
@@ -101,7 +101,7 @@
 	// A node may no longer be at its address.
 	LoggedAddresses *carobtable.Table[carobnodeid.ID, carobaddress.Address]
 	// PendingHeartbeats has the heartbeats that have not been answered, by their number.
-	PendingHeartbeats *carobtable.Table[uint64, carobinquiry.PendingHeartbeat]
+	PendingHeartbeats *carobtable.Table[uint64, carobpendingheartbeat.PendingHeartbeat]
 	// LeaveAnnounced is true once this node has announced to other nodes that it leaves.
 	LeaveAnnounced bool
 
@@ -110,37 +110,37 @@
 	// Loads has the load of targets as this node sees it as an entry.
 	Loads *carobtable.Table[carobtargetid.ID, carobload.Load]
 	// Buckets has the token buckets that limit the cost of measuring.
-	Buckets *carobtable.Table[carobword.Name, carobbucket.TokenBucket]
+	Buckets *carobtable.Table[carobname.Name, carobtokenbucket.TokenBucket]
 	// Latencies has the latency statistics of each service.
-	Latencies *carobtable.Table[carobservice.Service, carobpace.Latency]
+	Latencies *carobtable.Table[carobservice.Service, caroblatency.Latency]
 
 	// Calls, admission and claims.
 
 	// Calls has the calls that this node is the entry of.
 	Calls *carobtable.Table[carobcallid.ID, carobcall.Call]
 	// AdmissionStates has the admission state of the node's own targets.
-	AdmissionStates *carobtable.Table[carobtargetid.ID, carobgate.AdmissionState]
+	AdmissionStates *carobtable.Table[carobtargetid.ID, carobadmissionstate.AdmissionState]
 	// Jobs has the jobs at the node's own targets.
 	Jobs *carobtable.Table[carobjobid.ID, carobjob.Job]
 	// EndedJobs has the most recent jobs that were started and have ended.
-	EndedJobs *carobring.EvictingMap[carobjobid.ID, carobfinish.Finish]
+	EndedJobs *carobevictingmap.EvictingMap[carobjobid.ID, carobfinish.Finish]
 	// Tombstones has the most recent fenced jobs: those that must never run.
-	Tombstones *carobring.EvictingMap[carobjobid.ID, struct{}]
+	Tombstones *carobevictingmap.EvictingMap[carobjobid.ID, struct{}]
 	// Watermarks has, for each entry node, bounds that stand for the rows evicted from
 	// Ended and Tombstones.
-	Watermarks *carobring.EvictingMap[carobnodeid.ID, carobwatermark.Watermark]
+	Watermarks *carobevictingmap.EvictingMap[carobnodeid.ID, carobwatermark.Watermark]
 	// EvictedIncarnation and EvictedFencedIncarnation stand for evicted watermarks. EvictedIncarnation is the highest
 	// incarnation of an evicted watermark, and EvictedFencedIncarnation the highest of one that covered
 	// tombstones. Neither ever decreases.
 	EvictedIncarnation, EvictedFencedIncarnation carobincarnation.Incarnation
 	// RetryBudgets has each service's budget of retries and hedges.
-	RetryBudgets *carobtable.Table[carobservice.Service, carobbudget.RetryBudget]
+	RetryBudgets *carobtable.Table[carobservice.Service, carobretrybudget.RetryBudget]
 	// Homes has the shards of idempotency keys that this node is home of.
 	Homes *carobtable.Table[carobshard.Shard, carobhome.Home]
 	// AppendCount counts the batches of claims that this node has appended.
 	AppendCount uint64
 	// PendingSettlements has the ended calls whose outcome their homes have not confirmed yet.
-	PendingSettlements *carobtable.Table[carobcallid.ID, carobunsettled.PendingSettlement]
+	PendingSettlements *carobtable.Table[carobcallid.ID, carobpendingsettlement.PendingSettlement]
 	// Paused is true if more time passed before this tick than is allowed between two
 	// ticks.
 	Paused bool
@@ -149,7 +149,7 @@
 
 	// RouteTable is the route table in force; nil if none is known. Its version never
 	// decreases.
-	RouteTable *carobroutes.RouteTable
+	RouteTable *carobroutetable.RouteTable
 	// AwaitingLog is true after a start until the node has read the log, which may hold newer
 	// profiles. Until then no profile from the log is in force.
 	AwaitingLog bool
@@ -157,7 +157,7 @@
 	// there is none. It never decreases.
 	ProfilesRead caroboffset.Offset
 	// Profiles has the profiles in force.
-	Profiles *carobtable.Table[carobword.Name, carobrevision.Revision]
+	Profiles *carobtable.Table[carobname.Name, carobrevision.Revision]
 	// RecentChanges has the most recently applied records, to send to nodes that lack them.
 	RecentChanges *carobtable.Table[caroboffset.Offset, carobrecord.Record]
 	// ChangesAfterGap has the records that follow a gap in the offsets. All their offsets are
@@ -171,9 +171,9 @@
 	// Tracing.
 
 	// OpenCallHops has the hops of the calls that this node is the entry of.
-	OpenCallHops *carobtable.Table[carobcallid.ID, carobtrace.OpenHop]
+	OpenCallHops *carobtable.Table[carobcallid.ID, carobopenhop.OpenHop]
 	// OpenJobHops has the hops of the jobs at the node's own targets.
-	OpenJobHops *carobtable.Table[carobjobid.ID, carobtrace.OpenHop]
+	OpenJobHops *carobtable.Table[carobjobid.ID, carobopenhop.OpenHop]
 
 	// The tick at hand.
 
@@ -200,8 +200,8 @@
 		// measureBuckets is the number of things whose measuring cost is limited.
 		measureBuckets = 2
 	)
-	if c.RetryLimits == (carobretries.RetryLimits{}) {
-		c.RetryLimits = carobretries.NewRetryLimits()
+	if c.RetryLimits == (carobretrylimits.RetryLimits{}) {
+		c.RetryLimits = carobretrylimits.NewRetryLimits()
 	}
 	w := &World{
 		Self:         c.Self,
@@ -213,20 +213,20 @@
 		ProbeLimits:     c.ProbeLimits,
 		Random:      rand.New(rand.NewPCG(c.Seed, randomStream)), //nolint:gosec // runs must be reproducible from a seed
 		Targets:     carobtable.NewTable[carobtargetid.ID, carobtarget.Target](carobtable.Config{Limit: c.Limits.Targets}),
-		Instances:       carobtable.NewTable[carobaddress.Address, caroblife.Instance](carobtable.Config{Limit: carobmember.MaxTargets}),
+		Instances:       carobtable.NewTable[carobaddress.Address, carobinstance.Instance](carobtable.Config{Limit: carobmember.MaxTargets}),
 		RetryLimits:     c.RetryLimits,
 		Groups:      carobtable.NewTable[carobservice.Service, carobgroup.Group](carobtable.Config{Limit: c.Limits.Targets}),
-		Buckets:     carobtable.NewTable[carobword.Name, carobbucket.TokenBucket](carobtable.Config{Limit: measureBuckets}),
-		Latencies:       carobtable.NewTable[carobservice.Service, carobpace.Latency](carobtable.Config{Limit: c.Limits.Targets}),
+		Buckets:     carobtable.NewTable[carobname.Name, carobtokenbucket.TokenBucket](carobtable.Config{Limit: measureBuckets}),
+		Latencies:       carobtable.NewTable[carobservice.Service, caroblatency.Latency](carobtable.Config{Limit: c.Limits.Targets}),
 		Loads:       carobtable.NewTable[carobtargetid.ID, carobload.Load](carobtable.Config{Limit: c.Limits.Targets}),
-		AdmissionStates:       carobtable.NewTable[carobtargetid.ID, carobgate.AdmissionState](carobtable.Config{Limit: c.Limits.Targets}),
+		AdmissionStates:       carobtable.NewTable[carobtargetid.ID, carobadmissionstate.AdmissionState](carobtable.Config{Limit: c.Limits.Targets}),
 		PendingGossip:        carobtable.NewTable[carobnodeid.ID, struct{}](carobtable.Config{Limit: c.Limits.Peers}),
 		LoggedAddresses:       carobtable.NewTable[carobnodeid.ID, carobaddress.Address](carobtable.Config{Limit: c.Limits.Peers}),
-		PendingHeartbeats:   carobtable.NewTable[uint64, carobinquiry.PendingHeartbeat](carobtable.Config{Limit: maxUnansweredHeartbeats}),
+		PendingHeartbeats:   carobtable.NewTable[uint64, carobpendingheartbeat.PendingHeartbeat](carobtable.Config{Limit: maxUnansweredHeartbeats}),
 		Peers:       carobtable.NewTable[carobnodeid.ID, carobpeer.Peer](carobtable.Config{Limit: c.Limits.Peers}),
-		OpenCallHops:  carobtable.NewTable[carobcallid.ID, carobtrace.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Calls}),
-		OpenJobHops:   carobtable.NewTable[carobjobid.ID, carobtrace.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Jobs}),
-		Profiles:    carobtable.NewTable[carobword.Name, carobrevision.Revision](carobtable.Config{Limit: carobrevision.MaxProfiles}),
+		OpenCallHops:  carobtable.NewTable[carobcallid.ID, carobopenhop.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Calls}),
+		OpenJobHops:   carobtable.NewTable[carobjobid.ID, carobopenhop.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Jobs}),
+		Profiles:    carobtable.NewTable[carobname.Name, carobrevision.Revision](carobtable.Config{Limit: carobrevision.MaxProfiles}),
 	}
 	w.makeCallTables(c.Limits)
 	return w
@@ -275,14 +275,14 @@
 
 // RetryBudgetOf returns a service's budget of retries and hedges. If the table is full, a
 // service without a row gets an empty budget, which allows none.
-func (w *World) RetryBudgetOf(service carobservice.Service) *carobbudget.RetryBudget {
+func (w *World) RetryBudgetOf(service carobservice.Service) *carobretrybudget.RetryBudget {
 	if bg := w.RetryBudgets.Get(service); bg != nil {
 		return bg
 	}
-	if bg := w.RetryBudgets.Put(service, carobbudget.RetryBudget{Tokens: w.maxRetryTokens()}); bg != nil {
+	if bg := w.RetryBudgets.Put(service, carobretrybudget.RetryBudget{Tokens: w.maxRetryTokens()}); bg != nil {
 		return bg
 	}
-	return &carobbudget.RetryBudget{}
+	return &carobretrybudget.RetryBudget{}
 }
 
 // CreditRetryBudget credits the budget of a service for a call.
@@ -320,7 +320,7 @@
 }
 
 // AuditRoutes records in the audit trail that a newer route table came from a source.
-func (w *World) AuditRoutes(from string, rs *carobroutes.RouteTable) {
+func (w *World) AuditRoutes(from string, rs *carobroutetable.RouteTable) {
 	w.Audit("routes", from, "route table",
 		strconv.FormatUint(uint64(w.RoutesVersion()), 10), strconv.FormatUint(uint64(rs.Version), 10))
 }
--- a/test/capacity/cluster_test.go
+++ b/test/capacity/cluster_test.go
@@ -19,7 +19,7 @@
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
-	"github.com/carobknot/carobknot/pkg/carobmark"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
@@ -29,7 +29,7 @@
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -131,7 +131,7 @@
 
 func (c *cluster) announce(n *node, service string, state carobreadiness.Readiness) {
 	c.step(n, carobinbox.Inbox{Announcements: []carobannouncement.Announcement{{
-		Target:  carobtargetid.ID{Service: carobservice.Service(service), Name: carobword.Name(n.self.Node)},
+		Target:  carobtargetid.ID{Service: carobservice.Service(service), Name: carobname.Name(n.self.Node)},
 		Address: "127.0.0.1:8000", Profile: "lookups", Slots: 12, Connections: 200, Readiness: state,
 	}}})
 }
@@ -152,7 +152,7 @@
 		}
 	}
 	next := caroboffset.Offset(len(c.streams[stream]))
-	c.send(n, logLatency, carobinbox.Inbox{Records: kept, StreamBounds: []carobmark.StreamBounds{{Stream: stream, First: first, Next: next}}})
+	c.send(n, logLatency, carobinbox.Inbox{Records: kept, StreamBounds: []carobstreambounds.StreamBounds{{Stream: stream, First: first, Next: next}}})
 }
 
 // append appends a record and passes it on to all.
--- a/test/capacity/membership_test.go
+++ b/test/capacity/membership_test.go
@@ -14,10 +14,10 @@
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobservice"
-	"github.com/carobknot/carobknot/pkg/carobstanding"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // all reports whether something is so for all nodes that live.
@@ -31,10 +31,10 @@
 }
 
 // standing returns what a node says of another, or Gone if it knows nothing.
-func (n *node) standing(other *node) carobstanding.Liveness {
+func (n *node) standing(other *node) carobliveness.Liveness {
 	pr := n.core.World().Peers.Get(other.self.Node)
 	if pr == nil || pr.Member.Incarnation != other.self.Incarnation {
-		return carobstanding.Left
+		return carobliveness.Left
 	}
 	return pr.Member.Liveness
 }
@@ -51,7 +51,7 @@
 	return c.all(func(n *node) bool {
 		known := 0
 		for _, pr := range n.core.World().Peers.All() {
-			if pr.Member.Liveness == carobstanding.Alive {
+			if pr.Member.Liveness == carobliveness.Alive {
 				known++
 			}
 		}
@@ -99,7 +99,7 @@
 	gone := c.nodes[7]
 	gone.dead = true
 	took := c.runUntil(30*time.Second, func() bool {
-		return c.all(func(n *node) bool { return n.standing(gone) == carobstanding.Unreachable })
+		return c.all(func(n *node) bool { return n.standing(gone) == carobliveness.Unreachable })
 	})
 	require.Less(t, took, 15*time.Second)
 	require.True(t, c.all(func(n *node) bool { return n.core.World().Targets.Len() == 19 }), "its targets get no calls")
@@ -107,7 +107,7 @@
 	for _, n := range c.nodes {
 		for _, other := range c.nodes {
 			if n != other && !n.dead && other != gone {
-				require.Equal(t, carobstanding.Alive, n.standing(other))
+				require.Equal(t, carobliveness.Alive, n.standing(other))
 			}
 		}
 	}
@@ -123,7 +123,7 @@
 	}
 	for range 120 {
 		c.run(500 * time.Millisecond)
-		require.True(t, c.all(func(n *node) bool { return n == victim || n.standing(victim) != carobstanding.Unreachable }))
+		require.True(t, c.all(func(n *node) bool { return n == victim || n.standing(victim) != carobliveness.Unreachable }))
 	}
 }
 
@@ -159,7 +159,7 @@
 	c.nodes[5].dead = true
 	next := c.start(5, 2)
 	took := c.runUntil(10*time.Second, func() bool {
-		return c.all(func(n *node) bool { return n == next || n.standing(next) == carobstanding.Alive })
+		return c.all(func(n *node) bool { return n == next || n.standing(next) == carobliveness.Alive })
 	})
 	require.Less(t, took, 3*time.Second)
 }
@@ -194,7 +194,7 @@
 	c := newCluster(t)
 	c.gather(20)
 	for i := range 20 {
-		id := carobtargetid.ID{Service: carobservice.Service(fmt.Sprint("service-", i%17)), Name: carobword.Name(fmt.Sprint("node-", i))}
+		id := carobtargetid.ID{Service: carobservice.Service(fmt.Sprint("service-", i%17)), Name: carobname.Name(fmt.Sprint("node-", i))}
 		c.announce(c.nodes[i], string(id.Service), carobreadiness.Ready)
 		c.run(100 * time.Millisecond)
 		c.announce(c.nodes[i], string(id.Service), carobreadiness.Leaving)
@@ -237,7 +237,7 @@
 	require.Less(t, c.runUntil(10*time.Second, func() bool { return leaver.stopped }), 10*time.Second)
 	leaver.dead = true
 	took := c.runUntil(10*time.Second, func() bool {
-		return c.all(func(n *node) bool { return n.standing(leaver) == carobstanding.Left })
+		return c.all(func(n *node) bool { return n.standing(leaver) == carobliveness.Left })
 	})
 	require.Less(t, took, time.Second)
 	c.run(11 * time.Minute)
--- a/test/fuzz/checks_test.go
+++ b/test/fuzz/checks_test.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobcheck"
-	"github.com/carobknot/carobknot/pkg/carobhealth"
+	"github.com/carobknot/carobknot/pkg/carobhealthcheck"
+	"github.com/carobknot/carobknot/pkg/carobcheckresult"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
-	"github.com/carobknot/carobknot/pkg/carobpressure"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 )
 
 const (
@@ -21,10 +21,10 @@
 
 // check asks a target how its VM is. The answer may be lost, which the node notices
 // late or never.
-func (n *node) check(ck carobcheck.HealthCheck) {
+func (n *node) check(ck carobhealthcheck.HealthCheck) {
 	s := n.s
 	tg := s.targetAt(ck.Address)
-	hl := carobhealth.CheckResult{Target: ck.Target}
+	hl := carobcheckresult.CheckResult{Target: ck.Target}
 	wait := s.jitter(localTime)
 	switch {
 	case s.chance(lostCheck / 2):
@@ -32,7 +32,7 @@
 	case tg.down || s.chance(lostCheck):
 		wait = s.jitter(retryPause)
 	default:
-		hl.TargetLoad = &carobpressure.TargetLoad{Slots: 2, Slowness: 1}
+		hl.TargetLoad = &carobtargetload.TargetLoad{Slots: 2, Slowness: 1}
 		if s.chance(slowVM) {
 			hl.TargetLoad.Slowness = 5
 		}
--- a/test/fuzz/claims_test.go
+++ b/test/fuzz/claims_test.go
@@ -3,11 +3,11 @@
 import (
 	"slices"
 
-	"github.com/carobknot/carobknot/pkg/carobcommit"
-	"github.com/carobknot/carobknot/pkg/carobcommitted"
+	"github.com/carobknot/carobknot/pkg/carobappendrequest"
+	"github.com/carobknot/carobknot/pkg/carobappendresult"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobmark"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
 	"github.com/carobknot/carobknot/pkg/carobstream"
@@ -44,7 +44,7 @@
 		for i := range records {
 			records[i].Stream = stream
 		}
-		mark := carobmark.StreamBounds{Stream: stream, First: st.first, Next: from + caroboffset.Offset(len(records))}
+		mark := carobstreambounds.StreamBounds{Stream: stream, First: st.first, Next: from + caroboffset.Offset(len(records))}
 		if len(records) > 0 {
 			n.do(n.s.jitter(hopTime), func() {
 				n.post(func(in *carobinbox.Inbox) {
@@ -59,9 +59,9 @@
 }
 
 // commit appends once and tells how that went.
-func (n *node) commit(cm carobcommit.AppendRequest) {
+func (n *node) commit(cm carobappendrequest.AppendRequest) {
 	n.s.appendLog(cm.Stream, cm.Data, func(sure bool) {
-		cd := carobcommitted.AppendResult{Stream: cm.Stream, Number: cm.Number}
+		cd := carobappendresult.AppendResult{Stream: cm.Stream, Number: cm.Number}
 		if !sure {
 			cd.Kind = carobkind.AppendUncertain
 		}
--- a/test/fuzz/decoders_test.go
+++ b/test/fuzz/decoders_test.go
@@ -23,7 +23,7 @@
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
-	"github.com/carobknot/carobknot/pkg/carobsupply"
+	"github.com/carobknot/carobknot/pkg/carobfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
@@ -146,7 +146,7 @@
 	gossip.Gossip = &carobgossip.Gossip{Members: []carobmember.Member{{Node: "n2", Region: "r", Centre: "c", PeerAddress: "10.0.0.2:7", Targets: []carobtarget.Target{
 		{ID: carobtargetid.ID{Service: "a", Name: "b"}, Node: "n2", Profile: "a", Slots: 1, Connections: 1, Readiness: carobreadiness.Ready},
 	}}}}
-	supply.FetchReply = &carobsupply.FetchReply{Snapshot: &carobsnapshot.Snapshot{LastOffset: 3}}
+	supply.FetchReply = &carobfetchreply.FetchReply{Snapshot: &carobsnapshot.Snapshot{LastOffset: 3}}
 	for _, ms := range []carobmessage.Message{base, gossip, supply, everything()} {
 		data, err := codec.Marshal(ms)
 		require.NoError(f, err)
--- a/test/fuzz/entry_test.go
+++ b/test/fuzz/entry_test.go
@@ -10,7 +10,7 @@
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
@@ -120,7 +120,7 @@
 	n.s.oracle.told(call.String(), "answered", strings.Clone(at.body))
 	n.post(func(in *carobinbox.Inbox) {
 		in.Deliveries = append(in.Deliveries, carobdelivery.Delivery{
-			Job: carobjobid.ID{Call: call, Attempt: cn.Attempt}, StoredAnswer: &carobkept.StoredAnswer{Body: []byte(at.body)},
+			Job: carobjobid.ID{Call: call, Attempt: cn.Attempt}, StoredAnswer: &carobstoredanswer.StoredAnswer{Body: []byte(at.body)},
 		})
 	})
 }
--- a/test/fuzz/mutations_test.go
+++ b/test/fuzz/mutations_test.go
@@ -9,7 +9,7 @@
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobfencereply"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobgrant"
+	"github.com/carobknot/carobknot/pkg/carobclaimresult"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobjobstate"
 	"github.com/carobknot/carobknot/pkg/carobkind"
@@ -110,7 +110,7 @@
 	{name: "grant every claim", resubmit: true, decide: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
 		for _, ms := range out.Messages {
 			if ms.ClaimReply != nil {
-				ms.ClaimReply.Result = carobgrant.Granted
+				ms.ClaimReply.Result = carobclaimresult.Granted
 			}
 		}
 	}},
--- a/test/fuzz/node_test.go
+++ b/test/fuzz/node_test.go
@@ -17,8 +17,8 @@
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
-	"github.com/carobknot/carobknot/pkg/carobmark"
-	"github.com/carobknot/carobknot/pkg/carobmeasure"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
+	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
@@ -53,7 +53,7 @@
 	reports          map[carobtargetid.ID]carobreport.Report
 	// marks and waiting have, by stream, what the last read found and what is to
 	// be appended.
-	marks   map[carobstream.Stream]carobmark.StreamBounds
+	marks   map[carobstream.Stream]carobstreambounds.StreamBounds
 	waiting map[carobstream.Stream][]byte
 	// idle counts the ticks in a row that asked for another at once.
 	idle int
@@ -95,7 +95,7 @@
 	s.lives++
 	n := &node{
 		s: s, place: place, alive: true, born: s.elapsed(), logless: s.elapsed(),
-		marks: map[carobstream.Stream]carobmark.StreamBounds{}, follows: map[carobstream.Stream]int{}, waiting: map[carobstream.Stream][]byte{},
+		marks: map[carobstream.Stream]carobstreambounds.StreamBounds{}, follows: map[carobstream.Stream]int{}, waiting: map[carobstream.Stream][]byte{},
 		skew:  time.Duration(s.random.Int64N(int64(time.Hour))),
 		calls: map[carobcallid.ID]*exchange{}, tasks: map[carobjobid.ID]*task{}, reports: map[carobtargetid.ID]carobreport.Report{},
 		self: carobmember.Member{
@@ -103,7 +103,7 @@
 			Region: "bavaria", Centre: "west", PeerAddress: peerAddress(place),
 		},
 	}
-	measure := carobmeasure.NewProbeLimits()
+	measure := carobprobelimits.NewProbeLimits()
 	if s.plan.checked {
 		measure.ChecksPerSecond = checks
 	}
@@ -324,7 +324,7 @@
 			rc.Stream = stream
 			records = append(records, rc)
 		}
-		mark := carobmark.StreamBounds{Stream: stream, First: st.first, Next: end}
+		mark := carobstreambounds.StreamBounds{Stream: stream, First: st.first, Next: end}
 		if mark != n.marks[stream] || len(records) > 0 {
 			n.marks[stream] = mark
 			n.post(func(in *carobinbox.Inbox) {
--- a/test/fuzz/simulation_test.go
+++ b/test/fuzz/simulation_test.go
@@ -15,7 +15,7 @@
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // simulation is several nodes, their targets, the network and the log, all in
@@ -90,7 +90,7 @@
 	s.now = 1
 	for place := range places {
 		for _, sv := range services {
-			id := carobtargetid.ID{Service: sv.name, Name: carobword.Name(fmt.Sprintf("t%d", place))}
+			id := carobtargetid.ID{Service: sv.name, Name: carobname.Name(fmt.Sprintf("t%d", place))}
 			tg := &fakeTarget{s: s, id: id, place: place, pace: 1, address: carobaddress.Address(fmt.Sprintf("10.0.1.%d:%d", place, len(s.targets)+1))}
 			s.targets = append(s.targets, tg)
 			tg.beat()
@@ -327,7 +327,7 @@
 		return
 	}
 	n, an := t.s.nodes[t.place], carobannouncement.Announcement{
-		Target: t.id, Withdrawn: t.gone, Address: t.address, Profile: carobword.Name(t.id.Service),
+		Target: t.id, Withdrawn: t.gone, Address: t.address, Profile: carobname.Name(t.id.Service),
 		Slots: 2, Connections: 8, Readiness: t.state,
 	}
 	n.do(localTime, func() {
