--- a/internal/carobadmitter/native.go
+++ b/internal/carobadmitter/native.go
@@ -9,10 +9,10 @@
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobtargetload"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobstart"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 )
 
 // native is the system's own way to speak to targets.
--- a/internal/carobbehaviour/behaviour.go
+++ b/internal/carobbehaviour/behaviour.go
@@ -5,8 +5,8 @@
 import (
 	"encoding/json"
 
-	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
 // Behaviour is what a stand-in does from now on. It is changed on command.
@@ -31,7 +31,7 @@
 	// Cold is how long the target warms up after its start or after it was told
 	// to be cold again; a call takes Chill times as long at the beginning.
 	Cold  carobduration.Duration `json:"cold"`
-	Chill float64        `json:"chill"`
+	Chill float64                `json:"chill"`
 	// Fail answers every call with an error at once.
 	Fail bool `json:"fail"`
 	// Shed answers every call with 503 at once, without running it.
--- a/internal/carobentrance/kept.go
+++ b/internal/carobentrance/kept.go
@@ -9,8 +9,8 @@
 	"github.com/carobknot/carobknot/internal/carobanswer"
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/caroboutcome"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
 // deliverKept gives a caller the answer to an earlier call with its key.
--- a/internal/carobfault/fault.go
+++ b/internal/carobfault/fault.go
@@ -2,8 +2,8 @@
 package carobfault
 
 import (
-	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
 // Fault is set on command and stays until the next command. The zero value is a
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -7,15 +7,15 @@
 
 	"github.com/carobknot/carobknot/internal/carobdocument"
 	"github.com/carobknot/carobknot/pkg/carobcentre"
+	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobprobelimits"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobretrylimits"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobshare"
-	"github.com/carobknot/carobknot/pkg/carobduration"
-	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Scenario is a deployment and its load.
@@ -31,7 +31,7 @@
 	// Measure, Retries and Profile are what nodes go by.
 	Measure carobprobelimits.ProbeLimits `json:"measure"`
 	Retries carobretrylimits.RetryLimits `json:"retries"`
-	Profile carobprofile.Profile `json:"profile"`
+	Profile carobprofile.Profile         `json:"profile"`
 	// Services has at least one.
 	Services []service `json:"services"`
 	// Kinds has at least one; a kind that others call comes before them.
@@ -65,13 +65,13 @@
 	Rate float64 `json:"rate"`
 	// Work is the mean time that a target takes, and Spread its standard deviation as a
 	// part of it.
-	Work   carobduration.Duration   `json:"work"`
-	Spread carobshare.Share `json:"spread"`
+	Work   carobduration.Duration `json:"work"`
+	Spread carobshare.Share       `json:"spread"`
 	// Slo, Timeout and Deadline are what callers want, the longest that the operator lets
 	// them wait, and when they give up.
-	Slo      carobduration.Duration `json:"slo"`
-	Timeout  carobduration.Duration `json:"timeout"`
-	Deadline carobduration.Duration `json:"deadline"`
+	Slo      carobduration.Duration   `json:"slo"`
+	Timeout  carobduration.Duration   `json:"timeout"`
+	Deadline carobduration.Duration   `json:"deadline"`
 	Once     carobguarantee.Guarantee `json:"once"`
 	// Rank is the priority, 0 the highest.
 	Rank int `json:"rank"`
--- a/internal/carobsettings/settings.go
+++ b/internal/carobsettings/settings.go
@@ -10,14 +10,14 @@
 	"github.com/carobknot/carobknot/internal/carobdocument"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobcentre"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
-	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
+	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobregion"
 	"github.com/carobknot/carobknot/pkg/carobretrylimits"
-	"github.com/carobknot/carobknot/pkg/carobduration"
 )
 
 // Settings is what a node is told about itself.
@@ -37,8 +37,8 @@
 	// Log is the URL of the platform's log.
 	Log string `json:"log"`
 	// Seeds are peer addresses of other nodes to begin with. May be empty.
-	Seeds   []carobaddress.Address `json:"seeds"`
-	Measure carobprobelimits.ProbeLimits   `json:"measure"`
+	Seeds   []carobaddress.Address       `json:"seeds"`
+	Measure carobprobelimits.ProbeLimits `json:"measure"`
 	// Retries bounds what is sent again.
 	Retries carobretrylimits.RetryLimits `json:"retries"`
 	// Silence is how long a target may go without an announcement.
--- a/internal/carobstandtarget/target.go
+++ b/internal/carobstandtarget/target.go
@@ -14,8 +14,8 @@
 	"github.com/carobknot/carobknot/internal/carobbehaviour"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
-	"github.com/carobknot/carobknot/pkg/carobtargetid"
 	"github.com/carobknot/carobknot/pkg/carobname"
+	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
 // Config is how a target is made.
--- a/internal/carobstatus/status.go
+++ b/internal/carobstatus/status.go
@@ -6,17 +6,17 @@
 	"slices"
 
 	"github.com/carobknot/carobknot/pkg/carobcentre"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobprobing"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobregion"
-	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -59,7 +59,7 @@
 	Slots   int                      `json:"slots"`
 	Running int                      `json:"running"`
 	Queued  int                      `json:"queued"`
-	Latency carobduration.Duration           `json:"latency"`
+	Latency carobduration.Duration   `json:"latency"`
 	// Age is that of the report; 0 for own targets.
 	Age carobduration.Duration `json:"age"`
 	// Known is false while there is no report.
@@ -101,10 +101,10 @@
 	for name, rv := range w.Profiles.All() {
 		st.Profiles = append(st.Profiles, profile{Name: name, Offset: rv.Offset, Who: rv.Change.Who})
 	}
-	if bk := w.Buckets.Get(carobprobing.BytesBucket); bk != nil {
+	if bk := w.ProbeBuckets.Get(carobprobing.BytesBucket); bk != nil {
 		st.Measured.Bytes, st.Measured.Denied = bk.Spent, bk.Denied
 	}
-	if bk := w.Buckets.Get(carobprobing.CPUTimeBucket); bk != nil {
+	if bk := w.ProbeBuckets.Get(carobprobing.CPUTimeBucket); bk != nil {
 		st.Measured.Seconds = bk.Spent
 	}
 	for _, bg := range w.RetryBudgets.All() {
--- a/internal/carobsummary/summary.go
+++ b/internal/carobsummary/summary.go
@@ -10,9 +10,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboutcome"
-	"github.com/carobknot/carobknot/pkg/carobduration"
 )
 
 // Config is how a summary is made.
--- a/internal/carobtimer/timer.go
+++ b/internal/carobtimer/timer.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobschedule"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobschedule"
 )
 
 // Timer tells the time and wakes its subscribers.
--- a/pkg/carobadmission/limit.go
+++ b/pkg/carobadmission/limit.go
@@ -26,9 +26,9 @@
 // jobLimit returns how many jobs may run at a target now, at least 1. The limit is
 // lower while neighbours of the VM use its processor: jobs then take several times as
 // long, and starting more of them would only delay all of them.
-func jobLimit(gt *carobadmissionstate.AdmissionState, now carobinstant.Instant) int {
-	slots := float64(gt.Slots)
-	if gt.Slowness > slownessThreshold && now.Sub(gt.SlownessReadAt) < maxLimitReadingAge {
+func jobLimit(as *carobadmissionstate.AdmissionState, now carobinstant.Instant) int {
+	slots := float64(as.Slots)
+	if as.Slowness > slownessThreshold && now.Sub(as.SlownessReadAt) < maxLimitReadingAge {
 		slots *= slowSlotShare
 	}
 	return max(1, int(slots+0.5))
@@ -37,9 +37,9 @@
 // jobLimitFor returns the number of running jobs below which the job may start, at
 // least 1. Some slots are reserved for nested calls because targets that call each
 // other would deadlock if jobs waiting for nested calls held every slot.
-func jobLimitFor(gt *carobadmissionstate.AdmissionState, now carobinstant.Instant, jb *carobjob.Job) int {
-	if isNested(jb) || gt.LastNestedAt == carobinstant.Never || now.Sub(gt.LastNestedAt) > reservationPeriod {
-		return gt.Limit
+func jobLimitFor(as *carobadmissionstate.AdmissionState, now carobinstant.Instant, jb *carobjob.Job) int {
+	if isNested(jb) || as.LastNestedAt == carobinstant.Never || now.Sub(as.LastNestedAt) > reservationPeriod {
+		return as.Limit
 	}
-	return max(1, gt.Limit-int(reservedSlotShare*float64(gt.Limit)+0.5))
+	return max(1, as.Limit-int(reservedSlotShare*float64(as.Limit)+0.5))
 }
--- a/pkg/carobadmission/slowness.go
+++ b/pkg/carobadmission/slowness.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobhealthcheck"
 	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobcheckresult"
+	"github.com/carobknot/carobknot/pkg/carobhealthcheck"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
@@ -47,49 +47,49 @@
 	checkBurst = 0.25
 )
 
-// handleHealth records the result of a health check and updates the job limit.
-func handleHealth(w *carobworld.World, now carobinstant.Instant, hl carobcheckresult.CheckResult) {
-	gt := w.AdmissionStates.Get(hl.Target)
-	if gt == nil {
+// handleCheckResult records the result of a health check and updates the job limit.
+func handleCheckResult(w *carobworld.World, now carobinstant.Instant, result carobcheckresult.CheckResult) {
+	as := w.AdmissionStates.Get(result.Target)
+	if as == nil {
 		return
 	}
-	gt.CheckSentAt = carobinstant.Never
+	as.CheckSentAt = carobinstant.Never
 	switch {
-	case hl.TargetLoad == nil:
-		gt.CheckBackoffEnd = now.Add(unansweredBackoff)
+	case result.TargetLoad == nil:
+		as.CheckBackoffEnd = now.Add(unansweredBackoff)
 		return
-	case hl.TargetLoad.Slowness == 0:
-		gt.CheckBackoffEnd = now.Add(noReadingBackoff)
+	case result.TargetLoad.Slowness == 0:
+		as.CheckBackoffEnd = now.Add(noReadingBackoff)
 		return
 	}
-	recordReading(gt, now, hl.TargetLoad.Slowness)
-	gt.Limit = jobLimit(gt, now)
-	gt.ReportDue = true
+	recordReading(as, now, result.TargetLoad.Slowness)
+	as.Limit = jobLimit(as, now)
+	as.ReportDue = true
 }
 
 // recordReading records a slowness reading of a target's VM. A reading that is not slow
 // becomes the baseline at once. If all readings are slow for baselineDelay, at most
 // maxReadingGap apart, their minimum becomes the baseline.
-func recordReading(gt *carobadmissionstate.AdmissionState, now carobinstant.Instant, slowness float64) {
-	previous := gt.SlownessReadAt
-	gt.Slowness, gt.SlownessReadAt = slowness, now
+func recordReading(as *carobadmissionstate.AdmissionState, now carobinstant.Instant, slowness float64) {
+	previous := as.SlownessReadAt
+	as.Slowness, as.SlownessReadAt = slowness, now
 	switch {
-	case !isSlow(gt):
-		gt.Baseline, gt.SlowSince = max(1, slowness), carobinstant.Never
-	case gt.SlowSince == carobinstant.Never || now.Sub(previous) > maxReadingGap:
-		gt.SlowSince, gt.MinSlowness = now, slowness
+	case !isSlow(as):
+		as.Baseline, as.SlowSince = max(1, slowness), carobinstant.Never
+	case as.SlowSince == carobinstant.Never || now.Sub(previous) > maxReadingGap:
+		as.SlowSince, as.MinSlowness = now, slowness
 	default:
-		gt.MinSlowness = min(gt.MinSlowness, slowness)
-		if gt.SlowSince.Add(baselineDelay).Reached(now) {
-			gt.Baseline, gt.SlowSince = gt.MinSlowness, carobinstant.Never
+		as.MinSlowness = min(as.MinSlowness, slowness)
+		if as.SlowSince.Add(baselineDelay).Reached(now) {
+			as.Baseline, as.SlowSince = as.MinSlowness, carobinstant.Never
 		}
 	}
 }
 
 // isSlow reports whether the newest reading is above slownessThreshold times the
 // baseline.
-func isSlow(gt *carobadmissionstate.AdmissionState) bool {
-	return gt.Slowness > slownessThreshold*max(1, gt.Baseline)
+func isSlow(as *carobadmissionstate.AdmissionState) bool {
+	return as.Slowness > slownessThreshold*max(1, as.Baseline)
 }
 
 // mayStart reports whether the VM of a target is fast enough to start a job now. It
@@ -97,29 +97,29 @@
 // can be obtained: if checks are disabled or backing off, if a check takes longer than
 // checkTimeout, or if the check budget is spent and there is no slow reading younger
 // than maxReadingGap.
-func mayStart(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target, gt *carobadmissionstate.AdmissionState) bool {
+func mayStart(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target, as *carobadmissionstate.AdmissionState) bool {
 	rate := float64(w.ProbeLimits.ChecksPerSecond)
-	if rate == 0 || gt.CheckBackoffEnd != carobinstant.Never && !gt.CheckBackoffEnd.Reached(now) {
+	if rate == 0 || as.CheckBackoffEnd != carobinstant.Never && !as.CheckBackoffEnd.Reached(now) {
 		return true
 	}
-	if gt.SlownessReadAt != carobinstant.Never && !isSlow(gt) && now.Sub(gt.SlownessReadAt) < maxReadingAge {
+	if as.SlownessReadAt != carobinstant.Never && !isSlow(as) && now.Sub(as.SlownessReadAt) < maxReadingAge {
 		return true
 	}
-	if until := gt.SlownessReadAt.Add(maxSlowReadingAge); isSlow(gt) && !until.Reached(now) {
+	if until := as.SlownessReadAt.Add(maxSlowReadingAge); isSlow(as) && !until.Reached(now) {
 		w.WakeAt(until)
 		return false
 	}
-	if gt.CheckSentAt != carobinstant.Never {
-		due := gt.CheckSentAt.Add(checkTimeout)
+	if as.CheckSentAt != carobinstant.Never {
+		due := as.CheckSentAt.Add(checkTimeout)
 		w.WakeAt(due)
 		return due.Reached(now)
 	}
-	gt.CheckBudget.Fill(now, rate, checkBurst*rate)
-	if !gt.CheckBudget.Take(1) {
+	as.CheckBudget.Fill(now, rate, checkBurst*rate)
+	if !as.CheckBudget.Take(1) {
 		w.WakeAt(now.Add(maxSlowReadingAge))
-		return !isSlow(gt) || now.Sub(gt.SlownessReadAt) >= maxReadingGap
+		return !isSlow(as) || now.Sub(as.SlownessReadAt) >= maxReadingGap
 	}
-	gt.CheckSentAt = now
+	as.CheckSentAt = now
 	w.Outbox.HealthChecks = append(w.Outbox.HealthChecks, carobhealthcheck.HealthCheck{Target: tg.ID, Address: tg.Address})
 	w.WakeAt(now.Add(checkTimeout))
 	return false
@@ -127,13 +127,13 @@
 
 // refuseMovable refuses the queued jobs that can move to another target while this
 // target's VM is slow, because another target may run them sooner.
-func refuseMovable(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobadmissionstate.AdmissionState) {
-	if w.ProbeLimits.ChecksPerSecond == 0 || !isSlow(gt) || now.Sub(gt.SlownessReadAt) > maxSlowReadingAge {
+func refuseMovable(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, as *carobadmissionstate.AdmissionState) {
+	if w.ProbeLimits.ChecksPerSecond == 0 || !isSlow(as) || now.Sub(as.SlownessReadAt) > maxSlowReadingAge {
 		return
 	}
 	for _, jb := range w.Jobs.All() {
 		if jb.Offer.Target == id && jb.StartedAt == carobinstant.Never && jb.Offer.Requirements.Movable {
-			shed(w, now, jb, gt, "VM is slow")
+			shed(w, now, jb, as, "VM is slow")
 		}
 	}
 }
--- a/pkg/carobadmission/slowness_test.go
+++ b/pkg/carobadmission/slowness_test.go
@@ -12,7 +12,7 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetload"
 )
 
-const usualSlo = 500 * time.Millisecond
+const usualSLO = 500 * time.Millisecond
 
 // newCheckedRig returns a rig whose target reported the usual speed of its VM one
 // second ago.
@@ -44,13 +44,13 @@
 // for each queued job.
 func TestJobStartsAfterReadingOfUsualSpeed(t *testing.T) {
 	r := newCheckedRig(4, 4)
-	r.offer(wish(1, usualSlo))
+	r.offer(requirements(1, usualSLO))
 	require.Empty(t, r.world.Outbox.Starts, "the last reading is a second old")
 	require.Len(t, r.world.Outbox.HealthChecks, 1)
-	r.offer(wish(1, usualSlo))
+	r.offer(requirements(1, usualSLO))
 	require.Empty(t, r.world.Outbox.HealthChecks, "one check serves all queued jobs")
 	require.Equal(t, 2, r.completeCheck(1))
-	r.offer(wish(1, usualSlo))
+	r.offer(requirements(1, usualSLO))
 	require.Len(t, r.world.Outbox.Starts, 1, "the reading is recent")
 	require.Empty(t, r.world.Outbox.HealthChecks)
 }
@@ -58,7 +58,7 @@
 // Guards against a job that starts while the VM is slow and stays slow to its end.
 func TestJobWaitsWhileTheVMIsSlow(t *testing.T) {
 	r := newCheckedRig(4, 4)
-	r.offer(wish(1, usualSlo))
+	r.offer(requirements(1, usualSLO))
 	for range 3 {
 		require.Zero(t, r.completeCheck(5))
 		r.stepToWake(t)
@@ -71,21 +71,21 @@
 // slowness has to become the baseline, and a fast reading has to reset the baseline.
 func TestSlownessThatLastsHoldsNothingUp(t *testing.T) {
 	r := newCheckedRig(12, 4)
-	r.offer(wish(1, usualSlo))
+	r.offer(requirements(1, usualSLO))
 	offered := r.now
 	for r.completeCheck(5) == 0 {
-		require.Less(t, r.now.Sub(offered), usualSlo, "a job starts on a VM that stays slow")
+		require.Less(t, r.now.Sub(offered), usualSLO, "a job starts on a VM that stays slow")
 		r.stepToWake(t)
 	}
-	r.offer(wish(1, usualSlo))
+	r.offer(requirements(1, usualSLO))
 	require.Len(t, r.world.Outbox.Starts, 1, "a slowness of 5 is the baseline")
 	r.step(time.Second, carobinbox.Inbox{})
-	r.offer(wish(1, usualSlo))
+	r.offer(requirements(1, usualSLO))
 	require.Zero(t, r.completeCheck(25), "a slowness of 25 is above the baseline")
 	r.stepToWake(t)
 	require.Equal(t, 1, r.completeCheck(1))
 	r.step(time.Second, carobinbox.Inbox{})
-	r.offer(wish(1, usualSlo))
+	r.offer(requirements(1, usualSLO))
 	require.Zero(t, r.completeCheck(5), "a fast reading has reset the baseline")
 }
 
@@ -97,22 +97,22 @@
 	}{
 		{"no checks allowed", func(_ *testing.T, r *rig) {
 			r.world.ProbeLimits.ChecksPerSecond = 0
-			r.offer(wish(1, usualSlo))
+			r.offer(requirements(1, usualSLO))
 		}},
 		{"the target reports no slowness", func(_ *testing.T, r *rig) {
-			r.offer(wish(1, usualSlo))
+			r.offer(requirements(1, usualSLO))
 			require.Equal(t, 1, r.completeCheck(0))
 			r.step(time.Second, carobinbox.Inbox{})
-			r.offer(wish(1, usualSlo))
+			r.offer(requirements(1, usualSLO))
 			require.Empty(t, r.world.Outbox.HealthChecks, "no further check during the backoff")
 		}},
 		{"the check fails", func(_ *testing.T, r *rig) {
-			r.offer(wish(1, usualSlo))
+			r.offer(requirements(1, usualSLO))
 			r.step(time.Millisecond, carobinbox.Inbox{CheckResults: []carobcheckresult.CheckResult{{Target: target}}})
 		}},
 		{"the check takes long", func(t *testing.T, r *rig) {
 			t.Helper()
-			r.offer(wish(1, usualSlo))
+			r.offer(requirements(1, usualSLO))
 			r.stepToWake(t)
 		}},
 	} {
@@ -128,7 +128,7 @@
 func TestTargetIsCheckedBeforeFirstJob(t *testing.T) {
 	r := newRig(4, 4)
 	r.world.ProbeLimits.ChecksPerSecond = 40
-	r.offer(wish(1, usualSlo))
+	r.offer(requirements(1, usualSLO))
 	require.Empty(t, r.world.Outbox.Starts)
 	require.Equal(t, 1, r.completeCheck(1))
 }
@@ -138,7 +138,7 @@
 func TestColdTargetKeepsItsSlots(t *testing.T) {
 	r := newCheckedRig(10, 20)
 	for range 10 {
-		r.offer(wish(1, usualSlo))
+		r.offer(requirements(1, usualSLO))
 	}
 	require.Equal(t, 10, r.completeCheck(2))
 }
@@ -148,7 +148,7 @@
 	r := newCheckedRig(1000, 4)
 	checks, start := 0, r.now
 	for r.now.Sub(start) < 10*time.Second {
-		r.offer(wish(1, usualSlo))
+		r.offer(requirements(1, usualSLO))
 		checks += len(r.world.Outbox.HealthChecks)
 		if len(r.world.Outbox.HealthChecks) > 0 {
 			r.completeCheck(1)
@@ -163,7 +163,7 @@
 // it.
 func TestMovableJobIsRefusedWhileVMIsSlow(t *testing.T) {
 	r := newCheckedRig(4, 4)
-	movable, fixed := wish(1, usualSlo), wish(1, usualSlo)
+	movable, fixed := requirements(1, usualSLO), requirements(1, usualSLO)
 	movable.Movable = true
 	movableJob := r.offer(movable)
 	r.offer(fixed)
--- a/pkg/carobadmission/system.go
+++ b/pkg/carobadmission/system.go
@@ -6,21 +6,21 @@
 	"math"
 	"time"
 
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobdecision"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobfencing"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinput"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjob"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobrefusal"
 	"github.com/carobknot/carobknot/pkg/carobreport"
-	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobstart"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
@@ -41,8 +41,8 @@
 	if w.Paused {
 		withdrawQueued(w)
 	}
-	for _, hl := range w.Inbox.CheckResults {
-		handleHealth(w, now, hl)
+	for _, result := range w.Inbox.CheckResults {
+		handleCheckResult(w, now, result)
 	}
 	for _, of := range w.Inbox.Offers {
 		handleOffer(w, now, of)
@@ -51,10 +51,10 @@
 		handleFinish(w, now, fn)
 	}
 	expireQueued(w, now)
-	for id, gt := range w.AdmissionStates.All() {
-		if gt.Queued > 0 {
-			refuseMovable(w, now, id, gt)
-			startQueued(w, now, id, gt)
+	for id, as := range w.AdmissionStates.All() {
+		if as.Queued > 0 {
+			refuseMovable(w, now, id, as)
+			startQueued(w, now, id, as)
 		}
 	}
 	publishReports(w)
@@ -82,33 +82,33 @@
 		refuse(w, of, kind)
 		return
 	}
-	gt := w.AdmissionStates.Get(of.Target)
-	if gt == nil || w.Jobs.Full() {
+	as := w.AdmissionStates.Get(of.Target)
+	if as == nil || w.Jobs.Full() {
 		refuse(w, of, carobkind.Busy)
 		return
 	}
 	jb := w.Jobs.Put(of.Job, carobjob.Job{Offer: of, ArrivedAt: now, Deadline: now.Add(of.TimeLeft)})
-	gt.ReportDue = true
-	gt.Limit = jobLimit(gt, now)
+	as.ReportDue = true
+	as.Limit = jobLimit(as, now)
 	if isNested(jb) {
-		gt.LastNestedAt = now
+		as.LastNestedAt = now
 	}
-	if gt.Running < jobLimitFor(gt, now, jb) && gt.Queued == 0 && mayStart(w, now, tg, gt) {
-		startJob(w, now, jb, tg, gt)
+	if as.Running < jobLimitFor(as, now, jb) && as.Queued == 0 && mayStart(w, now, tg, as) {
+		startJob(w, now, jb, tg, as)
 		return
 	}
-	gt.Queued++
-	if gt.Queued > queueLimit(w, tg)+max(0, gt.Limit-gt.Running) {
+	as.Queued++
+	if as.Queued > queueLimit(w, tg)+max(0, as.Limit-as.Running) {
 		jb := leastUrgent(w, now, of.Target)
-		shed(w, now, jb, gt, "queue full")
+		shed(w, now, jb, as, "queue full")
 	}
 }
 
 // shed refuses a queued job with kind Busy and records the reason as a decision.
-func shed(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, gt *carobadmissionstate.AdmissionState, reason string) {
+func shed(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, as *carobadmissionstate.AdmissionState, reason string) {
 	w.RecordDecision(carobdecision.Decision{
 		Component: "admit", Text: reason, Request: jb.Offer.Requirements.Request, Call: jb.Offer.Job.Call,
-		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Kind: carobkind.Busy, Inputs: decisionInputs(gt, now, jb.ArrivedAt),
+		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Kind: carobkind.Busy, Inputs: decisionInputs(as, now, jb.ArrivedAt),
 	})
 	carobfencing.RefuseQueued(w, jb, carobkind.Busy)
 }
@@ -155,12 +155,12 @@
 }
 
 // startJob marks the job as started and adds the start to the outbox.
-func startJob(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, tg *carobtarget.Target, gt *carobadmissionstate.AdmissionState) {
+func startJob(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, tg *carobtarget.Target, as *carobadmissionstate.AdmissionState) {
 	jb.StartedAt = now
-	gt.Running++
+	as.Running++
 	w.RecordDecision(carobdecision.Decision{
 		Component: "admit", Text: "job started", Request: jb.Offer.Requirements.Request, Call: jb.Offer.Job.Call,
-		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Inputs: decisionInputs(gt, now, jb.ArrivedAt),
+		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Inputs: decisionInputs(as, now, jb.ArrivedAt),
 	})
 	w.Outbox.Starts = append(w.Outbox.Starts, carobstart.Start{
 		Job: jb.Offer.Job, Address: tg.Address, TimeLeft: jb.Deadline.Sub(now),
@@ -175,18 +175,18 @@
 	if jb == nil {
 		return
 	}
-	gt := w.AdmissionStates.Get(jb.Offer.Target)
+	as := w.AdmissionStates.Get(jb.Offer.Target)
 	if jb.StartedAt == carobinstant.Never {
 		carobfencing.RefuseQueued(w, jb, carobkind.Withdrawn)
 		return
 	}
-	gt.Running--
-	gt.ReportDue = true
-	if ps := fn.TargetLoad; ps != nil {
-		recordReading(gt, now, ps.Slowness)
+	as.Running--
+	as.ReportDue = true
+	if load := fn.TargetLoad; load != nil {
+		recordReading(as, now, load.Slowness)
 	}
-	gt.Limit = jobLimit(gt, now)
-	updateLatency(gt, jb.StartedAt, now)
+	as.Limit = jobLimit(as, now)
+	updateLatency(as, jb.StartedAt, now)
 	carobfencing.RecordEnded(w, fn)
 	w.Jobs.Delete(fn.Job)
 }
@@ -206,21 +206,21 @@
 // when the call started: slow calls of a short load spike end long after the spike and
 // must not outweigh fast calls that started later. After an interval without calls the
 // next call replaces nearly the whole estimate.
-func updateLatency(gt *carobadmissionstate.AdmissionState, started, now carobinstant.Instant) {
+func updateLatency(as *carobadmissionstate.AdmissionState, started, now carobinstant.Instant) {
 	const weight = 1.0 / 8
-	duration, sinceNewest := float64(now.Sub(started)), started.Sub(gt.LatencyStart)
+	duration, sinceNewest := float64(now.Sub(started)), started.Sub(as.LatencyStart)
 	var share float64
 	switch {
-	case gt.LatencyStart == carobinstant.Never:
+	case as.LatencyStart == carobinstant.Never:
 		share = 1
 	case sinceNewest < 0:
 		share = weight * math.Exp(float64(sinceNewest)/float64(earlierStartTimeConstant))
 	default:
 		share = max(weight, 1-math.Exp(-float64(sinceNewest)/float64(latencyTimeConstant)))
 	}
-	gt.Latency += time.Duration(share * (duration - float64(gt.Latency)))
+	as.Latency += time.Duration(share * (duration - float64(as.Latency)))
 	if sinceNewest > 0 {
-		gt.LatencyStart = started
+		as.LatencyStart = started
 	}
 }
 
@@ -245,16 +245,16 @@
 
 // startQueued starts the target's queued jobs, the most urgent first, while slots are
 // free and the VM is not slow.
-func startQueued(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, gt *carobadmissionstate.AdmissionState) {
+func startQueued(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, as *carobadmissionstate.AdmissionState) {
 	tg := w.Targets.Get(id)
-	for tg != nil && gt.Queued > 0 && gt.Running < gt.Limit && mayStart(w, now, tg, gt) {
+	for tg != nil && as.Queued > 0 && as.Running < as.Limit && mayStart(w, now, tg, as) {
 		jb := mostUrgent(w, now, id)
-		if jb == nil || gt.Running >= jobLimitFor(gt, now, jb) {
+		if jb == nil || as.Running >= jobLimitFor(as, now, jb) {
 			return
 		}
-		gt.Queued--
-		gt.ReportDue = true
-		startJob(w, now, jb, tg, gt)
+		as.Queued--
+		as.ReportDue = true
+		startJob(w, now, jb, tg, as)
 	}
 }
 
@@ -268,25 +268,25 @@
 }
 
 // decisionInputs returns the values that admission decisions are based on.
-func decisionInputs(gt *carobadmissionstate.AdmissionState, now, arrived carobinstant.Instant) []carobinput.Input {
+func decisionInputs(as *carobadmissionstate.AdmissionState, now, arrived carobinstant.Instant) []carobinput.Input {
 	return []carobinput.Input{
-		{Name: "running", Value: float64(gt.Running)},
-		{Name: "queued", Value: float64(gt.Queued)},
-		{Name: "limit", Value: float64(gt.Limit)},
-		{Name: "slowness", Value: gt.Slowness},
-		carobinput.Age("toldms", now, gt.SlownessReadAt), carobinput.Age("waitedms", now, arrived),
+		{Name: "running", Value: float64(as.Running)},
+		{Name: "queued", Value: float64(as.Queued)},
+		{Name: "limit", Value: float64(as.Limit)},
+		{Name: "slowness", Value: as.Slowness},
+		carobinput.Age("toldms", now, as.SlownessReadAt), carobinput.Age("waitedms", now, arrived),
 	}
 }
 
 // publishReports adds a report to the outbox for each target whose load changed.
 func publishReports(w *carobworld.World) {
-	for id, gt := range w.AdmissionStates.All() {
-		if !gt.ReportDue {
+	for id, as := range w.AdmissionStates.All() {
+		if !as.ReportDue {
 			continue
 		}
-		gt.ReportDue = false
+		as.ReportDue = false
 		w.Outbox.Reports = append(w.Outbox.Reports, carobreport.Report{
-			Target: id, Running: gt.Running, Queued: gt.Queued, Slots: gt.Limit, Latency: carobduration.Duration(gt.Latency),
+			Target: id, Running: as.Running, Queued: as.Queued, Slots: as.Limit, Latency: carobduration.Duration(as.Latency),
 		})
 	}
 }
--- a/pkg/carobadmission/urgency.go
+++ b/pkg/carobadmission/urgency.go
@@ -10,9 +10,9 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// maxNestedSlo is the longest SLO with which a call counts as nested, that is, made by
+// maxNestedSLO is the longest SLO with which a call counts as nested, that is, made by
 // a job that holds a slot until the call is answered.
-const maxNestedSlo = 200 * time.Millisecond
+const maxNestedSLO = 200 * time.Millisecond
 
 // mostUrgent returns the queued job that the target starts next; nil if none is queued.
 func mostUrgent(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID) *carobjob.Job {
@@ -46,7 +46,7 @@
 //   - nested calls precede others, because the job that made the call holds a slot
 //     until the call is answered. A nested call is never late: without its response
 //     the outer call fails too, which may still be in time;
-//   - then the lower rank precedes, then the earlier due time, then the earlier
+//   - then the lower priority number precedes, then the earlier due time, then the earlier
 //     arrival.
 func compareUrgency(now carobinstant.Instant, a, b *carobjob.Job) int {
 	return cmp.Or(
@@ -76,7 +76,7 @@
 // isNested reports whether another job waits for this call. Nested calls are identified
 // by their SLO, which is shorter than that of any external caller.
 func isNested(jb *carobjob.Job) bool {
-	return jb.Offer.Requirements.SLO > 0 && jb.Offer.Requirements.SLO <= maxNestedSlo
+	return jb.Offer.Requirements.SLO > 0 && jb.Offer.Requirements.SLO <= maxNestedSLO
 }
 
 func boolToInt(b bool) int {
--- a/pkg/carobadmission/urgency_test.go
+++ b/pkg/carobadmission/urgency_test.go
@@ -7,10 +7,11 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/carobknot/carobknot/pkg/carobadmission"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
@@ -18,14 +19,13 @@
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
-	"github.com/carobknot/carobknot/pkg/carobtargetload"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
+	"github.com/carobknot/carobknot/pkg/carobrequirements"
 	"github.com/carobknot/carobknot/pkg/carobrevision"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobrequirements"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -77,9 +77,9 @@
 	return started
 }
 
-// wish returns a wish of the given rank whose SLO has just begun.
-func wish(rank int, slo time.Duration) carobrequirements.Requirements {
-	return carobrequirements.Requirements{Priority: rank, SLOTimeLeft: slo, SLO: slo}
+// requirements returns requirements of the given priority whose SLO has just begun.
+func requirements(priority int, slo time.Duration) carobrequirements.Requirements {
+	return carobrequirements.Requirements{Priority: priority, SLOTimeLeft: slo, SLO: slo}
 }
 
 // Guards against a queue that starts jobs in another order than by urgency.
@@ -90,17 +90,17 @@
 		first, second carobrequirements.Requirements
 		secondFirst   bool
 	}{
-		{"rank", wish(2, usual), wish(1, usual), true},
-		{"rank, in order of arrival", wish(1, usual), wish(2, usual), false},
-		{"nested call", wish(1, usual), wish(2, 120*time.Millisecond), true},
-		{"due sooner", wish(1, time.Second), wish(1, usual), true},
-		{"nested call past its SLO", wish(1, usual), carobrequirements.Requirements{Priority: 2, SLOTimeLeft: -1, SLO: 120 * time.Millisecond}, true},
-		{"call past its SLO", carobrequirements.Requirements{Priority: 1, SLOTimeLeft: -1, SLO: usual}, wish(2, usual), true},
-		{"equal", wish(1, usual), wish(1, usual), false},
+		{"rank", requirements(2, usual), requirements(1, usual), true},
+		{"rank, in order of arrival", requirements(1, usual), requirements(2, usual), false},
+		{"nested call", requirements(1, usual), requirements(2, 120*time.Millisecond), true},
+		{"due sooner", requirements(1, time.Second), requirements(1, usual), true},
+		{"nested call past its SLO", requirements(1, usual), carobrequirements.Requirements{Priority: 2, SLOTimeLeft: -1, SLO: 120 * time.Millisecond}, true},
+		{"call past its SLO", carobrequirements.Requirements{Priority: 1, SLOTimeLeft: -1, SLO: usual}, requirements(2, usual), true},
+		{"equal", requirements(1, usual), requirements(1, usual), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(1, 4)
-			running := r.offer(wish(1, usual))
+			running := r.offer(requirements(1, usual))
 			first, second := r.offer(c.first), r.offer(c.second)
 			want := first
 			if c.secondFirst {
@@ -114,14 +114,14 @@
 // Guards against a full queue that refuses the newest job instead of the least urgent.
 func TestFullQueueShedsLeastUrgentJob(t *testing.T) {
 	r := newRig(1, 1)
-	r.offer(wish(1, time.Second))
-	lowRank := r.offer(wish(2, time.Second))
+	r.offer(requirements(1, time.Second))
+	lowPriority := r.offer(requirements(2, time.Second))
 	require.Empty(t, r.world.Outbox.Refusals)
-	r.offer(wish(1, time.Second))
+	r.offer(requirements(1, time.Second))
 	require.Len(t, r.world.Outbox.Refusals, 1)
-	require.Equal(t, lowRank, r.world.Outbox.Refusals[0].Job)
+	require.Equal(t, lowPriority, r.world.Outbox.Refusals[0].Job)
 	require.Equal(t, carobkind.Busy, r.world.Outbox.Refusals[0].Kind)
-	last := r.offer(wish(2, time.Second))
+	last := r.offer(requirements(2, time.Second))
 	require.Equal(t, last, r.world.Outbox.Refusals[0].Job, "the offered job is refused at once if it is the least urgent")
 }
 
@@ -130,7 +130,7 @@
 	r := newRig(10, 20)
 	var jobs []carobjobid.ID
 	for range 14 {
-		jobs = append(jobs, r.offer(wish(1, time.Second)))
+		jobs = append(jobs, r.offer(requirements(1, time.Second)))
 	}
 	require.Len(t, r.finish(jobs[0], 1), 1, "at the usual speed a free slot is filled")
 	require.Empty(t, r.finish(jobs[1], 5), "on a slow VM a free slot stays empty")
@@ -143,10 +143,10 @@
 // the call's deadline: the outcome of the call would then be unknown.
 func TestEndingNodeRefusesOnceCallsPastItsEnd(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		once     carobguarantee.Guarantee
-		untilEnd time.Duration
-		accepted bool
+		name      string
+		guarantee carobguarantee.Guarantee
+		untilEnd  time.Duration
+		accepted  bool
 	}{
 		{"ends after the deadline", carobguarantee.OncePerCall, 11 * time.Second, true},
 		{"ends before the deadline", carobguarantee.OncePerCall, 9 * time.Second, false},
@@ -155,7 +155,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(1, 4)
 			r.step(0, carobinbox.Inbox{ShutdownDeadline: r.now.Add(c.untilEnd)})
-			r.offer(carobrequirements.Requirements{Guarantee: c.once})
+			r.offer(carobrequirements.Requirements{Guarantee: c.guarantee})
 			if c.accepted {
 				require.Len(t, r.world.Outbox.Starts, 1)
 				return
@@ -172,18 +172,18 @@
 func TestSlotsAreReservedForNestedCalls(t *testing.T) {
 	const outer, nested = 500 * time.Millisecond, 120 * time.Millisecond
 	r := newRig(12, 4)
-	r.offer(wish(1, nested))
+	r.offer(requirements(1, nested))
 	require.Len(t, r.world.Outbox.Starts, 1)
 	for range 9 {
-		r.offer(wish(1, outer))
+		r.offer(requirements(1, outer))
 		require.Len(t, r.world.Outbox.Starts, 1)
 	}
-	r.offer(wish(1, outer))
+	r.offer(requirements(1, outer))
 	require.Empty(t, r.world.Outbox.Starts, "two slots are reserved")
 	for range 2 {
-		r.offer(wish(1, nested))
+		r.offer(requirements(1, nested))
 		require.Len(t, r.world.Outbox.Starts, 1)
 	}
-	r.offer(wish(1, nested))
+	r.offer(requirements(1, nested))
 	require.Empty(t, r.world.Outbox.Starts, "the reserved slots are in use")
 }
--- a/pkg/carobadmissionstate/admissionstate.go
+++ b/pkg/carobadmissionstate/admissionstate.go
@@ -5,8 +5,8 @@
 import (
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobtokenbucket"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobtokenbucket"
 )
 
 // AdmissionState is the admission state of one of the node's own targets.
--- a/pkg/carobannouncement/announcement.go
+++ b/pkg/carobannouncement/announcement.go
@@ -6,12 +6,12 @@
 	"encoding/json"
 
 	"github.com/carobknot/carobknot/pkg/carobaddress"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
-	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Announcement is a target's description of itself, repeated as a heartbeat.
@@ -41,8 +41,8 @@
 	Readiness carobreadiness.Readiness `json:"state"`
 }
 
-// UnmarshalJSON decodes and validates an announcement. Slots and Conns default to 1,
-// State to Ready. It returns an Invalid error for malformed fields.
+// UnmarshalJSON decodes and validates an announcement. Slots and Connections default to 1,
+// Readiness to Ready. It returns an Invalid error for malformed fields.
 func (a *Announcement) UnmarshalJSON(text []byte) error {
 	type plain Announcement
 	an := plain{Slots: 1, Connections: 1, Readiness: carobreadiness.Ready}
--- a/pkg/carobappendrequest/appendrequest.go
+++ b/pkg/carobappendrequest/appendrequest.go
@@ -8,7 +8,7 @@
 // out; its result comes back as a message.
 type AppendRequest struct {
 	Stream carobstream.Stream
-	// Number identifies the commit among those of this node to the stream.
+	// Number identifies the request among those of this node to the stream.
 	Number uint64
 	// Data is the content of the record.
 	Data []byte
--- a/pkg/carobattempt/attempt.go
+++ b/pkg/carobattempt/attempt.go
@@ -24,7 +24,7 @@
 	Ended bool
 	// Kind is why the attempt failed; None if it is open or was answered.
 	Kind carobkind.Kind
-	// State is the job state from the last fence reply; Unasked if there was none.
+	// State is the job state from the last fence reply; Pending if there was none.
 	State carobjobstate.JobState
 	// FenceSentAt is when a fence for the attempt was last sent; Never if none was.
 	FenceSentAt carobinstant.Instant
--- a/pkg/carobaudit/audit.go
+++ b/pkg/carobaudit/audit.go
@@ -8,11 +8,11 @@
 type Audit struct {
 	When time.Time `json:"when"`
 	Who  string    `json:"who"`
-	// Component is the part of the system that detected the change.
+	// Component is the component of the system that detected the change.
 	Component string `json:"part"`
-	What string `json:"what"`
-	From string `json:"from"`
-	To   string `json:"to"`
+	What      string `json:"what"`
+	From      string `json:"from"`
+	To        string `json:"to"`
 	// LocalOnly is true if the entry is written only to the node's own log, since the
 	// platform's log already contains the change.
 	LocalOnly bool `json:"-"`
--- a/pkg/carobcall/call.go
+++ b/pkg/carobcall/call.go
@@ -4,14 +4,14 @@
 import (
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobattempt"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobkey"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
+	"github.com/carobknot/carobknot/pkg/carobrequirements"
 	"github.com/carobknot/carobknot/pkg/carobroute"
 	"github.com/carobknot/carobknot/pkg/carobstage"
-	"github.com/carobknot/carobknot/pkg/carobrequirements"
 )
 
 // Call is the state of a call from its arrival until the response is sent to the
@@ -40,7 +40,7 @@
 	// GraceEnd is the instant at which a call that is past its deadline is concluded
 	// even if fence replies are missing; Never before the deadline.
 	GraceEnd carobinstant.Instant
-	// Stage only increases, except that a retry sets it from Placed or Fencing back
+	// Stage only increases, except that a retry sets it from Attempting or Fencing back
 	// to Waiting.
 	Stage carobstage.Stage
 	// HedgeDue is set if the call should be hedged: the next tick sends a second attempt
@@ -92,11 +92,11 @@
 // Requirements returns what an attempt that is sent now tells the target's node about the
 // call's priority and SLO.
 func (c *Call) Requirements(now carobinstant.Instant) carobrequirements.Requirements {
-	wish := carobrequirements.Requirements{Request: c.Arrival.Request, Priority: c.Priority(), Guarantee: c.Profile.Guarantee}
+	requirements := carobrequirements.Requirements{Request: c.Arrival.Request, Priority: c.Priority(), Guarantee: c.Profile.Guarantee}
 	if c.SLODeadline != carobinstant.Never {
-		wish.SLOTimeLeft, wish.SLO = c.SLODeadline.Sub(now), c.SLODeadline.Sub(c.ArrivedAt)
+		requirements.SLOTimeLeft, requirements.SLO = c.SLODeadline.Sub(now), c.SLODeadline.Sub(c.ArrivedAt)
 	}
-	return wish
+	return requirements
 }
 
 // Priority returns the priority of the call, from its route; 0 is the highest.
--- a/pkg/carobcatchup/system.go
+++ b/pkg/carobcatchup/system.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobfetch"
+	"github.com/carobknot/carobknot/pkg/carobfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
-	"github.com/carobknot/carobknot/pkg/carobfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -40,7 +40,7 @@
 		message := &world.Inbox.Messages[i]
 		switch {
 		case message.Fetch != nil:
-			supplyRecords(world, message)
+			sendRecords(world, message)
 		case message.FetchReply != nil:
 			s.fetchDeadline = carobinstant.Never
 			s.fetch(world, now, message, message.FetchReply.ProfilesRead)
@@ -63,22 +63,22 @@
 	world.SendMessage(carobmessage.Message{To: message.ReplyTo, Fetch: &carobfetch.Fetch{From: world.ProfilesRead + 1}})
 }
 
-// supplyRecords answers a fetch with records, or with a snapshot if this node no
+// sendRecords answers a fetch with records, or with a snapshot if this node no
 // longer has one of the records. It does not answer if it has read none of them.
-func supplyRecords(world *carobworld.World, message *carobmessage.Message) {
+func sendRecords(world *carobworld.World, message *carobmessage.Message) {
 	if message.Fetch.From > world.ProfilesRead {
 		return
 	}
-	supply := &carobfetchreply.FetchReply{ProfilesRead: world.ProfilesRead}
-	for offset := message.Fetch.From; offset <= world.ProfilesRead && len(supply.Records) < carobfetchreply.MaxRecords; offset++ {
+	reply := &carobfetchreply.FetchReply{ProfilesRead: world.ProfilesRead}
+	for offset := message.Fetch.From; offset <= world.ProfilesRead && len(reply.Records) < carobfetchreply.MaxRecords; offset++ {
 		record := world.RecentChanges.Get(offset)
 		if record == nil {
-			supply.Records, supply.Snapshot = nil, takeSnapshot(world)
+			reply.Records, reply.Snapshot = nil, takeSnapshot(world)
 			break
 		}
-		supply.Records = append(supply.Records, *record)
+		reply.Records = append(reply.Records, *record)
 	}
-	world.SendMessage(carobmessage.Message{To: message.ReplyTo, FetchReply: supply})
+	world.SendMessage(carobmessage.Message{To: message.ReplyTo, FetchReply: reply})
 }
 
 // takeSnapshot returns a pointer to a snapshot of the profiles in force.
--- a/pkg/carobcheckresult/checkresult.go
+++ b/pkg/carobcheckresult/checkresult.go
@@ -2,8 +2,8 @@
 package carobcheckresult
 
 import (
-	"github.com/carobknot/carobknot/pkg/carobtargetload"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 )
 
 // CheckResult is the result of a health check.
--- a/pkg/carobclaiming/cluster_test.go
+++ b/pkg/carobclaiming/cluster_test.go
@@ -8,33 +8,33 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/carobknot/carobknot/pkg/carobaddress"
+	"github.com/carobknot/carobknot/pkg/carobappendrequest"
+	"github.com/carobknot/carobknot/pkg/carobappendresult"
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobclaiming"
-	"github.com/carobknot/carobknot/pkg/carobappendrequest"
-	"github.com/carobknot/carobknot/pkg/carobappendresult"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
 	"github.com/carobknot/carobknot/pkg/carobentry"
 	"github.com/carobknot/carobknot/pkg/carobgroup"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
-	"github.com/carobknot/carobknot/pkg/carobstreambounds"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 	"github.com/carobknot/carobknot/pkg/carobrevision"
 	"github.com/carobknot/carobknot/pkg/carobstage"
-	"github.com/carobknot/carobknot/pkg/carobliveness"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobstream"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -51,7 +51,7 @@
 	entry  *carobentry.System
 	inbox  carobinbox.Inbox
 	// follows holds, for each followed stream, the index of the next record.
-	follows map[carobstream.Stream]int
+	subscriptions map[carobstream.Stream]int
 	// frozen is true while the node runs no ticks.
 	frozen bool
 	// conclusions holds the conclusions of the calls of this node.
@@ -66,7 +66,7 @@
 	names []string
 	log   map[carobstream.Stream][]carobrecord.Record
 	// logDown makes appends and reads fail, loseResponses makes successful appends
-	// end as Unsure, and holdAppends collects appends in heldAppends instead of
+	// end as AppendUncertain, and holdAppends collects appends in heldAppends instead of
 	// carrying them out.
 	logDown, loseResponses, holdAppends bool
 	heldAppends                         []carobappendrequest.AppendRequest
@@ -102,7 +102,7 @@
 	revision.Change.Profile.Guarantee = carobguarantee.OncePerKey
 	world.Profiles.Put("p", revision)
 	return &node{
-		world: world, entry: carobentry.NewSystem(), follows: map[carobstream.Stream]int{},
+		world: world, entry: carobentry.NewSystem(), subscriptions: map[carobstream.Stream]int{},
 		conclusions: map[carobcallid.ID]carobconclusion.Conclusion{},
 		claims: carobclaiming.NewSystem(carobclaiming.Config{
 			AppendInterval: 25 * time.Millisecond, SettlementInterval: 100 * time.Millisecond, ReadBackTimeout: resendDelay, RetryDelay: 200 * time.Millisecond, MaxKeys: 1000, MaxStoredBytes: 1 << 20,
@@ -126,11 +126,11 @@
 
 // step runs one tick of a node and carries out its effects.
 func (c *cluster) step(n *node) {
-	for stream, next := range n.follows {
+	for stream, next := range n.subscriptions {
 		if records := c.log[stream]; !c.logDown && next < len(records) {
 			n.inbox.Records = append(n.inbox.Records, records[next:]...)
 			n.inbox.StreamBounds = append(n.inbox.StreamBounds, carobstreambounds.StreamBounds{Stream: stream, Next: caroboffset.Offset(len(records))})
-			n.follows[stream] = len(records)
+			n.subscriptions[stream] = len(records)
 		}
 	}
 	inbox := n.inbox
@@ -144,14 +144,14 @@
 			receiver.inbox.Messages = append(receiver.inbox.Messages, message)
 		}
 	}
-	for _, follow := range outbox.Subscriptions {
-		delete(n.follows, follow.Stream)
-		if follow.Active {
-			n.follows[follow.Stream] = 0
+	for _, subscription := range outbox.Subscriptions {
+		delete(n.subscriptions, subscription.Stream)
+		if subscription.Active {
+			n.subscriptions[subscription.Stream] = 0
 		}
 	}
-	for _, commit := range outbox.AppendRequests {
-		c.handleCommit(n, commit)
+	for _, request := range outbox.AppendRequests {
+		c.handleAppendRequest(n, request)
 	}
 	for _, conclusion := range outbox.Conclusions {
 		require.NotContains(c.t, n.conclusions, conclusion.Call, "a call has two conclusions")
@@ -159,29 +159,29 @@
 	}
 }
 
-// handleCommit carries out an append as the log's state allows.
-func (c *cluster) handleCommit(n *node, commit carobappendrequest.AppendRequest) {
-	committed := carobappendresult.AppendResult{Stream: commit.Stream, Number: commit.Number}
+// handleAppendRequest carries out an append as the log's state allows.
+func (c *cluster) handleAppendRequest(n *node, request carobappendrequest.AppendRequest) {
+	result := carobappendresult.AppendResult{Stream: request.Stream, Number: request.Number}
 	switch {
 	case c.holdAppends:
-		c.heldAppends = append(c.heldAppends, commit)
+		c.heldAppends = append(c.heldAppends, request)
 		return
 	case c.logDown:
-		committed.Kind = carobkind.LogUnavailable
+		result.Kind = carobkind.LogUnavailable
 	default:
-		c.appendRecord(commit)
+		c.appendRecord(request)
 		if c.loseResponses {
-			committed.Kind = carobkind.AppendUncertain
+			result.Kind = carobkind.AppendUncertain
 		}
 	}
-	n.inbox.AppendResults = append(n.inbox.AppendResults, committed)
+	n.inbox.AppendResults = append(n.inbox.AppendResults, result)
 }
 
 // appendRecord puts a record into the log.
-func (c *cluster) appendRecord(commit carobappendrequest.AppendRequest) {
+func (c *cluster) appendRecord(request carobappendrequest.AppendRequest) {
 	c.appends++
-	c.log[commit.Stream] = append(c.log[commit.Stream], carobrecord.Record{
-		Stream: commit.Stream, Offset: caroboffset.Offset(len(c.log[commit.Stream])), Data: commit.Data,
+	c.log[request.Stream] = append(c.log[request.Stream], carobrecord.Record{
+		Stream: request.Stream, Offset: caroboffset.Offset(len(c.log[request.Stream])), Data: request.Data,
 	})
 }
 
@@ -207,7 +207,7 @@
 	require.True(c.t, c.mayRun(id))
 	n.world.Calls.Get(id).Stage = carobstage.Delivering
 	n.inbox.Deliveries = append(n.inbox.Deliveries, carobdelivery.Delivery{
-		Job:  carobjobid.ID{Call: id, Attempt: 1},
+		Job:          carobjobid.ID{Call: id, Attempt: 1},
 		StoredAnswer: &carobstoredanswer.StoredAnswer{Status: 201, Body: []byte(body)},
 	})
 }
@@ -226,11 +226,11 @@
 	}
 }
 
-// setStanding sets the standing of a node in the view of all other nodes.
-func (c *cluster) setStanding(name string, standing carobliveness.Liveness) {
+// setLiveness sets the liveness state of a node in the view of all other nodes.
+func (c *cluster) setLiveness(name string, liveness carobliveness.Liveness) {
 	for _, n := range c.nodes {
 		if peer := n.world.Peers.Get(carobnodeid.ID(name)); peer != nil {
-			peer.Member.Liveness = standing
+			peer.Member.Liveness = liveness
 			n.world.PeerChanges++
 		}
 	}
--- a/pkg/carobclaiming/system.go
+++ b/pkg/carobclaiming/system.go
@@ -15,26 +15,26 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobaddress"
+	"github.com/carobknot/carobknot/pkg/carobappendrequest"
+	"github.com/carobknot/carobknot/pkg/carobappendresult"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobclaim"
 	"github.com/carobknot/carobknot/pkg/carobclaimbatch"
 	"github.com/carobknot/carobknot/pkg/carobclaimreply"
-	"github.com/carobknot/carobknot/pkg/carobclaimstate"
-	"github.com/carobknot/carobknot/pkg/carobappendrequest"
-	"github.com/carobknot/carobknot/pkg/carobappendresult"
-	"github.com/carobknot/carobknot/pkg/carobsubscription"
 	"github.com/carobknot/carobknot/pkg/carobclaimresult"
+	"github.com/carobknot/carobknot/pkg/carobclaimstate"
 	"github.com/carobknot/carobknot/pkg/carobhome"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobkey"
 	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 	"github.com/carobknot/carobknot/pkg/carobsettlement"
 	"github.com/carobknot/carobknot/pkg/carobshard"
-	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobstream"
+	"github.com/carobknot/carobknot/pkg/carobsubscription"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -90,8 +90,8 @@
 		s.updateHomes(world, now)
 	}
 	readStreams(world)
-	for _, committed := range world.Inbox.AppendResults {
-		s.handleCommitted(world, now, committed)
+	for _, result := range world.Inbox.AppendResults {
+		s.handleAppendResult(world, now, result)
 	}
 	for _, message := range world.Inbox.Messages {
 		if message.Claim != nil {
@@ -109,10 +109,10 @@
 // readStreams folds the records of this tick into their shards, and drops the
 // claims that the log no longer keeps.
 func readStreams(world *carobworld.World) {
-	for _, mark := range world.Inbox.StreamBounds {
-		if home := homeOfStream(world, mark.Stream); home != nil {
-			home.NextOffset = max(home.NextOffset, mark.First)
-			home.State.DropBefore(mark.First)
+	for _, bounds := range world.Inbox.StreamBounds {
+		if home := homeOfStream(world, bounds.Stream); home != nil {
+			home.NextOffset = max(home.NextOffset, bounds.First)
+			home.State.DropBefore(bounds.First)
 		}
 	}
 	for _, record := range world.Inbox.Records {
@@ -120,8 +120,8 @@
 			foldRecord(world, home, record)
 		}
 	}
-	for _, mark := range world.Inbox.StreamBounds {
-		if home := homeOfStream(world, mark.Stream); home != nil && home.NextOffset >= mark.Next {
+	for _, bounds := range world.Inbox.StreamBounds {
+		if home := homeOfStream(world, bounds.Stream); home != nil && home.NextOffset >= bounds.Next {
 			home.CaughtUp = true
 		}
 	}
@@ -165,9 +165,9 @@
 			continue
 		}
 		world.Homes.Put(shard, carobhome.Home{
-			State: carobclaimstate.NewClaimState(carobclaimstate.Config{MaxKeys: s.config.MaxKeys, MaxStoredBytes: s.config.MaxStoredBytes}),
-			HomeSince:   now,
-			ReplyTo:    map[carobcallid.ID]carobaddress.Address{},
+			State:     carobclaimstate.NewClaimState(carobclaimstate.Config{MaxKeys: s.config.MaxKeys, MaxStoredBytes: s.config.MaxStoredBytes}),
+			HomeSince: now,
+			ReplyTo:   map[carobcallid.ID]carobaddress.Address{},
 		})
 	}
 }
@@ -217,12 +217,12 @@
 	}
 }
 
-// handleCommitted schedules an earlier retry if the append in flight certainly
+// handleAppendResult schedules an earlier retry if the append in flight certainly
 // failed. All other results are ignored, since only reading the batch back from
 // the log proves that it was appended.
-func (s *System) handleCommitted(world *carobworld.World, now carobinstant.Instant, committed carobappendresult.AppendResult) {
-	home := homeOfStream(world, committed.Stream)
-	if home != nil && home.InFlight != nil && home.InFlight.Number == committed.Number && committed.Kind == carobkind.LogUnavailable {
+func (s *System) handleAppendResult(world *carobworld.World, now carobinstant.Instant, result carobappendresult.AppendResult) {
+	home := homeOfStream(world, result.Stream)
+	if home != nil && home.InFlight != nil && home.InFlight.Number == result.Number && result.Kind == carobkind.LogUnavailable {
 		home.ResendAt = now.Add(s.config.RetryDelay)
 	}
 }
@@ -271,7 +271,7 @@
 		Node: world.Self.Node, Incarnation: world.Self.Incarnation, Number: world.AppendCount, Epoch: home.State.Epoch(), Takeover: !owner,
 	}
 	if !owner {
-		home.TakeoverBackoff = s.nextTakeoverPause(now, home)
+		home.TakeoverBackoff = s.nextTakeoverBackoff(now, home)
 		home.TakeoverAt = now
 		return batch
 	}
@@ -280,13 +280,13 @@
 	return batch
 }
 
-// nextTakeoverPause returns the minimum time between this takeover and the next.
+// nextTakeoverBackoff returns the minimum time between this takeover and the next.
 // It doubles, up to the time-out for reading a batch back, while another node
 // keeps taking the shard back, and is as short as the append interval again when
 // this node has taken over nothing for twice that time-out. It starts short
 // because nodes that start together agree within milliseconds on the home, and
 // claims must not wait long for the last of their takeovers.
-func (s *System) nextTakeoverPause(now carobinstant.Instant, home *carobhome.Home) time.Duration {
+func (s *System) nextTakeoverBackoff(now carobinstant.Instant, home *carobhome.Home) time.Duration {
 	if home.TakeoverAt == carobinstant.Never || now.Sub(home.TakeoverAt) > 2*s.config.ReadBackTimeout {
 		return s.config.AppendInterval
 	}
@@ -370,7 +370,7 @@
 	case holding.Call == claim.Call:
 		result.Result = carobclaimresult.Granted
 	case !holding.Settled && !entryReplaced(world, holding.Call):
-		result.Result = carobclaimresult.Wait
+		result.Result = carobclaimresult.Held
 	case holding.Settled && holding.Kind == carobkind.None:
 		result.Result, result.StoredAnswer = carobclaimresult.Repeated, holding.StoredAnswer
 	default:
--- a/pkg/carobclaiming/system_test.go
+++ b/pkg/carobclaiming/system_test.go
@@ -7,14 +7,14 @@
 
 	"github.com/stretchr/testify/require"
 
+	"github.com/carobknot/carobknot/pkg/carobappendrequest"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobclaim"
-	"github.com/carobknot/carobknot/pkg/carobappendrequest"
 	"github.com/carobknot/carobknot/pkg/carobkey"
 	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobshard"
-	"github.com/carobknot/carobknot/pkg/carobliveness"
 )
 
 const shortWait = 200 * time.Millisecond
@@ -151,7 +151,7 @@
 			if beforeTakeover {
 				cluster.appendRecord(cluster.heldAppends[0])
 			}
-			cluster.setStanding(home, carobliveness.Unreachable)
+			cluster.setLiveness(home, carobliveness.Unreachable)
 			cluster.advance(shortWait)
 			second := cluster.startCall(entryNode, "k", 1)
 			cluster.advance(shortWait)
@@ -174,7 +174,7 @@
 	cluster.advance(shortWait)
 	home := cluster.homeOf("k")
 	other := cluster.otherNode(home)
-	cluster.setStanding(home, carobliveness.Unreachable)
+	cluster.setLiveness(home, carobliveness.Unreachable)
 	first, second := cluster.startCall(home, "k", 1), cluster.startCall(other, "k", 1)
 	for range 100 {
 		cluster.advance(50 * time.Millisecond)
@@ -251,7 +251,7 @@
 	cluster.appendRecord(carobappendrequest.AppendRequest{Stream: stream, Data: []byte("{}")})
 	records := cluster.log[stream]
 	cluster.node(other).inbox.Records = append(cluster.node(other).inbox.Records, records[len(records)-1])
-	cluster.setStanding(home, carobliveness.Unreachable)
+	cluster.setLiveness(home, carobliveness.Unreachable)
 	cluster.advance(shortWait)
 	second := cluster.startCall(other, "k", 2)
 	cluster.advance(shortWait)
--- a/pkg/carobclaimreply/reply.go
+++ b/pkg/carobclaimreply/reply.go
@@ -9,7 +9,7 @@
 
 // Reply is the home's answer to a claim, sent to the entry node of the call.
 type Reply struct {
-	Call  carobcallid.ID   `json:"call"`
+	Call   carobcallid.ID               `json:"call"`
 	Result carobclaimresult.ClaimResult `json:"grant"`
 	// StoredAnswer is the stored answer of the earlier call that ran, or nil.
 	StoredAnswer *carobstoredanswer.StoredAnswer `json:"kept,omitempty"`
--- a/pkg/carobclaimresult/claimresult.go
+++ b/pkg/carobclaimresult/claimresult.go
@@ -9,8 +9,8 @@
 const (
 	// Granted means that the call holds the key and may run.
 	Granted ClaimResult = "granted"
-	// Wait means that another call holds the key and has not ended.
-	Wait ClaimResult = "wait"
+	// Held means that another call holds the key and has not ended.
+	Held ClaimResult = "wait"
 	// Repeated means that another call with the key has run.
 	Repeated ClaimResult = "repeated"
 	// Unknown means that another call with the key may have run.
@@ -19,12 +19,12 @@
 	Unclaimed ClaimResult = "unclaimed"
 )
 
-// UnmarshalText decodes a grant. It returns an Invalid error if the text is none
+// UnmarshalText decodes a result. It returns an Invalid error if the text is none
 // of the constants.
 func (g *ClaimResult) UnmarshalText(text []byte) error {
-	switch grant := ClaimResult(text); grant {
-	case Granted, Wait, Repeated, Unknown, Unclaimed:
-		*g = grant
+	switch result := ClaimResult(text); result {
+	case Granted, Held, Repeated, Unknown, Unclaimed:
+		*g = result
 		return nil
 	default:
 		return carobkind.New(carobkind.Invalid, "grant: unknown value %.40q", text)
--- a/pkg/carobclaimstate/claimstate.go
+++ b/pkg/carobclaimstate/claimstate.go
@@ -23,14 +23,14 @@
 type Config struct {
 	// MaxKeys is the maximum number of keys held at once.
 	MaxKeys int
-	// MaxStoredBytes is the maximum total size of kept answer bodies, in bytes.
+	// MaxStoredBytes is the maximum total size of stored answer bodies, in bytes.
 	MaxStoredBytes int
 }
 
 // ClaimState is the state of a shard after the records folded so far.
 type ClaimState struct {
 	config Config
-	// epoch is the epoch of valid claims, or None before the first takeover.
+	// epoch is the epoch of valid claims, or BeforeFirst before the first takeover.
 	epoch caroboffset.Offset
 	// node and incarnation identify the writer of the takeover.
 	node        carobnodeid.ID
@@ -42,12 +42,12 @@
 	// claimOrder lists the keys by the offsets of their claims, oldest first.
 	// It may contain keys that are no longer held.
 	claimOrder []carobkey.Key
-	// keptOrder lists the keys with kept answers, oldest first, and keptBytes
+	// storedOrder lists the keys with stored answers, oldest first, and storedBytes
 	// is the total size of those answers.
-	keptOrder []carobkey.Key
-	keptBytes int
+	storedOrder []carobkey.Key
+	storedBytes int
 	// overflow is the offset of the newest claim that was not recorded because
-	// the table was full, or None. While the log keeps that claim, a key that
+	// the table was full, or BeforeFirst. While the log keeps that claim, a key that
 	// is not held may have been claimed, so no new key is accepted.
 	overflow caroboffset.Offset
 }
@@ -140,21 +140,21 @@
 	}
 	holding.Settled, holding.Kind, holding.StoredAnswer = true, settlement.Kind, settlement.StoredAnswer
 	if holding.StoredAnswer != nil {
-		c.keptOrder = append(c.keptOrder, settlement.Claim.Key)
-		c.keptBytes += len(holding.StoredAnswer.Body)
-		c.evictKept()
+		c.storedOrder = append(c.storedOrder, settlement.Claim.Key)
+		c.storedBytes += len(holding.StoredAnswer.Body)
+		c.evictStored()
 	}
 }
 
-// evictKept drops the oldest kept answers while their total size exceeds the
+// evictStored drops the oldest stored answers while their total size exceeds the
 // limit. Their keys stay held.
-func (c *ClaimState) evictKept() {
-	for c.keptBytes > c.config.MaxStoredBytes && len(c.keptOrder) > 0 {
-		if holding := c.holdings[c.keptOrder[0]]; holding != nil && holding.StoredAnswer != nil {
-			c.keptBytes -= len(holding.StoredAnswer.Body)
+func (c *ClaimState) evictStored() {
+	for c.storedBytes > c.config.MaxStoredBytes && len(c.storedOrder) > 0 {
+		if holding := c.holdings[c.storedOrder[0]]; holding != nil && holding.StoredAnswer != nil {
+			c.storedBytes -= len(holding.StoredAnswer.Body)
 			holding.StoredAnswer = nil
 		}
-		c.keptOrder = c.keptOrder[1:]
+		c.storedOrder = c.storedOrder[1:]
 	}
 }
 
@@ -176,10 +176,10 @@
 	}
 }
 
-// remove releases a held key together with its kept answer.
+// remove releases a held key together with its stored answer.
 func (c *ClaimState) remove(key carobkey.Key) {
 	if holding := c.holdings[key]; holding.StoredAnswer != nil {
-		c.keptBytes -= len(holding.StoredAnswer.Body)
+		c.storedBytes -= len(holding.StoredAnswer.Body)
 	}
 	delete(c.holdings, key)
 }
--- a/pkg/carobclaimstate/claimstate_test.go
+++ b/pkg/carobclaimstate/claimstate_test.go
@@ -9,12 +9,12 @@
 	"github.com/carobknot/carobknot/pkg/carobclaim"
 	"github.com/carobknot/carobknot/pkg/carobclaimbatch"
 	"github.com/carobknot/carobknot/pkg/carobclaimstate"
-	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkey"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobsettlement"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
 func claim(key string, sequence uint64) carobclaim.Claim {
@@ -114,9 +114,9 @@
 	require.Nil(t, shard.Holding(claim("l", 2).Key), "the log has dropped its claim")
 }
 
-// Guards against unbounded memory for kept answers, and against releasing a key
+// Guards against unbounded memory for stored answers, and against releasing a key
 // when its answer is evicted.
-func TestOldestKeptAnswersAreEvictedAndKeysStayHeld(t *testing.T) {
+func TestOldestStoredAnswersAreEvictedAndKeysStayHeld(t *testing.T) {
 	shard := carobclaimstate.NewClaimState(carobclaimstate.Config{MaxKeys: 10, MaxStoredBytes: 10})
 	shard.Fold(0, takeover("a"))
 	for i, key := range []string{"k", "l", "m"} {
--- a/pkg/carobcompaction/system.go
+++ b/pkg/carobcompaction/system.go
@@ -14,10 +14,10 @@
 
 	"github.com/carobknot/carobknot/pkg/carobappend"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
-	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
 	"github.com/carobknot/carobknot/pkg/carobstream"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -55,9 +55,9 @@
 
 // Run appends a snapshot when one is due.
 func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
-	for _, mark := range world.Inbox.StreamBounds {
-		if mark.Stream == carobstream.Profiles {
-			s.bounds = mark
+	for _, bounds := range world.Inbox.StreamBounds {
+		if bounds.Stream == carobstream.Profiles {
+			s.bounds = bounds
 		}
 	}
 	if s.periodEnd == carobinstant.Never || world.SnapshotOffset > s.lastSnapshot {
--- a/pkg/carobconclusion/conclusion.go
+++ b/pkg/carobconclusion/conclusion.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
-// Conclusion orders that the caller of a call gets the answer to an attempt, a kept
+// Conclusion orders that the caller of a call gets the answer to an attempt, a stored
 // answer or an error.
 type Conclusion struct {
 	Call carobcallid.ID
@@ -20,9 +20,9 @@
 	// retry time applies.
 	RetryAfter time.Duration
 	// Attempt is the number of the attempt whose answer the caller gets; 0 if there
-	// is an error or a kept answer.
+	// is an error or a stored answer.
 	Attempt int
-	// StoredAnswer is the kept answer to an earlier call with the same idempotency key; nil
+	// StoredAnswer is the stored answer to an earlier call with the same idempotency key; nil
 	// if the caller gets something else. Kind is None and Attempt is 0 if it is set.
 	StoredAnswer *carobstoredanswer.StoredAnswer
 }
--- a/pkg/carobcore/core.go
+++ b/pkg/carobcore/core.go
@@ -17,10 +17,10 @@
 	"github.com/carobknot/carobknot/pkg/carobdetection"
 	"github.com/carobknot/carobknot/pkg/carobdissemination"
 	"github.com/carobknot/carobknot/pkg/carobejection"
+	"github.com/carobknot/carobknot/pkg/carobelection"
 	"github.com/carobknot/carobknot/pkg/carobentry"
 	"github.com/carobknot/carobknot/pkg/carobfencing"
 	"github.com/carobknot/carobknot/pkg/carobfold"
-	"github.com/carobknot/carobknot/pkg/carobelection"
 	"github.com/carobknot/carobknot/pkg/carobgrouping"
 	"github.com/carobknot/carobknot/pkg/carobhedging"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
@@ -83,18 +83,18 @@
 	settlementAppendInterval = 200 * time.Millisecond
 	// claimRetryDelay is the time before an append that the log refused is retried.
 	claimRetryDelay = 200 * time.Millisecond
-	// shutdownLinger is how long no attempt must have arrived before a node that shuts down
+	// shutdownQuietPeriod is how long no attempt must have arrived before a node that shuts down
 	// may exit, so that none is still on its way to it.
-	shutdownLinger = 500 * time.Millisecond
-	// shutdownHandoverTimeout is how long an idle node that shuts down waits
+	shutdownQuietPeriod = 500 * time.Millisecond
+	// shutdownSettleTimeout is how long an idle node that shuts down waits
 	// for the new homes of its calls' keys to receive the outcomes of the calls.
-	shutdownHandoverTimeout = 3 * time.Second
+	shutdownSettleTimeout = 3 * time.Second
 	// maxClaimKeys and maxClaimBytes limit the claims of each shard: the number of keys,
-	// and the bytes of the answers kept with them.
+	// and the bytes of the answers stored with them.
 	maxClaimKeys  = 50_000
 	maxClaimBytes = 4 << 20
-	// targetTimeout is how long a target may go without an announcement before it expires.
-	targetTimeout = 3 * time.Second
+	// announcementTimeout is how long a target may go without an announcement before it expires.
+	announcementTimeout = 3 * time.Second
 )
 
 // NewCore returns a Core with empty tables, apart from the configured profiles.
@@ -107,7 +107,7 @@
 		world: world,
 		systems: []system{
 			carobpause.NewSystem(carobpause.Config{TickPeriod: maxTickInterval, Threshold: pauseThreshold}),
-			carobregistry.NewSystem(carobregistry.Config{AnnouncementTimeout: cmp.Or(c.AnnouncementTimeout, targetTimeout)}),
+			carobregistry.NewSystem(carobregistry.Config{AnnouncementTimeout: cmp.Or(c.AnnouncementTimeout, announcementTimeout)}),
 			carobjoining.NewSystem(carobjoining.Config{Seeds: c.Seeds}),
 			carobmembership.NewSystem(),
 			carobdetection.NewSystem(),
@@ -130,7 +130,7 @@
 			carobejection.NewSystem(),
 			carobhedging.NewSystem(),
 			carobtracing.NewSystem(carobtracing.Config{Seed: c.World.Seed, NoTracePropagation: c.NoTracePropagation}),
-			carobshutdown.NewSystem(carobshutdown.Config{SettleTimeout: shutdownHandoverTimeout, QuietPeriod: shutdownLinger}),
+			carobshutdown.NewSystem(carobshutdown.Config{SettleTimeout: shutdownSettleTimeout, QuietPeriod: shutdownQuietPeriod}),
 			carobdissemination.NewSystem(),
 		},
 	}
--- a/pkg/carobdecision/decision.go
+++ b/pkg/carobdecision/decision.go
@@ -11,7 +11,7 @@
 
 // Decision is one decision about a request and the values that it was based on.
 type Decision struct {
-	// Component is the part of the system that made the decision, and Text states the
+	// Component is the component of the system that made the decision, and Text states the
 	// decision in a short sentence.
 	Component, Text string
 	// Request is the caller's ID of the call.
--- a/pkg/carobdetection/monitorset.go
+++ b/pkg/carobdetection/monitorset.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobmemberversion"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
-	"github.com/carobknot/carobknot/pkg/carobmemberversion"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
--- a/pkg/carobdetection/restart_test.go
+++ b/pkg/carobdetection/restart_test.go
@@ -10,9 +10,9 @@
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
-	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
--- a/pkg/carobdetection/system.go
+++ b/pkg/carobdetection/system.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobgossip"
-	"github.com/carobknot/carobknot/pkg/carobpendingheartbeat"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
-	"github.com/carobknot/carobknot/pkg/carobliveness"
+	"github.com/carobknot/carobknot/pkg/carobpendingheartbeat"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -100,17 +100,17 @@
 // receive handles one message from another node.
 func receive(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message) {
 	if pr := w.Peers.Get(ms.From); pr != nil {
-		markHeard(w, now, ms, pr)
+		recordContact(w, now, ms, pr)
 	}
 	if pb := ms.Heartbeat; pb != nil {
 		answer(w, ms, pb)
 	}
 }
 
-// markHeard records that a peer is alive. If this node has the peer as suspect or down,
+// recordContact records that a peer is alive. If this node has the peer as suspect or down,
 // or with a newer incarnation, it sends the peer that description, so that the peer can
 // refute it.
-func markHeard(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message, pr *carobpeer.Peer) {
+func recordContact(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message, pr *carobpeer.Peer) {
 	if ms.Incarnation == pr.Member.Incarnation {
 		pr.LastContactAt = now
 	}
@@ -131,7 +131,7 @@
 			Number: pb.Number, Node: pb.Node, Answer: true, ProfilesRead: w.ProfilesRead,
 		}})
 	case pb.Answer:
-		if iq := w.PendingHeartbeats.Get(pb.Number); iq != nil && iq.Node == pb.Node {
+		if ph := w.PendingHeartbeats.Get(pb.Number); ph != nil && ph.Node == pb.Node {
 			w.PendingHeartbeats.Delete(pb.Number)
 		}
 	case pb.RelayTo != "":
@@ -148,24 +148,24 @@
 // expireHeartbeats handles the heartbeats that timed out: it first requests other nodes to
 // relay them, and after a second time-out suspects the node.
 func (s *System) expireHeartbeats(w *carobworld.World, now carobinstant.Instant) {
-	for number, iq := range w.PendingHeartbeats.All() {
-		due := iq.SentAt.Add(answerTimeout)
-		if iq.Relayed {
+	for number, ph := range w.PendingHeartbeats.All() {
+		due := ph.SentAt.Add(answerTimeout)
+		if ph.Relayed {
 			due = due.Add(answerTimeout)
 		}
 		if !due.Reached(now) {
 			w.WakeAt(due)
 			continue
 		}
-		pr := w.Peers.Get(iq.Node)
+		pr := w.Peers.Get(ph.Node)
 		switch {
-		case pr == nil || pr.LastContactAt > iq.SentAt:
+		case pr == nil || pr.LastContactAt > ph.SentAt:
 			w.PendingHeartbeats.Delete(number)
-		case iq.Relayed:
+		case ph.Relayed:
 			w.PendingHeartbeats.Delete(number)
 			suspect(w, now, pr)
 		default:
-			iq.Relayed = true
+			ph.Relayed = true
 			relay(w, number, pr)
 			w.WakeAt(due.Add(answerTimeout))
 		}
@@ -188,7 +188,7 @@
 	if pr.Member.Liveness != carobliveness.Alive {
 		return
 	}
-	setState(w, now, pr, carobliveness.Suspect)
+	setLiveness(w, now, pr, carobliveness.Suspect)
 }
 
 // expireSuspicions marks suspects as unreachable that did not refute the suspicion in
@@ -196,15 +196,15 @@
 func expireSuspicions(w *carobworld.World, now carobinstant.Instant) {
 	for _, pr := range w.Peers.All() {
 		if pr.Member.Liveness == carobliveness.Suspect && pr.LivenessSince.Add(suspicionTimeout).Reached(now) {
-			setState(w, now, pr, carobliveness.Unreachable)
+			setLiveness(w, now, pr, carobliveness.Unreachable)
 			w.DropTargets(pr.Member.Node)
 		}
 	}
 }
 
-// setState sets the liveness state of a peer, records it in the audit trail, and
+// setLiveness sets the liveness state of a peer, records it in the audit trail, and
 // schedules it for gossip.
-func setState(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer, sd carobliveness.Liveness) {
+func setLiveness(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer, sd carobliveness.Liveness) {
 	w.Audit("member", string(w.Self.Node), "node "+string(pr.Member.Node), pr.Member.Liveness.String(), sd.String())
 	pr.Member.Liveness, pr.LivenessSince, pr.GossipCount = sd, now, 0
 	w.PeerChanges++
--- a/pkg/carobdigest/digest.go
+++ b/pkg/carobdigest/digest.go
@@ -4,9 +4,9 @@
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobmemberversion"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
-	"github.com/carobknot/carobknot/pkg/carobmemberversion"
 )
 
 // Digest lists the version of each description that the sender has of a partition. The
--- a/pkg/carobdissemination/system.go
+++ b/pkg/carobdissemination/system.go
@@ -14,12 +14,12 @@
 
 	"github.com/carobknot/carobknot/pkg/carobgossip"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobrate"
 	"github.com/carobknot/carobknot/pkg/carobsize"
-	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobthrottle"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
--- a/pkg/carobduration/duration.go
+++ b/pkg/carobduration/duration.go
@@ -10,23 +10,23 @@
 // Duration is a duration that is encoded with its unit, such as "250ms" or "5s".
 type Duration time.Duration
 
-// Duration converts the span to a time.Duration.
+// Duration converts the duration to a time.Duration.
 func (s Duration) Duration() time.Duration {
 	return time.Duration(s)
 }
 
-// String returns the span with its unit.
+// String returns the duration with its unit.
 func (s Duration) String() string {
 	return time.Duration(s).String()
 }
 
-// MarshalText encodes the span with its unit.
+// MarshalText encodes the duration with its unit.
 func (s Duration) MarshalText() ([]byte, error) {
 	return []byte(s.String()), nil
 }
 
-// UnmarshalText decodes a span. It returns an Invalid error if the unit is missing
-// or the span is negative.
+// UnmarshalText decodes a duration. It returns an Invalid error if the unit is missing
+// or the duration is negative.
 func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/pkg/carobejection/system.go
+++ b/pkg/carobejection/system.go
@@ -22,9 +22,9 @@
 	// minReplies is the weight of recent replies below which the error rate is
 	// ignored.
 	minReplies = 5
-	// failureStreak is the number of consecutive failures that count as an
+	// maxConsecutiveFailures is the number of consecutive failures that count as an
 	// error rate of 1, whatever the earlier successes.
-	failureStreak = 4
+	maxConsecutiveFailures = 4
 	// minEjection is the shortest ejection. A random part of ejectionJitter is
 	// added, so that nodes do not all try the target again at once.
 	minEjection    = 1500 * time.Millisecond
@@ -103,7 +103,7 @@
 // replies.
 func errorRate(load *carobload.Load) float64 {
 	switch {
-	case load.ConsecutiveFailures >= failureStreak:
+	case load.ConsecutiveFailures >= maxConsecutiveFailures:
 		return 1
 	case load.Successes+load.Failures < minReplies:
 		return 0
--- a/pkg/carobejection/system_test.go
+++ b/pkg/carobejection/system_test.go
@@ -14,11 +14,11 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobload"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobrevision"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
--- a/pkg/carobelection/system.go
+++ b/pkg/carobelection/system.go
@@ -16,8 +16,8 @@
 
 	"github.com/carobknot/carobknot/pkg/carobcentre"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
-	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobliveness"
+	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -40,9 +40,9 @@
 // Run applies changes in whether the store can be read, and decides whether this node
 // reads from it and for how long each read may be held open.
 func (s *System) Run(w *carobworld.World, _ carobinstant.Instant) {
-	for _, blind := range w.Inbox.StoreUnreadable {
-		if blind != w.Self.StoreUnreadable {
-			w.Self.StoreUnreadable = blind
+	for _, unreadable := range w.Inbox.StoreUnreadable {
+		if unreadable != w.Self.StoreUnreadable {
+			w.Self.StoreUnreadable = unreadable
 			w.Self.Sequence++
 		}
 	}
--- a/pkg/carobelection/system_test.go
+++ b/pkg/carobelection/system_test.go
@@ -10,11 +10,11 @@
 	"github.com/carobknot/carobknot/pkg/carobelection"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
-	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
--- a/pkg/carobentry/backoff_test.go
+++ b/pkg/carobentry/backoff_test.go
@@ -6,13 +6,13 @@
 
 	"github.com/stretchr/testify/require"
 
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 )
 
 // Guards against a call being refused, or retried in a tight loop, while all targets
-// are busy: it has to back off with growing waits and conclude as Late.
+// are busy: it has to back off with growing waits and conclude as NotStartedInTime.
 func TestBusyCallBacksOffUntilDeadline(t *testing.T) {
 	r := newRig(t, carobguarantee.OncePerCall)
 	r.arrive(false)
--- a/pkg/carobentry/claim.go
+++ b/pkg/carobentry/claim.go
@@ -7,16 +7,16 @@
 	"github.com/carobknot/carobknot/pkg/carobclaim"
 	"github.com/carobknot/carobknot/pkg/carobclaiming"
 	"github.com/carobknot/carobknot/pkg/carobclaimreply"
-	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobclaimresult"
+	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
-	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkey"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
+	"github.com/carobknot/carobknot/pkg/carobpendingsettlement"
 	"github.com/carobknot/carobknot/pkg/carobsettlement"
 	"github.com/carobknot/carobknot/pkg/carobstage"
-	"github.com/carobknot/carobknot/pkg/carobpendingsettlement"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -66,7 +66,7 @@
 	switch reply.Result {
 	case carobclaimresult.Granted:
 		call.Stage = carobstage.Waiting
-	case carobclaimresult.Wait:
+	case carobclaimresult.Held:
 		call.KeyHeld = true
 	case carobclaimresult.Repeated:
 		concludeRepeated(world, now, call, reply.StoredAnswer)
@@ -79,43 +79,43 @@
 
 // concludeRepeated concludes a call with the stored answer to an earlier call that
 // had the same key, or with the kind Repeated if that answer was not stored.
-func concludeRepeated(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kept *carobstoredanswer.StoredAnswer) {
-	if kept == nil {
+func concludeRepeated(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, stored *carobstoredanswer.StoredAnswer) {
+	if stored == nil {
 		conclude(world, now, call, carobkind.Repeated)
 		return
 	}
-	world.Outbox.Conclusions = append(world.Outbox.Conclusions, carobconclusion.Conclusion{Call: call.Arrival.Call, StoredAnswer: kept})
+	world.Outbox.Conclusions = append(world.Outbox.Conclusions, carobconclusion.Conclusion{Call: call.Arrival.Call, StoredAnswer: stored})
 	world.Calls.Delete(call.Arrival.Call)
 }
 
 // addSettlement stores the settlement of a call that may hold its key, until the home
 // of the key acknowledges it, and sends it for the first time. If the table is
 // full, the key stays claimed and later calls with it do not run.
-func addSettlement(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kind carobkind.Kind, kept *carobstoredanswer.StoredAnswer) {
+func addSettlement(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kind carobkind.Kind, stored *carobstoredanswer.StoredAnswer) {
 	if call.Key() == (carobkey.Key{}) || call.ClaimSentAt == carobinstant.Never {
 		return
 	}
-	unsettled := world.PendingSettlements.Put(call.Arrival.Call, carobpendingsettlement.PendingSettlement{
+	pending := world.PendingSettlements.Put(call.Arrival.Call, carobpendingsettlement.PendingSettlement{
 		Settlement: carobsettlement.Settlement{
-			Claim: carobclaim.Claim{Key: call.Key(), Call: call.Arrival.Call}, Kind: kind, StoredAnswer: kept,
+			Claim: carobclaim.Claim{Key: call.Key(), Call: call.Arrival.Call}, Kind: kind, StoredAnswer: stored,
 		},
 		ResendAt: now, Backoff: minSettlementBackoff,
 	})
-	if unsettled != nil {
-		sendSettlement(world, now, unsettled)
+	if pending != nil {
+		sendSettlement(world, now, pending)
 	}
 }
 
 // sendSettlement sends a settlement to the home of its key if it is due, and
 // doubles the backoff.
-func sendSettlement(world *carobworld.World, now carobinstant.Instant, unsettled *carobpendingsettlement.PendingSettlement) {
-	if !unsettled.ResendAt.Reached(now) {
-		world.WakeAt(unsettled.ResendAt)
+func sendSettlement(world *carobworld.World, now carobinstant.Instant, pending *carobpendingsettlement.PendingSettlement) {
+	if !pending.ResendAt.Reached(now) {
+		world.WakeAt(pending.ResendAt)
 		return
 	}
-	unsettled.ResendAt = now.Add(unsettled.Backoff)
-	unsettled.Backoff = min(2*unsettled.Backoff, maxSettlementBackoff)
-	world.WakeAt(unsettled.ResendAt)
-	_, home := carobclaiming.Home(world, unsettled.Settlement.Claim.Key)
-	world.SendMessage(carobmessage.Message{To: home, Settlement: &unsettled.Settlement})
+	pending.ResendAt = now.Add(pending.Backoff)
+	pending.Backoff = min(2*pending.Backoff, maxSettlementBackoff)
+	world.WakeAt(pending.ResendAt)
+	_, home := carobclaiming.Home(world, pending.Settlement.Claim.Key)
+	world.SendMessage(carobmessage.Message{To: home, Settlement: &pending.Settlement})
 }
--- a/pkg/carobentry/fence.go
+++ b/pkg/carobentry/fence.go
@@ -135,7 +135,7 @@
 }
 
 // retryFenced retries a call none of whose attempts ran, if the profile allows
-// another attempt, its body is kept and the retry budget has a token. Otherwise it
+// another attempt, its body is buffered and the retry budget has a token. Otherwise it
 // concludes the call with the kind of its last failure.
 func retryFenced(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
 	if len(call.Attempts) < call.Profile.Attempts && !call.Arrival.Streamed && world.RetryBudgetOf(call.Arrival.Service).TakeToken() {
--- a/pkg/carobentry/fence_test.go
+++ b/pkg/carobentry/fence_test.go
@@ -9,10 +9,10 @@
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobentry"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobjobstate"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 )
 
 // Guards against a second run of a call that may run once: after a broken connection
@@ -59,7 +59,7 @@
 	require.LessOrEqual(t, r.now.Sub(arrivedAt), callTimeout+maxOverrun+time.Millisecond)
 }
 
-// Guards against a wrong outcome at the deadline: a call is concluded as Late only if
+// Guards against a wrong outcome at the deadline: a call is concluded as NotStartedInTime only if
 // a fence reply shows that it never runs, and otherwise as Expired.
 func TestDeadlineFencesOpenAttempts(t *testing.T) {
 	cases := map[string]struct {
@@ -147,7 +147,7 @@
 	r.requireConcluded(carobkind.Withdrawn)
 }
 
-// Guards against retrying a call with a truncated body: a streamed body is not kept,
+// Guards against retrying a call with a truncated body: a streamed body is not buffered,
 // and part of it may already be consumed.
 func TestStreamedBodyIsNotSentAgain(t *testing.T) {
 	r := newRig(t, carobguarantee.OncePerCall)
--- a/pkg/carobentry/rig_test.go
+++ b/pkg/carobentry/rig_test.go
@@ -12,6 +12,7 @@
 	"github.com/carobknot/carobknot/pkg/carobentry"
 	"github.com/carobknot/carobknot/pkg/carobfencereply"
 	"github.com/carobknot/carobknot/pkg/carobgroup"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
@@ -20,8 +21,8 @@
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
@@ -31,7 +32,6 @@
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -53,7 +53,7 @@
 	router *carobrouting.System
 }
 
-func newRig(t *testing.T, once carobguarantee.Guarantee) *rig {
+func newRig(t *testing.T, guarantee carobguarantee.Guarantee) *rig {
 	t.Helper()
 	world := carobworld.NewWorld(carobworld.Config{
 		Self: carobmember.Member{Node: "here", Incarnation: 3}, Limits: caroblimits.NewLimits(), Seed: 1,
@@ -69,7 +69,7 @@
 	world.Groups.Put(service, group)
 	revision := carobrevision.Revision{}
 	revision.Change.Profile = carobprofile.NewProfile("p")
-	revision.Change.Profile.Guarantee = once
+	revision.Change.Profile.Guarantee = guarantee
 	world.Profiles.Put("p", revision)
 	r := &rig{
 		t: t, world: world, now: 1, entry: carobentry.NewSystem(), router: carobrouting.NewSystem(),
--- a/pkg/carobentry/route.go
+++ b/pkg/carobentry/route.go
@@ -3,13 +3,13 @@
 import (
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobweightedservice"
 	"github.com/carobknot/carobknot/pkg/carobroute"
+	"github.com/carobknot/carobknot/pkg/carobweightedservice"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
 // findRoute returns the route that matches the host and path of a call, and sets the
-// call's service to one of the route's parts. It returns nil if there is no match
+// call's service to one of the route's weighted services. It returns nil if there is no match
 // or no route table.
 func findRoute(world *carobworld.World, arrival *carobarrival.Arrival) *carobroute.Route {
 	if world.RouteTable == nil {
@@ -17,28 +17,28 @@
 	}
 	route := world.RouteTable.Match(arrival.Host, arrival.Path)
 	if route != nil {
-		arrival.Service = route.WeightedServices[pickPart(world, route.WeightedServices)].Service
+		arrival.Service = route.WeightedServices[pickService(world, route.WeightedServices)].Service
 	}
 	return route
 }
 
-// pickPart returns the index of a random part of a route, weighted by the parts'
-// weights. The load of a part does not count, because the weights are the shares
+// pickService returns the index of a random service of a route, weighted by the services'
+// weights. The load of a service does not count, because the weights are the shares
 // of calls that the operator set.
-func pickPart(world *carobworld.World, split []carobweightedservice.WeightedService) int {
-	if len(split) == 1 {
+func pickService(world *carobworld.World, services []carobweightedservice.WeightedService) int {
+	if len(services) == 1 {
 		return 0
 	}
 	var sum float64
-	for _, pt := range split {
-		sum += pt.Weight
+	for _, weighted := range services {
+		sum += weighted.Weight
 	}
 	point := world.Random.Float64() * sum
-	for i, pt := range split {
-		if point < pt.Weight {
+	for i, weighted := range services {
+		if point < weighted.Weight {
 			return i
 		}
-		point -= pt.Weight
+		point -= weighted.Weight
 	}
 	return 0
 }
--- a/pkg/carobentry/route_test.go
+++ b/pkg/carobentry/route_test.go
@@ -8,28 +8,28 @@
 
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
+	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
-	"github.com/carobknot/carobknot/pkg/carobweightedservice"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobroute"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
-	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobweightedservice"
 )
 
 const slo = 200 * time.Millisecond
 
 // setRoute sets a route table with one route, by default to the rig's service.
-func (r *rig) setRoute(once carobguarantee.Guarantee, split ...carobweightedservice.WeightedService) {
+func (r *rig) setRoute(guarantee carobguarantee.Guarantee, services ...carobweightedservice.WeightedService) {
 	r.t.Helper()
-	if len(split) == 0 {
-		split = []carobweightedservice.WeightedService{{Service: service, Weight: 1}}
+	if len(services) == 0 {
+		services = []carobweightedservice.WeightedService{{Service: service, Weight: 1}}
 	}
 	routes, err := carobroutetable.NewRouteTable(1, []carobroute.Route{{
-		Name: "r", Host: "a.example", Prefix: "/one/", Guarantee: once, Attempts: 2,
-		Timeout: carobduration.Duration(400 * time.Millisecond), SLO: carobduration.Duration(slo), WeightedServices: split,
+		Name: "r", Host: "a.example", Prefix: "/one/", Guarantee: guarantee, Attempts: 2,
+		Timeout: carobduration.Duration(400 * time.Millisecond), SLO: carobduration.Duration(slo), WeightedServices: services,
 	}})
 	require.NoError(r.t, err)
 	r.world.RouteTable = routes
@@ -71,9 +71,9 @@
 	require.Len(t, r.world.Outbox.Conclusions, 1, "the call is concluded soon after the route's timeout")
 }
 
-// Guards against calls of a part without targets spilling over to the other part of
+// Guards against calls of a service without targets spilling over to the other part of
 // the split.
-func TestSplitKeepsShareOfPartWithoutTargets(t *testing.T) {
+func TestSplitKeepsShareOfServiceWithoutTargets(t *testing.T) {
 	r := newRig(t, carobguarantee.OncePerCall)
 	r.setRoute(carobguarantee.Idempotent, carobweightedservice.WeightedService{Service: service, Weight: 80}, carobweightedservice.WeightedService{Service: "elsewhere", Weight: 20})
 	const calls = 2000
@@ -84,7 +84,7 @@
 		}}})
 		sentHere += len(r.world.Outbox.Sends)
 	}
-	require.InDelta(t, 0.8, float64(sentHere)/calls, 0.03, "the part without targets keeps its share of the calls")
+	require.InDelta(t, 0.8, float64(sentHere)/calls, 0.03, "the service without targets keeps its share of the calls")
 }
 
 // Guards against unbounded retries of calls that targets shed: each one costs a token
@@ -106,10 +106,10 @@
 // and against retries of one that is beyond the budget.
 func TestFailedAnswerIsRetriedOnlyIfIdempotentAndInBudget(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		once    carobguarantee.Guarantee
-		tokens  float64
-		retried bool
+		name      string
+		guarantee carobguarantee.Guarantee
+		tokens    float64
+		retried   bool
 	}{
 		{"idempotent", carobguarantee.Idempotent, 1, true},
 		{"idempotent, no budget", carobguarantee.Idempotent, 0, false},
@@ -117,7 +117,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, carobguarantee.OncePerCall)
-			r.setRoute(c.once)
+			r.setRoute(c.guarantee)
 			r.arriveAt("/one/x")
 			r.world.RetryBudgetOf(service).Tokens = c.tokens
 			r.replyStatus(1, 500)
@@ -133,7 +133,7 @@
 
 // Guards against refusing a busy call so late that a retry of the caller misses the
 // SLO.
-func TestBusyCallIsRefusedEarlyEnoughToRetryWithinSlo(t *testing.T) {
+func TestBusyCallIsRefusedEarlyEnoughToRetryWithinSLO(t *testing.T) {
 	r := newRig(t, carobguarantee.OncePerCall)
 	r.setRoute(carobguarantee.OncePerCall)
 	r.arriveAt("/one/x")
@@ -153,7 +153,7 @@
 }
 
 // Guards against a wrong outcome at shutdown: a call that may have run is concluded
-// as Cut, any other as Leaving.
+// as ConnectionLost, any other as Leaving.
 func TestShutdownConcludesOpenCalls(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/pkg/carobentry/system.go
+++ b/pkg/carobentry/system.go
@@ -13,13 +13,13 @@
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobdecision"
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinput"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkey"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobreply"
@@ -54,7 +54,7 @@
 }
 
 // Run handles the arrivals, replies, messages, deliveries and hangups of the
-// inbox, then the timers of all calls and unsettled claims.
+// inbox, then the timers of all calls and pending settlements.
 func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
 	for _, arrival := range world.Inbox.Arrivals {
 		handleArrival(world, now, arrival)
@@ -80,8 +80,8 @@
 		}
 		runTimers(world, now, call)
 	}
-	for _, unsettled := range world.PendingSettlements.All() {
-		sendSettlement(world, now, unsettled)
+	for _, pending := range world.PendingSettlements.All() {
+		sendSettlement(world, now, pending)
 	}
 }
 
@@ -222,7 +222,7 @@
 }
 
 // retryFailedAnswer retries an idempotent call that a target answered with a 5xx
-// status, and reports whether it did. If no tries, budget or time are left, the
+// status, and reports whether it did. If no attempts, budget or time are left, the
 // caller gets the target's answer.
 func retryFailedAnswer(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, reply carobreply.Reply) bool {
 	if reply.Status < http.StatusInternalServerError || call.Route == nil || !mayRunAgain(call) || call.OpenAttempts() > 0 ||
@@ -284,7 +284,7 @@
 }
 
 // mayRunAgain reports whether a call may be sent again even if an earlier attempt
-// may have run: it is idempotent, and its body is kept.
+// may have run: it is idempotent, and its body is buffered.
 func mayRunAgain(call *carobcall.Call) bool {
 	return call.Profile.Guarantee == carobguarantee.Idempotent && !call.Arrival.Streamed
 }
@@ -320,7 +320,7 @@
 		return
 	}
 	if call.Stage == carobstage.Waiting && call.NoTarget && call.SLODeadline != carobinstant.Never && !mayBackOff(now, call) {
-		concludeStarved(world, now, call)
+		concludeWithoutTarget(world, now, call)
 		return
 	}
 	if !call.Deadline.Reached(now) {
@@ -335,10 +335,10 @@
 	}
 }
 
-// concludeStarved concludes a call for which there is no target. A call with an SLO
+// concludeWithoutTarget concludes a call for which there is no target. A call with an SLO
 // does not wait for its deadline, because an earlier error lets the caller retry
 // sooner.
-func concludeStarved(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
+func concludeWithoutTarget(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
 	if call.NotRun() {
 		conclude(world, now, call, carobkind.NoTarget)
 		return
@@ -347,7 +347,7 @@
 }
 
 // concludeAtShutdown concludes a call because the node ends: as Leaving if it has
-// not run, as Cut if it may have. The conclusion lets an answer that is queued
+// not run, as ConnectionLost if it may have. The conclusion lets an answer that is queued
 // behind it on the same connection be delivered.
 func concludeAtShutdown(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
 	switch {
--- a/pkg/carobevictingmap/evictingmap.go
+++ b/pkg/carobevictingmap/evictingmap.go
@@ -1,7 +1,7 @@
 // Package carobevictingmap is a map of limited size that evicts the oldest rows.
 package carobevictingmap
 
-// Config holds the settings of a ring.
+// Config holds the settings of an EvictingMap.
 type Config struct {
 	// Limit is the maximum number of rows. If it is not positive, no row is
 	// kept.
@@ -9,7 +9,7 @@
 }
 
 // EvictingMap keeps rows by key and evicts the oldest one when a new one is added to a
-// full ring. It belongs to one goroutine.
+// full map. It belongs to one goroutine.
 type EvictingMap[K comparable, R any] struct {
 	// limit is the maximum of len(rows).
 	limit int
@@ -19,7 +19,7 @@
 	rows  map[K]R
 }
 
-// NewEvictingMap returns an empty ring.
+// NewEvictingMap returns an empty map.
 func NewEvictingMap[K comparable, R any](c Config) *EvictingMap[K, R] {
 	return &EvictingMap[K, R]{limit: c.Limit, rows: map[K]R{}}
 }
--- a/pkg/carobevictingmap/evictingmap_test.go
+++ b/pkg/carobevictingmap/evictingmap_test.go
@@ -8,9 +8,9 @@
 	"github.com/carobknot/carobknot/pkg/carobevictingmap"
 )
 
-// Guards against a ring that grows beyond its limit, evicts a newer row than
+// Guards against a map that grows beyond its limit, evicts a newer row than
 // the oldest, or evicts one when a row is replaced.
-func TestFullRingEvictsOldestRow(t *testing.T) {
+func TestFullMapEvictsOldestRow(t *testing.T) {
 	const limit = 3
 	r := carobevictingmap.NewEvictingMap[int, string](carobevictingmap.Config{Limit: limit})
 	for key := range 10 * limit {
--- a/pkg/carobfencing/system.go
+++ b/pkg/carobfencing/system.go
@@ -71,9 +71,9 @@
 // RefuseQueued removes a job that has not started from its queue, refuses it with the given
 // kind, and prevents later offers of it from starting.
 func RefuseQueued(w *carobworld.World, jb *carobjob.Job, kind carobkind.Kind) {
-	gt := w.AdmissionStates.Get(jb.Offer.Target)
-	gt.Queued--
-	gt.ReportDue = true
+	as := w.AdmissionStates.Get(jb.Offer.Target)
+	as.Queued--
+	as.ReportDue = true
 	w.Outbox.Refusals = append(w.Outbox.Refusals, carobrefusal.Refusal{Job: jb.Offer.Job, Kind: kind})
 	addTombstone(w, jb.Offer.Job)
 	w.Jobs.Delete(jb.Offer.Job)
@@ -89,37 +89,37 @@
 	if !ok {
 		return w.EvictedFencedIncarnation > 0 && job.Call.Incarnation <= w.EvictedFencedIncarnation
 	}
-	return covers(wm, job.Call, wm.Fenced)
+	return covers(wm, job.Call, wm.FencedSequence)
 }
 
-// RecordEnded records that a started job has ended. An evicted older entry raises the
-// Ended watermark of its entry node.
+// RecordEnded records that a started job has ended. An evicted older entry raises
+// EndedSequence in the watermark of its entry node.
 func RecordEnded(w *carobworld.World, fn carobfinish.Finish) {
 	if old, _, full := w.EndedJobs.Put(fn.Job, fn); full {
 		wm := watermarkFor(w, old.Call)
-		wm.Ended = max(wm.Ended, old.Call.Sequence)
+		wm.EndedSequence = max(wm.EndedSequence, old.Call.Sequence)
 		putWatermark(w, old.Call, wm)
 	}
 }
 
 // addTombstone prevents a job that has not started from starting later. An evicted
-// older tombstone raises the Fenced watermark of its entry node.
+// older tombstone raises the FencedSequence of the watermark of its entry node.
 func addTombstone(w *carobworld.World, job carobjobid.ID) {
 	if old, _, full := w.Tombstones.Put(job, struct{}{}); full {
 		wm := watermarkFor(w, old.Call)
-		wm.Fenced = max(wm.Fenced, old.Call.Sequence)
+		wm.FencedSequence = max(wm.FencedSequence, old.Call.Sequence)
 		putWatermark(w, old.Call, wm)
 	}
 }
 
 // mayHaveRun reports whether a job of the call may have run and ended although it has
-// no entry in Ended, because entries of its entry node were evicted.
+// no entry in EndedJobs, because entries of its entry node were evicted.
 func mayHaveRun(w *carobworld.World, call carobcallid.ID) bool {
 	wm, ok := w.Watermarks.Get(call.Node)
 	if !ok {
 		return w.EvictedIncarnation > 0 && call.Incarnation <= w.EvictedIncarnation
 	}
-	return covers(wm, call, wm.Ended)
+	return covers(wm, call, wm.EndedSequence)
 }
 
 // covers reports whether a call's incarnation is older than the watermark's, or is the
@@ -143,14 +143,14 @@
 
 // putWatermark stores the watermark of a call's entry node. It does nothing if the
 // watermark is of a newer incarnation than the call, since it then covers the call
-// already. An evicted watermark raises the world's Forgotten and Barred.
+// already. An evicted watermark raises the world's EvictedIncarnation and EvictedFencedIncarnation.
 func putWatermark(w *carobworld.World, call carobcallid.ID, wm carobwatermark.Watermark) {
 	if wm.Incarnation != call.Incarnation {
 		return
 	}
 	if _, old, full := w.Watermarks.Put(call.Node, wm); full {
 		w.EvictedIncarnation = max(w.EvictedIncarnation, old.Incarnation)
-		if old.Fenced > 0 {
+		if old.FencedSequence > 0 {
 			w.EvictedFencedIncarnation = max(w.EvictedFencedIncarnation, old.Incarnation)
 		}
 	}
--- a/pkg/carobfencing/system_test.go
+++ b/pkg/carobfencing/system_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/carobknot/carobknot/pkg/carobadmission"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobfence"
 	"github.com/carobknot/carobknot/pkg/carobfencing"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
@@ -154,7 +154,7 @@
 	require.Zero(t, r.started())
 }
 
-// Guards against a withdrawn job that still counts as queued, in the gate or in the
+// Guards against a withdrawn job that still counts as queued, in the admission state or in the
 // published report.
 func TestFenceOfQueuedJobFreesItsPlace(t *testing.T) {
 	r := newRig(10)
@@ -192,7 +192,7 @@
 
 // Guards against wrong replies about jobs whose entries were evicted from the bounded
 // records.
-func TestForgottenJobsAreNeverMisreported(t *testing.T) {
+func TestEvictedJobsAreNeverMisreported(t *testing.T) {
 	const limit = 3
 	t.Run("ended jobs", func(t *testing.T) {
 		r := newRig(limit)
--- a/pkg/carobfold/system.go
+++ b/pkg/carobfold/system.go
@@ -80,8 +80,8 @@
 	if s.waitEnd == carobinstant.Never {
 		s.waitEnd = now.Add(startTimeout)
 	}
-	for _, mark := range world.Inbox.StreamBounds {
-		if mark.Stream == carobstream.Profiles && world.ProfilesRead+1 >= mark.Next {
+	for _, bounds := range world.Inbox.StreamBounds {
+		if bounds.Stream == carobstream.Profiles && world.ProfilesRead+1 >= bounds.Next {
 			s.caughtUp = true
 		}
 	}
--- a/pkg/carobfold/system_test.go
+++ b/pkg/carobfold/system_test.go
@@ -10,17 +10,17 @@
 	"pgregory.net/rapid"
 
 	"github.com/carobknot/carobknot/pkg/carobchange"
+	"github.com/carobknot/carobknot/pkg/carobfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobfold"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
 	"github.com/carobknot/carobknot/pkg/carobstream"
-	"github.com/carobknot/carobknot/pkg/carobfetchreply"
-	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -43,9 +43,9 @@
 	n.fold.Run(n.world, 1)
 }
 
-// receiveSupply runs a tick with records that another node sent.
-func (n *node) receiveSupply(supply carobfetchreply.FetchReply) {
-	n.world.BeginTick(carobinbox.Inbox{Messages: []carobmessage.Message{{FetchReply: &supply}}})
+// receiveFetchReply runs a tick with records that another node sent.
+func (n *node) receiveFetchReply(reply carobfetchreply.FetchReply) {
+	n.world.BeginTick(carobinbox.Inbox{Messages: []carobmessage.Message{{FetchReply: &reply}}})
 	n.fold.Run(n.world, 1)
 }
 
@@ -120,7 +120,7 @@
 	n.read(changeRecord(0, "rota", -1))
 	n.read(changeRecord(2, "rota", 1), changeRecord(3, "rota", 2))
 	require.EqualValues(t, 0, n.world.ProfilesRead, "the change at 1 may have come into force")
-	n.receiveSupply(carobfetchreply.FetchReply{Records: []carobrecord.Record{changeRecord(1, "rota", 0)}, ProfilesRead: 3})
+	n.receiveFetchReply(carobfetchreply.FetchReply{Records: []carobrecord.Record{changeRecord(1, "rota", 0)}, ProfilesRead: 3})
 	require.Equal(t, map[carobname.Name]caroboffset.Offset{"rota": 3}, n.inForce())
 }
 
@@ -147,7 +147,7 @@
 	n.read(changeRecord(0, "rota", -1), changeRecord(1, "rota", 0))
 	before := n.world.TakeSnapshot()
 	n.read(changeRecord(2, "rota", 1))
-	n.receiveSupply(carobfetchreply.FetchReply{Snapshot: &before, ProfilesRead: 1})
+	n.receiveFetchReply(carobfetchreply.FetchReply{Snapshot: &before, ProfilesRead: 1})
 	require.Equal(t, map[carobname.Name]caroboffset.Offset{"rota": 2}, n.inForce())
 	require.EqualValues(t, 2, n.world.ProfilesRead)
 }
--- a/pkg/carobgroup/group.go
+++ b/pkg/carobgroup/group.go
@@ -2,8 +2,8 @@
 package carobgroup
 
 import (
-	"github.com/carobknot/carobknot/pkg/carobtargetid"
 	"github.com/carobknot/carobknot/pkg/carobname"
+	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
 // Group has the targets of one service.
--- a/pkg/carobgrouping/system.go
+++ b/pkg/carobgrouping/system.go
@@ -8,8 +8,8 @@
 
 	"github.com/carobknot/carobknot/pkg/carobgroup"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
-	"github.com/carobknot/carobknot/pkg/carobtargetid"
 	"github.com/carobknot/carobknot/pkg/carobname"
+	"github.com/carobknot/carobknot/pkg/carobtargetid"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
--- a/pkg/carobguarantee/guarantee.go
+++ b/pkg/carobguarantee/guarantee.go
@@ -18,9 +18,9 @@
 
 // UnmarshalText decodes a guarantee. It returns an Invalid error for any other text.
 func (o *Guarantee) UnmarshalText(text []byte) error {
-	switch once := Guarantee(text); once {
+	switch guarantee := Guarantee(text); guarantee {
 	case Idempotent, OncePerCall, OncePerKey:
-		*o = once
+		*o = guarantee
 		return nil
 	default:
 		return carobkind.New(carobkind.Invalid, "once %q is none of \"no\", \"call\" and \"key\"", text)
--- a/pkg/carobhedging/system.go
+++ b/pkg/carobhedging/system.go
@@ -5,15 +5,15 @@
 import (
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobschedule"
 	"github.com/carobknot/carobknot/pkg/carobattempt"
 	"github.com/carobknot/carobknot/pkg/carobcall"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/caroblatency"
 	"github.com/carobknot/carobknot/pkg/carobreply"
+	"github.com/carobknot/carobknot/pkg/carobschedule"
 	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobstage"
@@ -76,13 +76,13 @@
 		return
 	}
 	s.pending.Set(reply.Job.Call, carobinstant.Never)
-	pace := paceOf(world, call.Arrival.Service)
-	if pace == nil || reply.Kind != carobkind.None {
+	latency := latencyOf(world, call.Arrival.Service)
+	if latency == nil || reply.Kind != carobkind.None {
 		return
 	}
 	for i := range call.Attempts {
 		if at := &call.Attempts[i]; i == reply.Job.Attempt-1 || !at.Ended {
-			pace.Histogram.Add(now.Sub(at.SentAt))
+			latency.Histogram.Add(now.Sub(at.SentAt))
 		}
 	}
 }
@@ -90,14 +90,14 @@
 // schedule sets when a call that got a new attempt is hedged.
 func (s *System) schedule(world *carobworld.World, now carobinstant.Instant, send carobsend.Send) {
 	call := world.Calls.Get(send.Job.Call)
-	pace := paceOf(world, call.Arrival.Service)
-	if pace == nil {
+	latency := latencyOf(world, call.Arrival.Service)
+	if latency == nil {
 		return
 	}
-	if !mayHedge(call) || pace.Histogram.Weight() < minSamples {
+	if !mayHedge(call) || latency.Histogram.Weight() < minSamples {
 		return
 	}
-	s.pending.Set(send.Job.Call, now.Add(delay(call, pace)))
+	s.pending.Set(send.Job.Call, now.Add(delay(call, latency)))
 }
 
 // mayHedge reports whether a call may have a second attempt beside the open
@@ -115,11 +115,11 @@
 	if call == nil || call.Stage != carobstage.Attempting || !mayHedge(call) || !newestIsOpen(call.Attempts) {
 		return
 	}
-	pace := paceOf(world, call.Arrival.Service)
-	if pace == nil {
+	latency := latencyOf(world, call.Arrival.Service)
+	if latency == nil {
 		return
 	}
-	s.pending.Set(id, now.Add(delay(call, pace)/retriesPerDelay))
+	s.pending.Set(id, now.Add(delay(call, latency)/retriesPerDelay))
 	if world.RetryBudgetOf(call.Arrival.Service).Tokens >= 1 {
 		call.HedgeDue = true
 		world.WakeAt(now.Add(time.Nanosecond))
@@ -127,8 +127,8 @@
 }
 
 // delay returns the age of an attempt at which the call is hedged.
-func delay(call *carobcall.Call, pace *caroblatency.Latency) time.Duration {
-	return max(pace.Histogram.Quantile(float64(call.Profile.HedgeQuantile)), minDelay)
+func delay(call *carobcall.Call, latency *caroblatency.Latency) time.Duration {
+	return max(latency.Histogram.Quantile(float64(call.Profile.HedgeQuantile)), minDelay)
 }
 
 // newestIsOpen reports whether the newest attempt has no reply yet.
@@ -136,11 +136,11 @@
 	return !attempts[len(attempts)-1].Ended
 }
 
-// paceOf returns the row of a service and adds it if it is missing. It returns
+// latencyOf returns the row of a service and adds it if it is missing. It returns
 // nil if the row is missing and the table is full.
-func paceOf(world *carobworld.World, service carobservice.Service) *caroblatency.Latency {
-	if pace := world.Latencies.Get(service); pace != nil {
-		return pace
+func latencyOf(world *carobworld.World, service carobservice.Service) *caroblatency.Latency {
+	if latency := world.Latencies.Get(service); latency != nil {
+		return latency
 	}
 	return world.Latencies.Put(service, caroblatency.Latency{})
 }
--- a/pkg/carobhedging/system_test.go
+++ b/pkg/carobhedging/system_test.go
@@ -10,11 +10,11 @@
 	"github.com/carobknot/carobknot/pkg/carobattempt"
 	"github.com/carobknot/carobknot/pkg/carobcall"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobstage"
@@ -28,9 +28,9 @@
 	world := carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()})
 	profile := carobprofile.NewProfile("lookups")
 	profile.Guarantee = carobguarantee.Idempotent
-	pace := paceOf(world, "lookups")
+	latency := latencyOf(world, "lookups")
 	for range 1000 {
-		pace.Histogram.Add(10 * time.Millisecond)
+		latency.Histogram.Add(10 * time.Millisecond)
 	}
 	id := carobcallid.ID{Node: "n", Sequence: 1}
 	call := world.Calls.Put(id, carobcall.Call{
--- a/pkg/carobholding/holding.go
+++ b/pkg/carobholding/holding.go
@@ -3,9 +3,9 @@
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
 // Holding is the state of a key that a call has claimed.
--- a/pkg/carobhome/home.go
+++ b/pkg/carobhome/home.go
@@ -30,11 +30,11 @@
 	// SentAt is when a batch was last sent to the log, and TakeoverAt when a takeover was
 	// last created; both are Never before the first.
 	SentAt, TakeoverAt carobinstant.Instant
-	// TakeoverBackoff is the minimum time between Taken and the next takeover.
+	// TakeoverBackoff is the minimum time between TakeoverAt and the next takeover.
 	TakeoverBackoff time.Duration
-	// ResendAt is when Flight is sent again.
+	// ResendAt is when InFlight is sent again.
 	ResendAt carobinstant.Instant
-	// QueuedClaims and Settlements are queued for the next batch.
+	// QueuedClaims and QueuedSettlements are queued for the next batch.
 	QueuedClaims      []carobclaim.Claim
 	QueuedSettlements []carobsettlement.Settlement
 	// ReplyTo maps the calls that are queued or in flight to the addresses of their
--- a/pkg/carobhop/hop.go
+++ b/pkg/carobhop/hop.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobcallid"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
-	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
@@ -31,7 +31,7 @@
 	Parent string `json:"parent,omitempty"`
 	// StartedAt is when the call or job arrived, by the node's own clock.
 	StartedAt time.Time `json:"start"`
-	// Duration is the time from Start to the end of the call or job.
+	// Duration is the time from StartedAt to the end of the call or job.
 	Duration carobduration.Duration `json:"took"`
 	// Kind is the error kind; None if there was no error.
 	Kind carobkind.Kind `json:"kind,omitempty"`
--- a/pkg/carobinbox/inbox.go
+++ b/pkg/carobinbox/inbox.go
@@ -3,19 +3,19 @@
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobannouncement"
+	"github.com/carobknot/carobknot/pkg/carobappendresult"
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobappendresult"
+	"github.com/carobknot/carobknot/pkg/carobcheckresult"
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobcheckresult"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
-	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 )
 
 // Inbox has one queue for each kind of input from the traffic goroutines. Systems read the
--- a/pkg/carobjobstate/state.go
+++ b/pkg/carobjobstate/state.go
@@ -21,7 +21,7 @@
 )
 
 // UnmarshalText decodes a state. It returns an Invalid error for any other text; the
-// empty Unasked is not accepted.
+// empty Pending is not accepted.
 func (s *JobState) UnmarshalText(text []byte) error {
 	switch st := JobState(text); st {
 	case Never, Running, Done, Unknown:
--- a/pkg/carobjoining/system.go
+++ b/pkg/carobjoining/system.go
@@ -14,11 +14,11 @@
 	"github.com/carobknot/carobknot/pkg/carobappend"
 	"github.com/carobknot/carobknot/pkg/carobgossip"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
-	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
--- a/pkg/caroblatency/latency.go
+++ b/pkg/caroblatency/latency.go
@@ -3,9 +3,9 @@
 
 import "github.com/carobknot/carobknot/pkg/carobhistogram"
 
-// Latency is how fast the targets of one service answer this node.
+// Latency holds how fast the targets of one service answer this node.
 type Latency struct {
-	// Histogram is the distribution over the attempts, from sending to the head
+	// Histogram counts the latencies of the attempts, from sending to the head
 	// of the response. A cancelled attempt counts with the time until it was
 	// cancelled.
 	Histogram carobhistogram.Histogram
--- a/pkg/caroblimits/limits.go
+++ b/pkg/caroblimits/limits.go
@@ -4,9 +4,9 @@
 import (
 	"time"
 
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobsize"
-	"github.com/carobknot/carobknot/pkg/carobduration"
 )
 
 // Limits bounds the tables of a node, and the connections and calls of callers.
@@ -46,18 +46,18 @@
 // the largest known deployment.
 func NewLimits() Limits {
 	return Limits{
-		Calls:   20_000,
-		Jobs:    20_000,
-		Targets: 4_000,
-		Peers:   4_000,
-		Connections:   4_000,
-		Cores:   1,
-		HeaderSize:  16 * carobsize.KiB,
-		BodySize:    1024 * carobsize.MiB,
-		BufferedBodySize:    32 * carobsize.MiB,
+		Calls:            20_000,
+		Jobs:             20_000,
+		Targets:          4_000,
+		Peers:            4_000,
+		Connections:      4_000,
+		Cores:            1,
+		HeaderSize:       16 * carobsize.KiB,
+		BodySize:         1024 * carobsize.MiB,
+		BufferedBodySize: 32 * carobsize.MiB,
 		HeaderTimeout:    carobduration.Duration(10 * time.Second),
-		StallTimeout:   carobduration.Duration(30 * time.Second),
-		IdleTimeout:    carobduration.Duration(60 * time.Second),
+		StallTimeout:     carobduration.Duration(30 * time.Second),
+		IdleTimeout:      carobduration.Duration(60 * time.Second),
 	}
 }
 
--- a/pkg/carobmember/member.go
+++ b/pkg/carobmember/member.go
@@ -6,12 +6,12 @@
 	"github.com/carobknot/carobknot/pkg/carobcentre"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobnodeid"
-	"github.com/carobknot/carobknot/pkg/carobregion"
 	"github.com/carobknot/carobknot/pkg/carobliveness"
-	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobmemberversion"
 	"github.com/carobknot/carobknot/pkg/carobname"
+	"github.com/carobknot/carobknot/pkg/carobnodeid"
+	"github.com/carobknot/carobknot/pkg/carobregion"
+	"github.com/carobknot/carobknot/pkg/carobtarget"
 )
 
 // Member is a node's description of itself, and its liveness state. Other nodes may change
--- a/pkg/carobmembership/system.go
+++ b/pkg/carobmembership/system.go
@@ -14,10 +14,10 @@
 
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
-	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
--- a/pkg/carobmemberversion/memberversion.go
+++ b/pkg/carobmemberversion/memberversion.go
@@ -3,8 +3,8 @@
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
-	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobliveness"
+	"github.com/carobknot/carobknot/pkg/carobnodeid"
 )
 
 // Version identifies a description of a node, and orders the descriptions of the same
--- a/pkg/carobmessage/message.go
+++ b/pkg/carobmessage/message.go
@@ -11,17 +11,17 @@
 	"github.com/carobknot/carobknot/pkg/carobfence"
 	"github.com/carobknot/carobknot/pkg/carobfencereply"
 	"github.com/carobknot/carobknot/pkg/carobfetch"
+	"github.com/carobknot/carobknot/pkg/carobfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobgossip"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
-	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobloadprobe"
+	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobroutefetch"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobrouteversion"
 	"github.com/carobknot/carobknot/pkg/carobsettlement"
-	"github.com/carobknot/carobknot/pkg/carobfetchreply"
 )
 
 // Message is one control message. At most one of the pointers is set, which makes it the
@@ -30,10 +30,10 @@
 	// To is the address that the message is sent to. It is not part of the encoded
 	// message.
 	To carobaddress.Address `json:"-"`
-	// From and Incarnation identify the sender, and Back is the address for answers.
+	// From and Incarnation identify the sender, and ReplyTo is the address for answers.
 	From        carobnodeid.ID               `json:"from"`
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
-	ReplyTo        carobaddress.Address         `json:"back"`
+	ReplyTo     carobaddress.Address         `json:"back"`
 
 	// RoutesVersion is the version of the sender's route table. A message without content
 	// only announces this version.
@@ -43,17 +43,17 @@
 
 	// Gossip carries descriptions of nodes.
 	Gossip *carobgossip.Gossip `json:"gossip,omitempty"`
-	// Heartbeat is a heartbeat or the answer to one.
+	// Heartbeat is a heartbeat or the answer to one. Its name on the wire is probe.
 	Heartbeat *carobpeerheartbeat.PeerHeartbeat `json:"probe,omitempty"`
 	// Digest lists the versions of the sender's descriptions of some nodes.
 	Digest *carobdigest.Digest `json:"digest,omitempty"`
-	// Fetch requests profile records, and Supply carries them.
-	Fetch  *carobfetch.Fetch   `json:"fetch,omitempty"`
+	// Fetch requests profile records, and FetchReply carries them.
+	Fetch      *carobfetch.Fetch           `json:"fetch,omitempty"`
 	FetchReply *carobfetchreply.FetchReply `json:"supply,omitempty"`
 
-	// RouteFetch requests the route table, and Routes carries it.
-	RouteFetch *carobroutefetch.Fetch `json:"routefetch,omitempty"`
-	RouteTable     *carobroutetable.RouteTable    `json:"routes,omitempty"`
+	// RouteFetch requests the route table, and RouteTable carries it.
+	RouteFetch *carobroutefetch.Fetch      `json:"routefetch,omitempty"`
+	RouteTable *carobroutetable.RouteTable `json:"routes,omitempty"`
 
 	// Calls and claims.
 
@@ -68,9 +68,9 @@
 	Settlement *carobsettlement.Settlement `json:"settlement,omitempty"`
 	Settled    *carobcallid.ID             `json:"settled,omitempty"`
 
-	// Measuring.
+	// Load probes.
 
-	// LoadProbe queries the load of a target.
+	// LoadProbe queries the load of a target. Its name on the wire is poll.
 	LoadProbe *carobloadprobe.LoadProbe `json:"poll,omitempty"`
 	// Report answers a query for a load.
 	Report *carobreport.Report `json:"report,omitempty"`
--- a/pkg/carobnodeid/id.go
+++ b/pkg/carobnodeid/id.go
@@ -7,7 +7,7 @@
 // that restarts has the same ID and a higher incarnation.
 type ID string
 
-// Check returns an Invalid error if the name is not a word.
+// Check returns an Invalid error if the name is malformed.
 func (i ID) Check() error {
 	return carobname.Name(i).Check("node")
 }
--- a/pkg/caroboffer/offer.go
+++ b/pkg/caroboffer/offer.go
@@ -6,8 +6,8 @@
 
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/carobtargetid"
 	"github.com/carobknot/carobknot/pkg/carobrequirements"
+	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
 // Offer is the request to a target's node to run a job.
--- a/pkg/carobopenhop/openhop.go
+++ b/pkg/carobopenhop/openhop.go
@@ -11,7 +11,7 @@
 // OpenHop is the hop in progress of one call at its entry node, or of one job at its
 // target's node.
 type OpenHop struct {
-	// Context is the hop's own span, which is the parent of the next hop's span.
+	// Context identifies the hop's own span, which is the parent of the next hop's span.
 	Context carobspancontext.SpanContext
 	// Parent is the span of the previous hop; zero if the trace began here.
 	Parent carobspancontext.SpanContext
--- a/pkg/caroboutbox/outbox.go
+++ b/pkg/caroboutbox/outbox.go
@@ -5,13 +5,12 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobappend"
+	"github.com/carobknot/carobknot/pkg/carobappendrequest"
 	"github.com/carobknot/carobknot/pkg/carobaudit"
 	"github.com/carobknot/carobknot/pkg/carobchangeresult"
-	"github.com/carobknot/carobknot/pkg/carobhealthcheck"
-	"github.com/carobknot/carobknot/pkg/carobappendrequest"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobdecision"
-	"github.com/carobknot/carobknot/pkg/carobsubscription"
+	"github.com/carobknot/carobknot/pkg/carobhealthcheck"
 	"github.com/carobknot/carobknot/pkg/carobhop"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
@@ -19,6 +18,7 @@
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobstart"
+	"github.com/carobknot/carobknot/pkg/carobsubscription"
 )
 
 // Outbox has one queue for each kind of effect. Systems append to the queues; the traffic
@@ -35,7 +35,7 @@
 	// ReadingStore is true while this node reads the operator's records from the store.
 	ReadingStore bool
 	// LongPollTimeout is how long the store may hold open a long-poll read that finds nothing new. It
-	// is set only if Following is true.
+	// is set only if ReadingStore is true.
 	LongPollTimeout time.Duration
 	// Stopped is true when a graceful shutdown is complete.
 	Stopped bool
--- a/pkg/carobpause/system.go
+++ b/pkg/carobpause/system.go
@@ -14,7 +14,7 @@
 	// TickPeriod is the longest time between two ticks.
 	TickPeriod time.Duration
 	// Threshold is the time between two ticks above which the node counts as paused. It
-	// is longer than Period.
+	// is longer than TickPeriod.
 	Threshold time.Duration
 }
 
@@ -30,7 +30,7 @@
 	return &System{config: c}
 }
 
-// Run sets Paused if more than Allowance has passed since the previous tick, and
+// Run sets Paused if more than Threshold has passed since the previous tick, and
 // schedules the next tick.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	w.Paused = s.lastTick != carobinstant.Never && now.Sub(s.lastTick) > s.config.Threshold
--- a/pkg/carobpause/system_test.go
+++ b/pkg/carobpause/system_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/carobknot/carobknot/pkg/carobadmission"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
@@ -28,8 +28,8 @@
 )
 
 const (
-	period    = 200 * time.Millisecond
-	allowance = time.Second
+	tickPeriod = 200 * time.Millisecond
+	threshold  = time.Second
 )
 
 // Guards against a node that, after a pause, starts jobs which were queued before the
@@ -38,10 +38,10 @@
 	for name, c := range map[string]struct {
 		gap    time.Duration
 		paused bool
-	}{"in time": {period, false}, "paused": {allowance + 1, true}} {
+	}{"in time": {tickPeriod, false}, "paused": {threshold + 1, true}} {
 		t.Run(name, func(t *testing.T) {
 			w := world()
-			pause := carobpause.NewSystem(carobpause.Config{TickPeriod: period, Threshold: allowance})
+			pause := carobpause.NewSystem(carobpause.Config{TickPeriod: tickPeriod, Threshold: threshold})
 			step := func(now carobinstant.Instant, in carobinbox.Inbox) {
 				w.BeginTick(in)
 				pause.Run(w, now)
@@ -50,7 +50,7 @@
 			now := carobinstant.Instant(1)
 			step(now, carobinbox.Inbox{Offers: []caroboffer.Offer{offer(1), offer(2)}})
 			require.Len(t, w.Outbox.Starts, 1)
-			require.True(t, w.Wake().Reached(now.Add(period)), "an idle node schedules its next tick")
+			require.True(t, w.Wake().Reached(now.Add(tickPeriod)), "an idle node schedules its next tick")
 
 			now = now.Add(c.gap)
 			step(now, carobinbox.Inbox{
--- a/pkg/carobprobelimits/probelimits.go
+++ b/pkg/carobprobelimits/probelimits.go
@@ -1,4 +1,4 @@
-// Package carobprobelimits holds the budget for measuring load and latency.
+// Package carobprobelimits holds the limits on probing for load and latency.
 package carobprobelimits
 
 import (
@@ -7,18 +7,18 @@
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
 
-// ProbeLimits limits what a node may spend on measuring. All limits are hard caps.
+// ProbeLimits limits what a node may spend on probing. All limits are hard caps.
 type ProbeLimits struct {
-	// BytesPerSecond is the maximum of bytes per second sent for measuring.
+	// BytesPerSecond is the maximum of bytes per second sent for probing.
 	BytesPerSecond carobrate.Rate `json:"rate"`
-	// CPUShare is the maximum share of one processor core used for measuring.
+	// CPUShare is the maximum share of one processor core used for probing.
 	CPUShare carobshare.Share `json:"share"`
 	// ChecksPerSecond is the maximum of health checks per second for each own target
 	// that reports its VM's slowness; 0 sends none.
 	ChecksPerSecond int `json:"checks"`
 }
 
-// NewProbeLimits returns the default budget.
+// NewProbeLimits returns the default limits.
 func NewProbeLimits() ProbeLimits {
 	return ProbeLimits{BytesPerSecond: carobrate.Rate(2 * carobsize.KiB), CPUShare: 0.01}
 }
--- a/pkg/carobprobing/system.go
+++ b/pkg/carobprobing/system.go
@@ -1,29 +1,29 @@
 // Package carobprobing probes targets whose load report is too old, within the
-// measuring budget. Most reports need no probe: they are attached to replies.
+// probe limits. Most reports need no probe: they are attached to replies.
 package carobprobing
 
 import (
 	"math"
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobtokenbucket"
 	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobload"
-	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobloadprobe"
+	"github.com/carobknot/carobknot/pkg/carobmessage"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobreport"
-	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
+	"github.com/carobknot/carobknot/pkg/carobtokenbucket"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// Keys of the measuring budget in World.Buckets.
+// Keys of the probe limits in World.ProbeBuckets.
 const (
-	// BytesBucket is the bucket of the bytes sent for measuring.
+	// BytesBucket is the bucket of the bytes sent for probes and reports.
 	BytesBucket carobname.Name = "bytes"
-	// CPUTimeBucket is the bucket of the processor time spent on measuring, in seconds.
+	// CPUTimeBucket is the bucket of the processor time spent on probes and reports, in seconds.
 	CPUTimeBucket carobname.Name = "time"
 )
 
@@ -49,7 +49,7 @@
 )
 
 // System sends probes and answers those of other nodes. A probe or report that
-// exceeds the budget is dropped instead of delayed, since it would be out of
+// exceeds the limits is dropped instead of delayed, since it would be out of
 // date by the time it was sent.
 type System struct {
 	// nextScan is when reports are scanned next; Never while no target is in
@@ -86,23 +86,23 @@
 
 // sendReport answers a probe of one of this node's own targets.
 func sendReport(world *carobworld.World, now carobinstant.Instant, message carobmessage.Message) {
-	target, gate := world.Targets.Get(message.LoadProbe.Target), world.AdmissionStates.Get(message.LoadProbe.Target)
-	if target == nil || gate == nil || !world.Owns(target) || !spendBudget(world, now, target.ID) {
+	target, state := world.Targets.Get(message.LoadProbe.Target), world.AdmissionStates.Get(message.LoadProbe.Target)
+	if target == nil || state == nil || !world.Owns(target) || !takeFromBuckets(world, now, target.ID) {
 		return
 	}
 	world.SendMessage(carobmessage.Message{To: message.ReplyTo, Report: &carobreport.Report{
-		Target: target.ID, Running: gate.Running, Queued: gate.Queued, Slots: max(gate.Limit, 1),
-		Latency: carobduration.Duration(decayedLatency(gate, now)),
+		Target: target.ID, Running: state.Running, Queued: state.Queued, Slots: max(state.Limit, 1),
+		Latency: carobduration.Duration(decayedLatency(state, now)),
 	}})
 }
 
 // decayedLatency returns a target's latency. It decays while the target has no
 // calls; otherwise a target that was slow once would never be picked again.
-func decayedLatency(gate *carobadmissionstate.AdmissionState, now carobinstant.Instant) time.Duration {
-	if gate.Running > 0 || gate.LatencyStart == carobinstant.Never {
-		return gate.Latency
+func decayedLatency(state *carobadmissionstate.AdmissionState, now carobinstant.Instant) time.Duration {
+	if state.Running > 0 || state.LatencyStart == carobinstant.Never {
+		return state.Latency
 	}
-	return time.Duration(float64(gate.Latency) * math.Exp(-float64(now.Sub(gate.LatencyStart))/float64(latencyDecay)))
+	return time.Duration(float64(state.Latency) * math.Exp(-float64(now.Sub(state.LatencyStart))/float64(latencyDecay)))
 }
 
 // storeReport replaces the report of a target whose load is tracked.
@@ -143,51 +143,51 @@
 	return load.ProbedAt == carobinstant.Never || now.Sub(load.ProbedAt) > probeTimeout || load.ReportedAt > load.ProbedAt
 }
 
-// sendProbe probes the target of another node if the budget allows it.
+// sendProbe probes the target of another node if the limits allow it.
 func sendProbe(world *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, load *carobload.Load) {
 	target := world.Targets.Get(id)
 	if target == nil || world.Owns(target) {
 		return
 	}
 	peer := world.Peers.Get(target.Node)
-	if peer == nil || !spendBudget(world, now, id) {
+	if peer == nil || !takeFromBuckets(world, now, id) {
 		return
 	}
 	load.ProbedAt = now
 	world.SendMessage(carobmessage.Message{To: peer.Member.PeerAddress, LoadProbe: &carobloadprobe.LoadProbe{Target: id}})
 }
 
-// spendBudget takes the cost of one message from both buckets, or from neither
+// takeFromBuckets takes the cost of one message from both buckets, or from neither
 // if one of them has too little.
-func spendBudget(world *carobworld.World, now carobinstant.Instant, id carobtargetid.ID) bool {
+func takeFromBuckets(world *carobworld.World, now carobinstant.Instant, id carobtargetid.ID) bool {
 	bytes, seconds := bucketOf(world, BytesBucket), bucketOf(world, CPUTimeBucket)
 	if bytes == nil || seconds == nil {
 		return false
 	}
-	price := MessageBytes(world, id)
-	refill(bytes, now, float64(world.ProbeLimits.BytesPerSecond), price)
+	size := MessageBytes(world, id)
+	refill(bytes, now, float64(world.ProbeLimits.BytesPerSecond), size)
 	refill(seconds, now, float64(world.ProbeLimits.CPUShare), cpuPerMessage.Seconds())
-	if bytes.Tokens < price || seconds.Tokens < cpuPerMessage.Seconds() {
+	if bytes.Tokens < size || seconds.Tokens < cpuPerMessage.Seconds() {
 		bytes.Denied++
 		return false
 	}
-	return bytes.Take(price) && seconds.Take(cpuPerMessage.Seconds())
+	return bytes.Take(size) && seconds.Take(cpuPerMessage.Seconds())
 }
 
-// refill refills a bucket that holds at most one message. The price of that
+// refill refills a bucket that holds at most one message. The size of that
 // message is subtracted from the rate, so that no second exceeds the rate. A
 // rate below two messages a second is halved instead, which keeps longer
 // periods below the cap. If the rate is below one message a second, the bucket
 // stays empty.
-func refill(bucket *carobtokenbucket.TokenBucket, now carobinstant.Instant, rate, price float64) {
-	if rate < price {
+func refill(bucket *carobtokenbucket.TokenBucket, now carobinstant.Instant, rate, size float64) {
+	if rate < size {
 		return
 	}
-	bucket.Fill(now, max(rate-price, rate/2), price)
+	bucket.Fill(now, max(rate-size, rate/2), size)
 }
 
 // MessageBytes returns the bytes that a probe of a target, or the report that answers
-// it, takes from the budget.
+// it, takes from the buckets.
 func MessageBytes(world *carobworld.World, id carobtargetid.ID) float64 {
 	return float64(messageOverhead + len(world.Self.Node) + len(world.Self.PeerAddress) + len(id.Service) + len(id.Name))
 }
@@ -195,8 +195,8 @@
 // bucketOf returns a bucket and adds it if it is missing, or returns nil if the
 // table is full.
 func bucketOf(world *carobworld.World, name carobname.Name) *carobtokenbucket.TokenBucket {
-	if bucket := world.Buckets.Get(name); bucket != nil {
+	if bucket := world.ProbeBuckets.Get(name); bucket != nil {
 		return bucket
 	}
-	return world.Buckets.Put(name, carobtokenbucket.TokenBucket{})
+	return world.ProbeBuckets.Put(name, carobtokenbucket.TokenBucket{})
 }
--- a/pkg/carobprobing/system_test.go
+++ b/pkg/carobprobing/system_test.go
@@ -7,18 +7,18 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
+	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobgroup"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobload"
-	"github.com/carobknot/carobknot/pkg/carobprobelimits"
+	"github.com/carobknot/carobknot/pkg/carobloadprobe"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
-	"github.com/carobknot/carobknot/pkg/carobloadprobe"
+	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobrate"
 	"github.com/carobknot/carobknot/pkg/carobreport"
@@ -96,8 +96,8 @@
 			world.Loads.Put(other, carobload.Load{LastCandidateAt: now, ReportedAt: 1})
 			sent += len(tick(s, world, now))
 		}
-		price := MessageBytes(world, other)
-		require.LessOrEqual(t, float64(sent)*price, price+rate*now.Sub(start).Seconds())
+		size := MessageBytes(world, other)
+		require.LessOrEqual(t, float64(sent)*size, size+rate*now.Sub(start).Seconds())
 		require.LessOrEqual(t, float64(sent)*cpuPerMessage.Seconds(), cpuPerMessage.Seconds()+0.01*now.Sub(start).Seconds())
 	})
 }
--- a/pkg/carobprofile/profile.go
+++ b/pkg/carobprofile/profile.go
@@ -6,20 +6,20 @@
 	"encoding/json"
 	"time"
 
+	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobshare"
 	"github.com/carobknot/carobknot/pkg/carobsize"
-	"github.com/carobknot/carobknot/pkg/carobduration"
-	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Profile holds the routing rules for the calls of the services that select it.
 type Profile struct {
 	// Name is the name by which services select the profile.
 	Name carobname.Name `json:"name"`
-	// Base is the revision that this change replaces, or None for a new
+	// Base is the revision that this change replaces, or BeforeFirst for a new
 	// profile. The change has no effect if another revision is in force.
 	Base caroboffset.Offset `json:"base"`
 	// Policy is the name of the policy that chooses a target.
@@ -58,30 +58,30 @@
 
 // Upper bounds of the fields.
 const (
-	MaxSubsetSize   = 64
-	MaxAttempts    = 10
-	MaxQueueLimit    = 10_000
-	MaxBufferedBodyLimit     = 16 * carobsize.MiB
-	MaxDeadline = carobduration.Duration(time.Hour)
-	MaxReportAgeLimit  = carobduration.Duration(time.Minute)
+	MaxSubsetSize        = 64
+	MaxAttempts          = 10
+	MaxQueueLimit        = 10_000
+	MaxBufferedBodyLimit = 16 * carobsize.MiB
+	MaxDeadline          = carobduration.Duration(time.Hour)
+	MaxReportAgeLimit    = carobduration.Duration(time.Minute)
 )
 
 // NewProfile returns a profile with the default rules.
 func NewProfile(name carobname.Name) Profile {
 	return Profile{
-		Name:     name,
-		Base:     caroboffset.BeforeFirst,
-		Policy:   "expected",
-		SubsetSize:   16,
-		Deadline: carobduration.Duration(10 * time.Second),
-		Attempts:    3,
-		HedgeQuantile:    0.95,
-		QueueLimit:    24,
-		Guarantee:     carobguarantee.OncePerCall,
-		ReportAgeLimit:  carobduration.Duration(100 * time.Millisecond),
+		Name:              name,
+		Base:              caroboffset.BeforeFirst,
+		Policy:            "expected",
+		SubsetSize:        16,
+		Deadline:          carobduration.Duration(10 * time.Second),
+		Attempts:          3,
+		HedgeQuantile:     0.95,
+		QueueLimit:        24,
+		Guarantee:         carobguarantee.OncePerCall,
+		ReportAgeLimit:    carobduration.Duration(100 * time.Millisecond),
 		EjectErrorRate:    0.5,
-		LocalLoadLimit:     0.8,
-		BufferedBodyLimit:     64 * carobsize.KiB,
+		LocalLoadLimit:    0.8,
+		BufferedBodyLimit: 64 * carobsize.KiB,
 	}
 }
 
--- a/pkg/carobreconciliation/system.go
+++ b/pkg/carobreconciliation/system.go
@@ -15,13 +15,13 @@
 	"github.com/carobknot/carobknot/pkg/carobgossip"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobmember"
+	"github.com/carobknot/carobknot/pkg/carobmemberversion"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
 	"github.com/carobknot/carobknot/pkg/carobrate"
 	"github.com/carobknot/carobknot/pkg/carobsize"
 	"github.com/carobknot/carobknot/pkg/carobthrottle"
-	"github.com/carobknot/carobknot/pkg/carobmemberversion"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
--- a/pkg/carobregion/region.go
+++ b/pkg/carobregion/region.go
@@ -7,8 +7,8 @@
 // region from the others.
 type Region string
 
-// UnmarshalText decodes a name. It returns an Invalid error if the name is not a
-// word.
+// UnmarshalText decodes a name. It returns an Invalid error if the name is
+// malformed.
 func (r *Region) UnmarshalText(text []byte) error {
 	if err := carobname.Name(text).Check("region"); err != nil {
 		return err
--- a/pkg/carobregistry/system.go
+++ b/pkg/carobregistry/system.go
@@ -5,10 +5,10 @@
 import (
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobannouncement"
 	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
-	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobannouncement"
 	"github.com/carobknot/carobknot/pkg/carobinstance"
+	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
@@ -36,7 +36,7 @@
 }
 
 // Run handles the tick's announcements, marks targets without recent announcements as
-// leaving, and removes the gates of removed targets once they have no jobs.
+// leaving, and removes the admission states of removed targets once they have no jobs.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	for _, an := range w.Inbox.Announcements {
 		switch {
@@ -48,12 +48,12 @@
 			handleAnnouncement(w, now, an)
 		}
 	}
-	for id, gt := range w.AdmissionStates.All() {
+	for id, as := range w.AdmissionStates.All() {
 		tg := w.Targets.Get(id)
 		switch {
 		case tg != nil && w.Owns(tg):
 			s.checkTimeout(w, now, tg)
-		case gt.Running == 0 && gt.Queued == 0:
+		case as.Running == 0 && as.Queued == 0:
 			w.AdmissionStates.Delete(id)
 		}
 	}
@@ -64,53 +64,53 @@
 // newer than the last one from its address, or if its incarnation has left.
 func isOutdated(w *carobworld.World, an carobannouncement.Announcement) bool {
 	if an.Withdrawn {
-		lf := newestLife(w, an.Target)
-		return lf != nil && an.Incarnation > 0 && an.Incarnation < lf.Incarnation
+		instance := newestInstance(w, an.Target)
+		return instance != nil && an.Incarnation > 0 && an.Incarnation < instance.Incarnation
 	}
-	lf := w.Instances.Get(an.Address)
-	return lf != nil && lf.Outdated(an.Incarnation, an.Sequence)
+	instance := w.Instances.Get(an.Address)
+	return instance != nil && instance.Outdated(an.Incarnation, an.Sequence)
 }
 
 // handleLeave removes a target that has withdrawn itself, and records that later
 // announcements of the same incarnation are to be ignored.
 func handleLeave(w *carobworld.World, an carobannouncement.Announcement) {
-	if lf := newestLife(w, an.Target); lf != nil {
-		lf.Withdrawn, an.Target = true, lf.Target
+	if instance := newestInstance(w, an.Target); instance != nil {
+		instance.Withdrawn, an.Target = true, instance.Target
 	}
 	removeTarget(w, an)
 }
 
-// newestLife returns the record of a target's newest incarnation, or nil. The service
+// newestInstance returns the record of a target's newest incarnation, or nil. The service
 // of id may be empty, because a target may withdraw without naming its service.
-func newestLife(w *carobworld.World, id carobtargetid.ID) *carobinstance.Instance {
-	for _, lf := range w.Instances.All() {
-		if lf.Target.Name == id.Name && (id.Service == "" || lf.Target.Service == id.Service) {
-			return lf
+func newestInstance(w *carobworld.World, id carobtargetid.ID) *carobinstance.Instance {
+	for _, instance := range w.Instances.All() {
+		if instance.Target.Name == id.Name && (id.Service == "" || instance.Target.Service == id.Service) {
+			return instance
 		}
 	}
 	return nil
 }
 
-// recordLife records the target, incarnation and sequence of an announcement for its
+// recordInstance records the target, incarnation and sequence of an announcement for its
 // address. It removes another target that had the address before. A target that has
-// restarted has lost its connections and its memory, so its gate counts as new.
-func recordLife(w *carobworld.World, now carobinstant.Instant, an carobannouncement.Announcement) {
-	lf := w.Instances.Get(an.Address)
-	if lf != nil && lf.Target != an.Target && an.Incarnation > 0 {
-		removeTarget(w, carobannouncement.Announcement{Target: lf.Target})
+// restarted has lost its connections and its memory, so its admission state counts as new.
+func recordInstance(w *carobworld.World, now carobinstant.Instant, an carobannouncement.Announcement) {
+	instance := w.Instances.Get(an.Address)
+	if instance != nil && instance.Target != an.Target && an.Incarnation > 0 {
+		removeTarget(w, carobannouncement.Announcement{Target: instance.Target})
 	}
-	if lf != nil && lf.Target == an.Target && lf.Incarnation != an.Incarnation {
+	if instance != nil && instance.Target == an.Target && instance.Incarnation != an.Incarnation {
 		auditChange(w, an.Target, "earlier life", "new life")
-		if gt := w.AdmissionStates.Get(an.Target); gt != nil {
-			gt.AddedAt = now
+		if as := w.AdmissionStates.Get(an.Target); as != nil {
+			as.AddedAt = now
 		}
 	}
 	w.Instances.Put(an.Address, carobinstance.Instance{Target: an.Target, Incarnation: an.Incarnation, Sequence: an.Sequence})
 }
 
-// handleAnnouncement adds or updates the target of an announcement and its gate.
+// handleAnnouncement adds or updates the target of an announcement and its admission state.
 func handleAnnouncement(w *carobworld.World, now carobinstant.Instant, an carobannouncement.Announcement) {
-	recordLife(w, now, an)
+	recordInstance(w, now, an)
 	next := carobtarget.Target{
 		ID: an.Target, Node: w.Self.Node, Address: an.Address, Profile: an.Profile,
 		Slots: an.Slots, Connections: an.Connections, Readiness: an.Readiness, AnnouncedAt: now,
@@ -124,11 +124,11 @@
 	if w.Targets.Put(an.Target, next) == nil {
 		return
 	}
-	gt := w.AdmissionStates.Get(an.Target)
-	if gt == nil {
-		gt = w.AdmissionStates.Put(an.Target, carobadmissionstate.AdmissionState{AddedAt: now})
+	as := w.AdmissionStates.Get(an.Target)
+	if as == nil {
+		as = w.AdmissionStates.Put(an.Target, carobadmissionstate.AdmissionState{AddedAt: now})
 	}
-	gt.Slots, gt.Limit = an.Slots, an.Slots
+	as.Slots, as.Limit = an.Slots, an.Slots
 	if !changed {
 		return
 	}
@@ -136,7 +136,7 @@
 	markTargetsChanged(w)
 }
 
-// removeTarget removes the target of an announcement if it is this node's own. Its gate
+// removeTarget removes the target of an announcement if it is this node's own. Its admission state
 // stays until its jobs have ended.
 func removeTarget(w *carobworld.World, an carobannouncement.Announcement) {
 	tg := w.Targets.Get(an.Target)
--- a/pkg/carobregistry/system_test.go
+++ b/pkg/carobregistry/system_test.go
@@ -12,10 +12,10 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobmember"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobregistry"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -137,9 +137,9 @@
 	require.Equal(t, carobreadiness.Ready, r.state("a"))
 }
 
-// Guards against a gate that is removed while jobs still refer to it, and against one
+// Guards against an admission state that is removed while jobs still refer to it, and against one
 // that is never removed.
-func TestGateIsRemovedAfterItsLastJob(t *testing.T) {
+func TestAdmissionStateIsRemovedAfterItsLastJob(t *testing.T) {
 	r := newRig()
 	r.step(announcement("a", 5, 1, carobreadiness.Ready))
 	id := carobtargetid.ID{Service: "lookups", Name: "a"}
--- a/pkg/carobretrybudget/retrybudget.go
+++ b/pkg/carobretrybudget/retrybudget.go
@@ -4,7 +4,7 @@
 
 // RetryBudget is the token bucket for the retries and hedges of one service at this node.
 // A retry after a refusal by a target's node costs no token, because the refused
-// attempt did not reach a target; the profile's tries limit such retries.
+// attempt did not reach a target; the profile's attempts limit such retries.
 type RetryBudget struct {
 	// Tokens is the number of tokens in the bucket, at least 0.
 	Tokens float64
@@ -17,10 +17,10 @@
 	FreeRetries uint64
 }
 
-// AddCall counts a call, and adds its share of a token to the bucket, up to most tokens.
-func (b *RetryBudget) AddCall(share, most float64) {
+// AddCall counts a call, and adds its share of a token to the bucket, up to limit tokens.
+func (b *RetryBudget) AddCall(share, limit float64) {
 	b.Calls++
-	b.Tokens = min(most, b.Tokens+share)
+	b.Tokens = min(limit, b.Tokens+share)
 }
 
 // TakeToken takes a token for a retry or hedge, and reports whether there was one.
--- a/pkg/carobrevision/revision.go
+++ b/pkg/carobrevision/revision.go
@@ -14,7 +14,7 @@
 type Revision struct {
 	// Change is the change that came into force.
 	Change carobchange.Change `json:"change"`
-	// Offset is the offset of the change in the log, or None for a profile that did
+	// Offset is the offset of the change in the log, or BeforeFirst for a profile that did
 	// not come from the log. It never decreases.
 	Offset caroboffset.Offset `json:"offset"`
 }
--- a/pkg/carobroute/route.go
+++ b/pkg/carobroute/route.go
@@ -5,12 +5,12 @@
 import (
 	"strings"
 
-	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
-	"github.com/carobknot/carobknot/pkg/carobweightedservice"
-	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
+	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobname"
+	"github.com/carobknot/carobknot/pkg/carobprofile"
+	"github.com/carobknot/carobknot/pkg/carobweightedservice"
 )
 
 // Route selects the services that get the calls and how the calls are treated.
@@ -48,12 +48,12 @@
 	case len(r.WeightedServices) == 0:
 		return carobkind.New(carobkind.Invalid, "route %s: no service", r.Name)
 	}
-	for _, part := range r.WeightedServices {
-		if err := part.Service.Check(); err != nil {
+	for _, weighted := range r.WeightedServices {
+		if err := weighted.Service.Check(); err != nil {
 			return err
 		}
-		if !(part.Weight >= 0) {
-			return carobkind.New(carobkind.Invalid, "route %s: weight of %s is negative", r.Name, part.Service)
+		if !(weighted.Weight >= 0) {
+			return carobkind.New(carobkind.Invalid, "route %s: weight of %s is negative", r.Name, weighted.Service)
 		}
 	}
 	return nil
--- a/pkg/carobroutefetch/fetch.go
+++ b/pkg/carobroutefetch/fetch.go
@@ -6,8 +6,8 @@
 // Fetch requests the route table if it is newer than the sender's. A node without a newer
 // one does not answer.
 type Fetch struct {
-	// Have is the version of the sender's table; None if it has no table.
-	Have carobrouteversion.Version `json:"have"`
+	// Version is the version of the sender's table; None if it has no table.
+	Version carobrouteversion.Version `json:"have"`
 }
 
 // Check returns nil, because every version is valid.
--- a/pkg/carobroutesync/system.go
+++ b/pkg/carobroutesync/system.go
@@ -51,7 +51,7 @@
 		if ms.RouteTable != nil && apply(w, ms.RouteTable, string(ms.From)) {
 			s.requestDeadline = carobinstant.Never
 		}
-		if ms.RouteFetch != nil && w.RouteTable != nil && w.RouteTable.Version > ms.RouteFetch.Have {
+		if ms.RouteFetch != nil && w.RouteTable != nil && w.RouteTable.Version > ms.RouteFetch.Version {
 			w.SendMessage(carobmessage.Message{To: ms.ReplyTo, RouteTable: w.RouteTable})
 		}
 		recordVersion(w, ms)
@@ -116,5 +116,5 @@
 func (s *System) request(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer) {
 	s.requestDeadline = now.Add(answerTimeout)
 	w.WakeAt(s.requestDeadline)
-	w.SendMessage(carobmessage.Message{To: pr.Member.PeerAddress, RouteFetch: &carobroutefetch.Fetch{Have: w.RoutesVersion()}})
+	w.SendMessage(carobmessage.Message{To: pr.Member.PeerAddress, RouteFetch: &carobroutefetch.Fetch{Version: w.RoutesVersion()}})
 }
--- a/pkg/carobroutesync/system_test.go
+++ b/pkg/carobroutesync/system_test.go
@@ -16,8 +16,8 @@
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobroutefetch"
-	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobroutesync"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobrouteversion"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
@@ -98,7 +98,7 @@
 	sent := r.receive("near", 9)
 	require.Len(t, sent, 1)
 	require.EqualValues(t, "near", sent[0].To)
-	require.EqualValues(t, 3, sent[0].RouteFetch.Have)
+	require.EqualValues(t, 3, sent[0].RouteFetch.Version)
 }
 
 // If no node of the data centre announces the newer table, it must be requested from
@@ -127,7 +127,7 @@
 	r.step(0, carobinbox.Inbox{RouteTables: []*carobroutetable.RouteTable{table(t, 9)}})
 	request := func(have carobrouteversion.Version) []carobmessage.Message {
 		return r.step(time.Millisecond, carobinbox.Inbox{Messages: []carobmessage.Message{
-			{From: "far", Incarnation: 1, ReplyTo: "far", RoutesVersion: have, RouteFetch: &carobroutefetch.Fetch{Have: have}},
+			{From: "far", Incarnation: 1, ReplyTo: "far", RoutesVersion: have, RouteFetch: &carobroutefetch.Fetch{Version: have}},
 		}})
 	}
 	require.Empty(t, request(9))
--- a/pkg/carobroutetable/routetable_test.go
+++ b/pkg/carobroutetable/routetable_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/carobknot/carobknot/pkg/carobguarantee"
-	"github.com/carobknot/carobknot/pkg/carobweightedservice"
 	"github.com/carobknot/carobknot/pkg/carobroute"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
+	"github.com/carobknot/carobknot/pkg/carobweightedservice"
 )
 
 func newRoute(host, prefix string) carobroute.Route {
--- a/pkg/carobrouting/subset_test.go
+++ b/pkg/carobrouting/subset_test.go
@@ -10,11 +10,11 @@
 	"github.com/carobknot/carobknot/pkg/carobgroup"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobmember"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
--- a/pkg/carobrouting/system.go
+++ b/pkg/carobrouting/system.go
@@ -37,8 +37,8 @@
 	// Without it, thousands of calls that wait for the same service would each
 	// search all its targets in every tick.
 	withoutTarget map[carobservice.Service]struct{}
-	// turn counts the attempts that were sent.
-	turn uint64
+	// sendNumber counts the attempts that were sent.
+	sendNumber uint64
 }
 
 // NewSystem returns a System that has sent no attempts.
@@ -186,11 +186,11 @@
 }
 
 // setReportedLoad sets the load of a candidate. This node's own target has a
-// gate, which is always current; for others the newest report is used, plus the
+// admission state, which is always current; for others the newest report is used, plus the
 // attempts that this node has sent since.
 func setReportedLoad(world *carobworld.World, now carobinstant.Instant, target *carobtarget.Target, added *candidate) {
-	if gate := world.AdmissionStates.Get(target.ID); gate != nil && world.Owns(target) {
-		added.reportedCalls, added.latency, added.reportedAt = float64(gate.Running+gate.Queued), gate.Latency, now
+	if state := world.AdmissionStates.Get(target.ID); state != nil && world.Owns(target) {
+		added.reportedCalls, added.latency, added.reportedAt = float64(state.Running+state.Queued), state.Latency, now
 		return
 	}
 	report := &added.load.Report
@@ -215,10 +215,10 @@
 	call.Attempts = append(call.Attempts, carobattempt.Attempt{
 		Target: chosen.targetID, Node: chosen.nodeID, Incarnation: chosen.incarnation, SentAt: now,
 	})
-	s.turn++
+	s.sendNumber++
 	chosen.load.SentSinceReport++
 	chosen.load.OpenAttempts++
-	chosen.load.LastSendNumber = s.turn
+	chosen.load.LastSendNumber = s.sendNumber
 	world.RecordDecision(carobdecision.Decision{
 		Component: "route", Text: "attempt sent", Request: call.Arrival.Request, Call: call.Arrival.Call,
 		Attempt: len(call.Attempts), Target: chosen.targetID,
@@ -230,11 +230,11 @@
 			carobinput.Age("reportms", now, chosen.reportedAt),
 		},
 	})
-	wish := call.Requirements(now)
-	wish.Movable = len(call.Attempts) == 1 && len(s.candidates) > 1 && call.Arrival.Size <= maxMovableSize
+	requirements := call.Requirements(now)
+	requirements.Movable = len(call.Attempts) == 1 && len(s.candidates) > 1 && call.Arrival.Size <= maxMovableSize
 	world.Outbox.Sends = append(world.Outbox.Sends, carobsend.Send{
 		Job:    carobjobid.ID{Call: call.Arrival.Call, Attempt: len(call.Attempts)},
 		Target: chosen.targetID, PeerAddress: chosen.peerAddress, Incarnation: chosen.incarnation, TimeLeft: call.Deadline.Sub(now),
-		Guarantee: call.Profile.Guarantee, Requirements: wish,
+		Guarantee: call.Profile.Guarantee, Requirements: requirements,
 	})
 }
--- a/pkg/carobrouting/waiting_test.go
+++ b/pkg/carobrouting/waiting_test.go
@@ -13,12 +13,12 @@
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobmember"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobsize"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
--- a/pkg/carobschedule/schedule.go
+++ b/pkg/carobschedule/schedule.go
@@ -16,7 +16,7 @@
 	entries entryHeap[K]
 }
 
-// NewSchedule returns an empty agenda.
+// NewSchedule returns an empty schedule.
 func NewSchedule[K comparable]() *Schedule[K] {
 	return &Schedule[K]{entries: entryHeap[K]{indices: map[K]int{}}}
 }
@@ -36,7 +36,7 @@
 	}
 }
 
-// NextDue returns the earliest instant, or Never if the agenda is empty.
+// NextDue returns the earliest instant, or Never if the schedule is empty.
 func (a *Schedule[K]) NextDue() carobinstant.Instant {
 	if len(a.entries.list) == 0 {
 		return carobinstant.Never
@@ -55,7 +55,7 @@
 }
 
 // Peek returns the key with the earliest instant, whether due or not. It
-// returns false if the agenda is empty.
+// returns false if the schedule is empty.
 func (a *Schedule[K]) Peek() (key K, ok bool) {
 	if len(a.entries.list) == 0 {
 		return key, false
--- a/pkg/carobschedule/schedule_test.go
+++ b/pkg/carobschedule/schedule_test.go
@@ -11,15 +11,15 @@
 )
 
 // Guards against keys that are lost, due too early or returned out of order, by
-// comparing an agenda with a map that is searched for the earliest instant.
-func TestAgendaMatchesMapModel(t *testing.T) {
+// comparing a schedule with a map that is searched for the earliest instant.
+func TestScheduleMatchesMapModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		agenda, model := NewSchedule[int](), map[int]carobinstant.Instant{}
+		schedule, model := NewSchedule[int](), map[int]carobinstant.Instant{}
 		r.Repeat(map[string]func(*rapid.T){
 			"set": func(r *rapid.T) {
 				key := rapid.IntRange(0, 9).Draw(r, "key")
 				at := carobinstant.Instant(rapid.IntRange(0, 20).Draw(r, "at"))
-				agenda.Set(key, at)
+				schedule.Set(key, at)
 				if at == carobinstant.Never {
 					delete(model, key)
 				} else {
@@ -28,7 +28,7 @@
 			},
 			"pop": func(r *rapid.T) {
 				now := carobinstant.Instant(rapid.IntRange(1, 20).Draw(r, "now"))
-				key, ok := agenda.Pop(now)
+				key, ok := schedule.Pop(now)
 				least := earliest(model)
 				require.Equal(r, least.Reached(now), ok)
 				if ok {
@@ -37,8 +37,8 @@
 				}
 			},
 			"": func(r *rapid.T) {
-				require.Equal(r, len(model), agenda.Len())
-				require.Equal(r, earliest(model), agenda.NextDue())
+				require.Equal(r, len(model), schedule.Len())
+				require.Equal(r, earliest(model), schedule.NextDue())
 			},
 		})
 	})
--- a/pkg/carobsend/send.go
+++ b/pkg/carobsend/send.go
@@ -5,11 +5,11 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobaddress"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
-	"github.com/carobknot/carobknot/pkg/carobtargetid"
 	"github.com/carobknot/carobknot/pkg/carobrequirements"
+	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
 // Send orders that an attempt is sent to a target's node.
--- a/pkg/carobservice/service.go
+++ b/pkg/carobservice/service.go
@@ -10,7 +10,7 @@
 // it in the Host header.
 type Service string
 
-// Check returns an Invalid error if the name is not a word. Each word can be used as
+// Check returns an Invalid error if the name is malformed. Each name can be used as
 // a host name.
 func (s Service) Check() error {
 	return carobname.Name(s).Check("service")
--- a/pkg/carobsettlement/settlement.go
+++ b/pkg/carobsettlement/settlement.go
@@ -3,8 +3,8 @@
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobclaim"
-	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
 // Settlement is the result of a call whose entry node sent a claim, whether or not
--- a/pkg/carobshutdown/system.go
+++ b/pkg/carobshutdown/system.go
@@ -33,8 +33,8 @@
 	return &System{config: c}
 }
 
-// Run orders the node to stop once there have been no calls, jobs and offers for Linger,
-// or for Patience if there are unsettled calls.
+// Run orders the node to stop once there have been no calls, jobs and offers for QuietPeriod,
+// or for SettleTimeout if there are pending settlements.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	if !w.Stopping || w.Calls.Len() > 0 || w.Jobs.Len() > 0 || len(w.Inbox.Offers) > 0 {
 		s.idleSince = carobinstant.Never
--- a/pkg/carobshutdown/system_test.go
+++ b/pkg/carobshutdown/system_test.go
@@ -17,18 +17,18 @@
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
+	"github.com/carobknot/carobknot/pkg/carobpendingsettlement"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobshutdown"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobpendingsettlement"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
 const settleTimeout = time.Second
 
 // Guards against a node that stops while calls or jobs are in flight or calls are
-// unsettled, and against one that waits for unsettled calls longer than its limit.
+// without a confirmed settlement, and against one that waits for settlements longer than its limit.
 func TestNodeStopsWhenNothingIsInFlight(t *testing.T) {
 	call := carobcallid.ID{Node: "here", Sequence: 1}
 	cases := map[string]struct {
@@ -42,7 +42,7 @@
 			func(w *carobworld.World) { w.Jobs.Put(carobjobid.ID{Call: call}, carobjob.Job{}) },
 			func(w *carobworld.World) { w.Jobs.Delete(carobjobid.ID{Call: call}) },
 		},
-		"unsettled call": {
+		"pending settlement": {
 			func(w *carobworld.World) { w.PendingSettlements.Put(call, carobpendingsettlement.PendingSettlement{}) },
 			func(w *carobworld.World) { w.PendingSettlements.Delete(call) },
 		},
--- a/pkg/carobsnapshot/snapshot.go
+++ b/pkg/carobsnapshot/snapshot.go
@@ -13,7 +13,7 @@
 	// LastOffset is the last offset that the snapshot includes. The record of the
 	// snapshot has a higher offset; changes between the two are not included.
 	LastOffset caroboffset.Offset `json:"through"`
-	// Revisions holds one revision of each profile, with offsets up to Through.
+	// Revisions holds one revision of each profile, with offsets up to LastOffset.
 	Revisions []carobrevision.Revision `json:"revisions"`
 }
 
--- a/pkg/carobstart/start.go
+++ b/pkg/carobstart/start.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobaddress"
-	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobguarantee"
+	"github.com/carobknot/carobknot/pkg/carobjobid"
 )
 
 // Start orders the traffic side to send a job to its target.
--- a/pkg/carobstoredanswer/storedanswer.go
+++ b/pkg/carobstoredanswer/storedanswer.go
@@ -1,8 +1,8 @@
-// Package carobstoredanswer defines the answers that are kept for later calls with the same
+// Package carobstoredanswer defines the answers that are stored for later calls with the same
 // idempotency key.
 package carobstoredanswer
 
-// MaxBody is the length in bytes of the longest body that is kept.
+// MaxBody is the length in bytes of the longest body that is stored.
 const MaxBody = 4 << 10
 
 // StoredAnswer is a complete answer of a target.
--- a/pkg/carobsubscription/subscription.go
+++ b/pkg/carobsubscription/subscription.go
@@ -6,5 +6,5 @@
 // Subscription starts reading a stream from its first retained record, or stops reading it.
 type Subscription struct {
 	Stream carobstream.Stream
-	Active     bool
+	Active bool
 }
--- a/pkg/carobtarget/target.go
+++ b/pkg/carobtarget/target.go
@@ -4,15 +4,15 @@
 import (
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Target is the identity, address and announced properties of a target. Its
 // load is in the table of loads and, for the node's own targets, in the table
-// of gates.
+// of admission states.
 type Target struct {
 	ID carobtargetid.ID `json:"id"`
 	// Node is the node on the target's VM. All calls to the target pass through
--- a/pkg/carobtargetid/id.go
+++ b/pkg/carobtargetid/id.go
@@ -5,8 +5,8 @@
 	"strings"
 
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobname"
+	"github.com/carobknot/carobknot/pkg/carobservice"
 )
 
 // ID identifies a target by its service and its name within the service.
@@ -27,7 +27,7 @@
 }
 
 // UnmarshalText decodes "service/name". It returns an Invalid error if the slash is
-// missing or a part is not a word.
+// missing or a part is malformed.
 func (i *ID) UnmarshalText(text []byte) error {
 	service, name, ok := strings.Cut(string(text), "/")
 	if !ok {
--- a/pkg/carobthrottle/throttle.go
+++ b/pkg/carobthrottle/throttle.go
@@ -3,10 +3,10 @@
 package carobthrottle
 
 import (
-	"github.com/carobknot/carobknot/pkg/carobtokenbucket"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobrate"
 	"github.com/carobknot/carobknot/pkg/carobsize"
+	"github.com/carobknot/carobknot/pkg/carobtokenbucket"
 )
 
 // Config holds the settings of a throttle.
--- a/pkg/carobthrottle/throttle_test.go
+++ b/pkg/carobthrottle/throttle_test.go
@@ -14,25 +14,25 @@
 // rate over the period, and the one amount that overdraws.
 func TestThrottleLimitHoldsInEveryPeriod(t *testing.T) {
 	const rate, burst, largest = 1000, 4000, 1500
-	type spend struct {
+	type send struct {
 		at     carobinstant.Instant
 		amount int
 	}
 	rapid.Check(t, func(r *rapid.T) {
 		th := NewThrottle(Config{Rate: rate, Burst: burst})
-		now, spends := carobinstant.Instant(1), []spend{}
+		now, sends := carobinstant.Instant(1), []send{}
 		for range rapid.IntRange(1, 60).Draw(r, "amounts") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(r, "gap")) * time.Millisecond)
 			amount := rapid.IntRange(1, largest).Draw(r, "amount")
 			if th.Allow(now, amount) {
-				spends = append(spends, spend{at: now, amount: amount})
+				sends = append(sends, send{at: now, amount: amount})
 			}
 		}
-		for from := range spends {
+		for from := range sends {
 			sum := 0
-			for _, sp := range spends[from:] {
-				sum += sp.amount
-				allowed := burst + rate*sp.at.Sub(spends[from].at).Seconds() + largest
+			for _, later := range sends[from:] {
+				sum += later.amount
+				allowed := burst + rate*later.at.Sub(sends[from].at).Seconds() + largest
 				require.LessOrEqual(r, float64(sum), allowed)
 			}
 		}
--- a/pkg/carobtracing/system.go
+++ b/pkg/carobtracing/system.go
@@ -8,14 +8,14 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobcallid"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobhop"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobopenhop"
 	"github.com/carobknot/carobknot/pkg/carobspancontext"
-	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobopenhop"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -33,8 +33,8 @@
 // traces, so that they do not depend on it.
 type System struct {
 	// random is separate from the world's source, so that tracing changes no decision.
-	random        *rand.Rand
-	noPropagation bool
+	random             *rand.Rand
+	noTracePropagation bool
 }
 
 // Roles of hops.
@@ -46,14 +46,14 @@
 // NewSystem returns the system.
 func NewSystem(c Config) *System {
 	const stream = 2
-	return &System{noPropagation: c.NoTracePropagation, random: rand.New(rand.NewPCG(c.Seed, stream))} //nolint:gosec // span IDs are not secret
+	return &System{noTracePropagation: c.NoTracePropagation, random: rand.New(rand.NewPCG(c.Seed, stream))} //nolint:gosec // span IDs are not secret
 }
 
 // Run opens the hops of calls and offers that arrived in the tick, propagates trace
 // contexts to outgoing attempts and starts, and records the hops that ended.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
 	s.openHops(w, now)
-	propagate(w, s.noPropagation)
+	propagate(w, s.noTracePropagation)
 	closeCalls(w, now)
 	closeJobs(w, now)
 }
@@ -62,19 +62,19 @@
 func (s *System) openHops(w *carobworld.World, now carobinstant.Instant) {
 	for i := range w.Inbox.Arrivals {
 		ar := &w.Inbox.Arrivals[i]
-		w.OpenCallHops.Put(ar.Call, s.newTrace(ar.Traceparent, now))
+		w.OpenCallHops.Put(ar.Call, s.newOpenHop(ar.Traceparent, now))
 	}
 	for i := range w.Inbox.Offers {
 		of := &w.Inbox.Offers[i]
-		tr := s.newTrace(of.Traceparent, now)
-		tr.Targets = []carobtargetid.ID{of.Target}
-		w.OpenJobHops.Put(of.Job, tr)
+		open := s.newOpenHop(of.Traceparent, now)
+		open.Targets = []carobtargetid.ID{of.Target}
+		w.OpenJobHops.Put(of.Job, open)
 	}
 }
 
-// newTrace returns a hop whose parent is the span in the header, or the first hop of a
+// newOpenHop returns a hop whose parent is the span in the header, or the first hop of a
 // new trace if the header is not a valid trace context.
-func (s *System) newTrace(header string, now carobinstant.Instant) carobopenhop.OpenHop {
+func (s *System) newOpenHop(header string, now carobinstant.Instant) carobopenhop.OpenHop {
 	parent, ok := carobspancontext.Parse(header)
 	if !ok {
 		return carobopenhop.OpenHop{Context: carobspancontext.NewSpanContext(s.random), StartedAt: now}
@@ -84,20 +84,20 @@
 
 // propagate records the targets of the attempts that are sent and, unless propagation is
 // disabled, adds the trace context to outgoing attempts and starts.
-func propagate(w *carobworld.World, noPropagation bool) {
+func propagate(w *carobworld.World, noTracePropagation bool) {
 	for i := range w.Outbox.Sends {
 		sd := &w.Outbox.Sends[i]
-		if tr := w.OpenCallHops.Get(sd.Job.Call); tr != nil {
-			tr.Targets = append(tr.Targets, sd.Target)
-			if !noPropagation {
-				sd.Traceparent = tr.Context.String()
+		if open := w.OpenCallHops.Get(sd.Job.Call); open != nil {
+			open.Targets = append(open.Targets, sd.Target)
+			if !noTracePropagation {
+				sd.Traceparent = open.Context.String()
 			}
 		}
 	}
 	for i := range w.Outbox.Starts {
 		st := &w.Outbox.Starts[i]
-		if tr := w.OpenJobHops.Get(st.Job); tr != nil && !noPropagation {
-			st.Traceparent = tr.Context.String()
+		if open := w.OpenJobHops.Get(st.Job); open != nil && !noTracePropagation {
+			st.Traceparent = open.Context.String()
 		}
 	}
 }
@@ -117,17 +117,17 @@
 // closeCall records the hop of a call that has ended. An attempt of 0 means the last one
 // sent. It does nothing if the call's hop has been recorded already.
 func closeCall(w *carobworld.World, now carobinstant.Instant, call carobcallid.ID, attempt int, kind carobkind.Kind) {
-	tr := w.OpenCallHops.Get(call)
-	if tr == nil {
+	open := w.OpenCallHops.Get(call)
+	if open == nil {
 		return
 	}
 	if attempt == 0 {
-		attempt = len(tr.Targets)
+		attempt = len(open.Targets)
 	}
-	hp := newHop(w, now, tr)
+	hp := newHop(w, now, open)
 	hp.Role, hp.Call, hp.Attempt, hp.Kind = entry, call, attempt, kind
-	if 0 < attempt && attempt <= len(tr.Targets) {
-		hp.Target = tr.Targets[attempt-1]
+	if 0 < attempt && attempt <= len(open.Targets) {
+		hp.Target = open.Targets[attempt-1]
 	}
 	w.Outbox.Hops = append(w.Outbox.Hops, hp)
 	w.OpenCallHops.Delete(call)
@@ -146,25 +146,25 @@
 // closeJob records the hop of a job that has ended. It does nothing if the job's hop has
 // been recorded already.
 func closeJob(w *carobworld.World, now carobinstant.Instant, job carobjobid.ID, kind carobkind.Kind) {
-	tr := w.OpenJobHops.Get(job)
-	if tr == nil {
+	open := w.OpenJobHops.Get(job)
+	if open == nil {
 		return
 	}
-	hp := newHop(w, now, tr)
-	hp.Role, hp.Call, hp.Attempt, hp.Target, hp.Kind = target, job.Call, job.Attempt, tr.Targets[0], kind
+	hp := newHop(w, now, open)
+	hp.Role, hp.Call, hp.Attempt, hp.Target, hp.Kind = target, job.Call, job.Attempt, open.Targets[0], kind
 	w.Outbox.Hops = append(w.Outbox.Hops, hp)
 	w.OpenJobHops.Delete(job)
 }
 
 // newHop returns the record of a hop that ends now, without its role, call, attempt,
 // target and kind.
-func newHop(w *carobworld.World, now carobinstant.Instant, tr *carobopenhop.OpenHop) carobhop.Hop {
+func newHop(w *carobworld.World, now carobinstant.Instant, open *carobopenhop.OpenHop) carobhop.Hop {
 	hp := carobhop.Hop{
-		Node: w.Self.Node, Traceparent: tr.Context.String(),
-		StartedAt: time.Unix(0, int64(tr.StartedAt)).UTC(), Duration: carobduration.Duration(now.Sub(tr.StartedAt)),
+		Node: w.Self.Node, Traceparent: open.Context.String(),
+		StartedAt: time.Unix(0, int64(open.StartedAt)).UTC(), Duration: carobduration.Duration(now.Sub(open.StartedAt)),
 	}
-	if tr.Parent != (carobspancontext.SpanContext{}) {
-		hp.Parent = hex.EncodeToString(tr.Parent.SpanID[:])
+	if open.Parent != (carobspancontext.SpanContext{}) {
+		hp.Parent = hex.EncodeToString(open.Parent.SpanID[:])
 	}
 	return hp
 }
--- a/pkg/carobworld/calls.go
+++ b/pkg/carobworld/calls.go
@@ -1,20 +1,20 @@
 package carobworld
 
 import (
-	"github.com/carobknot/carobknot/pkg/carobretrybudget"
 	"github.com/carobknot/carobknot/pkg/carobcall"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
+	"github.com/carobknot/carobknot/pkg/carobevictingmap"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
 	"github.com/carobknot/carobknot/pkg/carobhome"
 	"github.com/carobknot/carobknot/pkg/carobjob"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
-	"github.com/carobknot/carobknot/pkg/carobevictingmap"
+	"github.com/carobknot/carobknot/pkg/carobpendingsettlement"
+	"github.com/carobknot/carobknot/pkg/carobretrybudget"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobshard"
 	"github.com/carobknot/carobknot/pkg/carobtable"
-	"github.com/carobknot/carobknot/pkg/carobpendingsettlement"
 	"github.com/carobknot/carobknot/pkg/carobwatermark"
 )
 
--- a/pkg/carobworld/members.go
+++ b/pkg/carobworld/members.go
@@ -2,10 +2,10 @@
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobmember"
+	"github.com/carobknot/carobknot/pkg/carobmemberversion"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
-	"github.com/carobknot/carobknot/pkg/carobmemberversion"
 )
 
 // Describe returns this node's description of itself as it is gossiped to other nodes:
@@ -32,14 +32,14 @@
 // included. Nodes that are down don't count, because other nodes may already have dropped
 // their rows.
 func (w *World) Checksums() []uint64 {
-	sums := make([]uint64, carobpeerheartbeat.Partitions)
-	sums[PartitionOf(w.Self.Node)] = w.Self.Version().Checksum()
+	checksums := make([]uint64, carobpeerheartbeat.Partitions)
+	checksums[PartitionOf(w.Self.Node)] = w.Self.Version().Checksum()
 	for id, pr := range w.Peers.All() {
 		if !pr.Member.Liveness.Down() {
-			sums[PartitionOf(id)] ^= pr.Member.Version().Checksum()
+			checksums[PartitionOf(id)] ^= pr.Member.Version().Checksum()
 		}
 	}
-	return sums
+	return checksums
 }
 
 // SamplePeers returns up to n peers for which eligible returns true, sampled uniformly at
