--- a/pkg/carobworld/world.go
+++ b/pkg/carobworld/world.go
@@ -6,38 +6,40 @@
 	"strconv"
 
 	"github.com/carobknot/carobknot/pkg/carobaddress"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobaudit"
-	"github.com/carobknot/carobknot/pkg/carobtokenbucket"
-	"github.com/carobknot/carobknot/pkg/carobretrybudget"
 	"github.com/carobknot/carobknot/pkg/carobcall"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobdecision"
+	"github.com/carobknot/carobknot/pkg/carobevictingmap"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobgroup"
 	"github.com/carobknot/carobknot/pkg/carobhome"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
-	"github.com/carobknot/carobknot/pkg/carobpendingheartbeat"
+	"github.com/carobknot/carobknot/pkg/carobinstance"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjob"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/carobinstance"
+	"github.com/carobknot/carobknot/pkg/caroblatency"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobload"
-	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
+	"github.com/carobknot/carobknot/pkg/carobopenhop"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
-	"github.com/carobknot/carobknot/pkg/caroblatency"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
+	"github.com/carobknot/carobknot/pkg/carobpendingheartbeat"
+	"github.com/carobknot/carobknot/pkg/carobpendingsettlement"
+	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
+	"github.com/carobknot/carobknot/pkg/carobretrybudget"
 	"github.com/carobknot/carobknot/pkg/carobretrylimits"
 	"github.com/carobknot/carobknot/pkg/carobrevision"
-	"github.com/carobknot/carobknot/pkg/carobevictingmap"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobrouteversion"
 	"github.com/carobknot/carobknot/pkg/carobservice"
@@ -46,17 +48,15 @@
 	"github.com/carobknot/carobknot/pkg/carobtable"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobopenhop"
-	"github.com/carobknot/carobknot/pkg/carobpendingsettlement"
+	"github.com/carobknot/carobknot/pkg/carobtokenbucket"
 	"github.com/carobknot/carobknot/pkg/carobwatermark"
-	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Config holds the settings that a World is created with.
 type Config struct {
 	// Self is this node's description of itself.
-	Self    carobmember.Member
-	Limits  caroblimits.Limits
+	Self        carobmember.Member
+	Limits      caroblimits.Limits
 	ProbeLimits carobprobelimits.ProbeLimits
 	RetryLimits carobretrylimits.RetryLimits
 	// Seed is the seed of the random number generator.
@@ -68,8 +68,8 @@
 type World struct {
 	// Self is this node's description of itself. Its targets are filled in only when it is
 	// gossiped.
-	Self    carobmember.Member
-	Limits  caroblimits.Limits
+	Self        carobmember.Member
+	Limits      caroblimits.Limits
 	ProbeLimits carobprobelimits.ProbeLimits
 	RetryLimits carobretrylimits.RetryLimits
 	// Random is the only random number generator that systems use, so that a run is
@@ -105,12 +105,12 @@
 	// LeaveAnnounced is true once this node has announced to other nodes that it leaves.
 	LeaveAnnounced bool
 
-	// Routing and measuring.
+	// Routing and load probes.
 
 	// Loads has the load of targets as this node sees it as an entry.
 	Loads *carobtable.Table[carobtargetid.ID, carobload.Load]
-	// Buckets has the token buckets that limit the cost of measuring.
-	Buckets *carobtable.Table[carobname.Name, carobtokenbucket.TokenBucket]
+	// ProbeBuckets has the token buckets that limit the cost of probing.
+	ProbeBuckets *carobtable.Table[carobname.Name, carobtokenbucket.TokenBucket]
 	// Latencies has the latency statistics of each service.
 	Latencies *carobtable.Table[carobservice.Service, caroblatency.Latency]
 
@@ -127,7 +127,7 @@
 	// Tombstones has the most recent fenced jobs: those that must never run.
 	Tombstones *carobevictingmap.EvictingMap[carobjobid.ID, struct{}]
 	// Watermarks has, for each entry node, bounds that stand for the rows evicted from
-	// Ended and Tombstones.
+	// EndedJobs and Tombstones.
 	Watermarks *carobevictingmap.EvictingMap[carobnodeid.ID, carobwatermark.Watermark]
 	// EvictedIncarnation and EvictedFencedIncarnation stand for evicted watermarks. EvictedIncarnation is the highest
 	// incarnation of an evicted watermark, and EvictedFencedIncarnation the highest of one that covered
@@ -153,7 +153,7 @@
 	// AwaitingLog is true after a start until the node has read the log, which may hold newer
 	// profiles. Until then no profile from the log is in force.
 	AwaitingLog bool
-	// ProfilesRead is the offset of the newest profile change that was applied; None if
+	// ProfilesRead is the offset of the newest profile change that was applied; BeforeFirst if
 	// there is none. It never decreases.
 	ProfilesRead caroboffset.Offset
 	// Profiles has the profiles in force.
@@ -163,9 +163,9 @@
 	// ChangesAfterGap has the records that follow a gap in the offsets. All their offsets are
 	// above ProfilesRead.
 	ChangesAfterGap *carobtable.Table[caroboffset.Offset, carobrecord.Record]
-	// SnapshotOffset is the offset of the newest snapshot in the log, and SnapshotThrough the
-	// last offset that the snapshot covers. Both are None if no snapshot is known.
-	SnapshotOffset        caroboffset.Offset
+	// SnapshotOffset is the offset of the newest snapshot in the log, and SnapshotLastOffset the
+	// last offset that the snapshot covers. Both are BeforeFirst if no snapshot is known.
+	SnapshotOffset     caroboffset.Offset
 	SnapshotLastOffset caroboffset.Offset
 
 	// Tracing.
@@ -186,47 +186,47 @@
 
 // Row limits of the tables of profile records.
 const (
-	maxRecentChanges = 256
-	maxHeldChanges   = 1024
+	maxRecentChanges   = 256
+	maxChangesAfterGap = 1024
 )
 
 // maxUnansweredHeartbeats is the maximum number of unanswered heartbeats.
 const maxUnansweredHeartbeats = 64
 
-// NewWorld returns a World with empty tables. Zero Retries are replaced by the defaults.
+// NewWorld returns a World with empty tables. Zero RetryLimits are replaced by the defaults.
 func NewWorld(c Config) *World {
 	const (
 		randomStream = 1
-		// measureBuckets is the number of things whose measuring cost is limited.
-		measureBuckets = 2
+		// probeBuckets is the number of things whose probing cost is limited.
+		probeBuckets = 2
 	)
 	if c.RetryLimits == (carobretrylimits.RetryLimits{}) {
 		c.RetryLimits = carobretrylimits.NewRetryLimits()
 	}
 	w := &World{
-		Self:         c.Self,
-		ProfilesRead: caroboffset.BeforeFirst,
-		SnapshotOffset:     caroboffset.BeforeFirst, SnapshotLastOffset: caroboffset.BeforeFirst,
+		Self:           c.Self,
+		ProfilesRead:   caroboffset.BeforeFirst,
+		SnapshotOffset: caroboffset.BeforeFirst, SnapshotLastOffset: caroboffset.BeforeFirst,
 		RecentChanges:     carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: maxRecentChanges}),
-		ChangesAfterGap: carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: maxHeldChanges}),
-		Limits:      c.Limits,
-		ProbeLimits:     c.ProbeLimits,
-		Random:      rand.New(rand.NewPCG(c.Seed, randomStream)), //nolint:gosec // runs must be reproducible from a seed
-		Targets:     carobtable.NewTable[carobtargetid.ID, carobtarget.Target](carobtable.Config{Limit: c.Limits.Targets}),
-		Instances:       carobtable.NewTable[carobaddress.Address, carobinstance.Instance](carobtable.Config{Limit: carobmember.MaxTargets}),
-		RetryLimits:     c.RetryLimits,
-		Groups:      carobtable.NewTable[carobservice.Service, carobgroup.Group](carobtable.Config{Limit: c.Limits.Targets}),
-		Buckets:     carobtable.NewTable[carobname.Name, carobtokenbucket.TokenBucket](carobtable.Config{Limit: measureBuckets}),
-		Latencies:       carobtable.NewTable[carobservice.Service, caroblatency.Latency](carobtable.Config{Limit: c.Limits.Targets}),
-		Loads:       carobtable.NewTable[carobtargetid.ID, carobload.Load](carobtable.Config{Limit: c.Limits.Targets}),
-		AdmissionStates:       carobtable.NewTable[carobtargetid.ID, carobadmissionstate.AdmissionState](carobtable.Config{Limit: c.Limits.Targets}),
-		PendingGossip:        carobtable.NewTable[carobnodeid.ID, struct{}](carobtable.Config{Limit: c.Limits.Peers}),
-		LoggedAddresses:       carobtable.NewTable[carobnodeid.ID, carobaddress.Address](carobtable.Config{Limit: c.Limits.Peers}),
-		PendingHeartbeats:   carobtable.NewTable[uint64, carobpendingheartbeat.PendingHeartbeat](carobtable.Config{Limit: maxUnansweredHeartbeats}),
-		Peers:       carobtable.NewTable[carobnodeid.ID, carobpeer.Peer](carobtable.Config{Limit: c.Limits.Peers}),
-		OpenCallHops:  carobtable.NewTable[carobcallid.ID, carobopenhop.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Calls}),
-		OpenJobHops:   carobtable.NewTable[carobjobid.ID, carobopenhop.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Jobs}),
-		Profiles:    carobtable.NewTable[carobname.Name, carobrevision.Revision](carobtable.Config{Limit: carobrevision.MaxProfiles}),
+		ChangesAfterGap:   carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: maxChangesAfterGap}),
+		Limits:            c.Limits,
+		ProbeLimits:       c.ProbeLimits,
+		Random:            rand.New(rand.NewPCG(c.Seed, randomStream)), //nolint:gosec // runs must be reproducible from a seed
+		Targets:           carobtable.NewTable[carobtargetid.ID, carobtarget.Target](carobtable.Config{Limit: c.Limits.Targets}),
+		Instances:         carobtable.NewTable[carobaddress.Address, carobinstance.Instance](carobtable.Config{Limit: carobmember.MaxTargets}),
+		RetryLimits:       c.RetryLimits,
+		Groups:            carobtable.NewTable[carobservice.Service, carobgroup.Group](carobtable.Config{Limit: c.Limits.Targets}),
+		ProbeBuckets:      carobtable.NewTable[carobname.Name, carobtokenbucket.TokenBucket](carobtable.Config{Limit: probeBuckets}),
+		Latencies:         carobtable.NewTable[carobservice.Service, caroblatency.Latency](carobtable.Config{Limit: c.Limits.Targets}),
+		Loads:             carobtable.NewTable[carobtargetid.ID, carobload.Load](carobtable.Config{Limit: c.Limits.Targets}),
+		AdmissionStates:   carobtable.NewTable[carobtargetid.ID, carobadmissionstate.AdmissionState](carobtable.Config{Limit: c.Limits.Targets}),
+		PendingGossip:     carobtable.NewTable[carobnodeid.ID, struct{}](carobtable.Config{Limit: c.Limits.Peers}),
+		LoggedAddresses:   carobtable.NewTable[carobnodeid.ID, carobaddress.Address](carobtable.Config{Limit: c.Limits.Peers}),
+		PendingHeartbeats: carobtable.NewTable[uint64, carobpendingheartbeat.PendingHeartbeat](carobtable.Config{Limit: maxUnansweredHeartbeats}),
+		Peers:             carobtable.NewTable[carobnodeid.ID, carobpeer.Peer](carobtable.Config{Limit: c.Limits.Peers}),
+		OpenCallHops:      carobtable.NewTable[carobcallid.ID, carobopenhop.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Calls}),
+		OpenJobHops:       carobtable.NewTable[carobjobid.ID, carobopenhop.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Jobs}),
+		Profiles:          carobtable.NewTable[carobname.Name, carobrevision.Revision](carobtable.Config{Limit: carobrevision.MaxProfiles}),
 	}
 	w.makeCallTables(c.Limits)
 	return w
@@ -337,8 +337,8 @@
 	w.Outbox.Decisions = append(w.Outbox.Decisions, dc)
 }
 
-// Audit records a change in the audit trail: the part of the system that saw it, who made
+// Audit records a change in the audit trail: the component of the system that saw it, who made
 // it, what changed, and the old and new value.
-func (w *World) Audit(part, who, what, from, to string) {
-	w.Outbox.Audits = append(w.Outbox.Audits, carobaudit.Audit{Component: part, Who: who, What: what, From: from, To: to})
+func (w *World) Audit(component, who, what, from, to string) {
+	w.Outbox.Audits = append(w.Outbox.Audits, carobaudit.Audit{Component: component, Who: who, What: what, From: from, To: to})
 }
--- a/test/capacity/cluster_test.go
+++ b/test/capacity/cluster_test.go
@@ -19,8 +19,8 @@
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
-	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/carobmember"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
@@ -28,8 +28,8 @@
 	"github.com/carobknot/carobknot/pkg/carobregion"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobstream"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -112,9 +112,9 @@
 	const regions, centres, services = 2, 6, 17
 	n := &node{audits: map[string]int{}, self: carobmember.Member{
 		Node: carobnodeid.ID(fmt.Sprintf("node-%d", number)), Incarnation: carobincarnation.Incarnation(c.now) + incarnation,
-		Region: carobregion.Region(fmt.Sprint("region-", number%regions)),
-		Centre: carobcentre.Centre(fmt.Sprint("centre-", number%centres)),
-		PeerAddress:   carobaddress.Address(fmt.Sprintf("10.0.%d.%d:7002", number/250, number%250)),
+		Region:      carobregion.Region(fmt.Sprint("region-", number%regions)),
+		Centre:      carobcentre.Centre(fmt.Sprint("centre-", number%centres)),
+		PeerAddress: carobaddress.Address(fmt.Sprintf("10.0.%d.%d:7002", number/250, number%250)),
 	}}
 	n.core = carobcore.NewCore(carobcore.Config{World: carobworld.Config{
 		Self: n.self, Limits: caroblimits.NewLimits(), Seed: uint64(number)<<8 + uint64(incarnation),
--- a/test/capacity/membership_test.go
+++ b/test/capacity/membership_test.go
@@ -10,14 +10,14 @@
 
 	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobservice"
-	"github.com/carobknot/carobknot/pkg/carobliveness"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // all reports whether something is so for all nodes that live.
--- a/test/fuzz/checks_test.go
+++ b/test/fuzz/checks_test.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobhealthcheck"
 	"github.com/carobknot/carobknot/pkg/carobcheckresult"
+	"github.com/carobknot/carobknot/pkg/carobhealthcheck"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobtargetload"
 )
--- a/test/fuzz/claims_test.go
+++ b/test/fuzz/claims_test.go
@@ -7,10 +7,10 @@
 	"github.com/carobknot/carobknot/pkg/carobappendresult"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
 	"github.com/carobknot/carobknot/pkg/carobstream"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 )
 
 // carryClaims does what the claim log does with the effects of a tick.
--- a/test/fuzz/entry_test.go
+++ b/test/fuzz/entry_test.go
@@ -10,13 +10,13 @@
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
 	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobsend"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
 // exchange is a call at its entry.
--- a/test/fuzz/mutations_test.go
+++ b/test/fuzz/mutations_test.go
@@ -6,10 +6,10 @@
 
 	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobclaimbatch"
+	"github.com/carobknot/carobknot/pkg/carobclaimresult"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobfencereply"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobclaimresult"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobjobstate"
 	"github.com/carobknot/carobknot/pkg/carobkind"
--- a/test/fuzz/simulation_test.go
+++ b/test/fuzz/simulation_test.go
@@ -11,11 +11,11 @@
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // simulation is several nodes, their targets, the network and the log, all in
