--- a/internal/carobemulator/emulator.go
+++ b/internal/carobemulator/emulator.go
@@ -86,7 +86,7 @@
 	var routes []carobroute.Route
 	for i := range e.scenario.Kinds {
 		kd := &e.scenario.Kinds[i]
-		e.summaries = append(e.summaries, carobsummary.NewSummary(carobsummary.Config{Name: string(kd.Name), Deadline: kd.Slo.Duration()}))
+		e.summaries = append(e.summaries, carobsummary.NewSummary(carobsummary.Config{Name: string(kd.Name), Deadline: kd.SLO.Duration()}))
 		routes = append(routes, route(c.Scenario, i))
 		if kd.Rate > 0 {
 			e.sources.Set(i, begin.Add(warmUp).Add(e.gap(kd.Rate)))
@@ -166,7 +166,7 @@
 func route(sc carobscenario.Scenario, i int) carobroute.Route {
 	kd := &sc.Kinds[i]
 	return carobroute.Route{
-		Name: kd.Name, Host: host(i), Prefix: "/", Guarantee: kd.Once, Attempts: tries, Timeout: kd.Timeout, SLO: kd.Slo,
+		Name: kd.Name, Host: host(i), Prefix: "/", Guarantee: kd.Once, Attempts: tries, Timeout: kd.Timeout, SLO: kd.SLO,
 		Priority: kd.Rank, WeightedServices: parts(kd.Service),
 	}
 }
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -67,9 +67,9 @@
 	// part of it.
 	Work   carobduration.Duration `json:"work"`
 	Spread carobshare.Share       `json:"spread"`
-	// Slo, Timeout and Deadline are what callers want, the longest that the operator lets
+	// SLO, Timeout and Deadline are what callers want, the longest that the operator lets
 	// them wait, and when they give up.
-	Slo      carobduration.Duration   `json:"slo"`
+	SLO      carobduration.Duration   `json:"slo"`
 	Timeout  carobduration.Duration   `json:"timeout"`
 	Deadline carobduration.Duration   `json:"deadline"`
 	Once     carobguarantee.Guarantee `json:"once"`
@@ -147,7 +147,7 @@
 		return carobkind.New(carobkind.Invalid, "kind %s: there is no service %q", k.Name, k.Service)
 	case k.Calls != "" && !before[k.Calls]:
 		return carobkind.New(carobkind.Invalid, "kind %s: no kind %q comes before it", k.Name, k.Calls)
-	case k.Work <= 0 || k.Slo <= 0 || k.Timeout <= 0 || k.Deadline <= 0:
+	case k.Work <= 0 || k.SLO <= 0 || k.Timeout <= 0 || k.Deadline <= 0:
 		return carobkind.New(carobkind.Invalid, "kind %s: work, slo, timeout and deadline must be above 0s", k.Name)
 	case k.Rate < 0 || k.Retries < 0 || k.Times < 0:
 		return carobkind.New(carobkind.Invalid, "kind %s: rate, retries and times must not be below 0", k.Name)
--- a/pkg/carobfencing/system.go
+++ b/pkg/carobfencing/system.go
@@ -143,7 +143,8 @@
 
 // putWatermark stores the watermark of a call's entry node. It does nothing if the
 // watermark is of a newer incarnation than the call, since it then covers the call
-// already. An evicted watermark raises the world's EvictedIncarnation and EvictedFencedIncarnation.
+// already. An evicted watermark raises the world's EvictedIncarnation and
+// EvictedFencedIncarnation.
 func putWatermark(w *carobworld.World, call carobcallid.ID, wm carobwatermark.Watermark) {
 	if wm.Incarnation != call.Incarnation {
 		return
--- a/pkg/carobworld/world.go
+++ b/pkg/carobworld/world.go
@@ -129,9 +129,10 @@
 	// Watermarks has, for each entry node, bounds that stand for the rows evicted from
 	// EndedJobs and Tombstones.
 	Watermarks *carobevictingmap.EvictingMap[carobnodeid.ID, carobwatermark.Watermark]
-	// EvictedIncarnation and EvictedFencedIncarnation stand for evicted watermarks. EvictedIncarnation is the highest
-	// incarnation of an evicted watermark, and EvictedFencedIncarnation the highest of one that covered
-	// tombstones. Neither ever decreases.
+	// EvictedIncarnation and EvictedFencedIncarnation stand for evicted watermarks.
+	// EvictedIncarnation is the highest incarnation of an evicted watermark, and
+	// EvictedFencedIncarnation the highest of one that covered tombstones. Neither ever
+	// decreases.
 	EvictedIncarnation, EvictedFencedIncarnation carobincarnation.Incarnation
 	// RetryBudgets has each service's budget of retries and hedges.
 	RetryBudgets *carobtable.Table[carobservice.Service, carobretrybudget.RetryBudget]
