--- a/pkg/carobshutdown/system_test.go
+++ b/pkg/carobshutdown/system_test.go
@@ -27,8 +27,8 @@
 
 const settleTimeout = time.Second
 
-// Guards against a node that stops while calls or jobs are in flight or calls are
-// without a confirmed settlement, and against one that waits for settlements longer than its limit.
+// Guards against a node that stops while calls or jobs are in flight or settlements
+// are pending, and against one that waits for settlements longer than its limit.
 func TestNodeStopsWhenNothingIsInFlight(t *testing.T) {
 	call := carobcallid.ID{Node: "here", Sequence: 1}
 	cases := map[string]struct {
