--- a/internal/carobemulator/caller.go
+++ b/internal/carobemulator/caller.go
@@ -14,119 +14,128 @@
 	"github.com/carobknot/carobknot/pkg/carobonce"
 )
 
-// patient is the part of the time left that a caller waits before it comes back.
-const patient = 3
+// maxWaitDivisor limits the wait before a retry to a third of the time left until
+// the caller's deadline.
+const maxWaitDivisor = 3
 
-// visit is a caller that waits for an answer, over all of its attempts.
-type visit struct {
-	kind  int
-	place int
-	// came is when the first attempt was made, and deadline when the caller gives up.
-	came, deadline carobinstant.Instant
-	// retries is how often the caller still comes back.
-	retries int
-	// call is the newest attempt.
+// request is a caller's request over all calls that the caller makes for it: the
+// first one and its retries.
+type request struct {
+	// callKind and node index the call kinds of the scenario and the nodes of
+	// the emulator.
+	callKind int
+	node     int
+	// arrivedAt is when the first call was made, and deadline when the caller gives up.
+	arrivedAt, deadline carobinstant.Instant
+	// retriesLeft is the number of retries that the caller may still make.
+	retriesLeft int
+	// call is the newest call.
 	call carobcallid.ID
-	// parent is the job that made the call; none if it came from outside.
+	// parent is the job that makes the request; zero if it comes from outside.
 	parent carobjobid.ID
 }
 
-// arrive has callers come from outside.
-func (e *Emulator) arrive() {
-	for i, ok := e.sources.Pop(e.now); ok; i, ok = e.sources.Pop(e.now) {
-		kd := &e.scenario.Kinds[i]
-		e.sources.Set(i, e.now.Add(e.gap(kd.Rate)))
-		e.visit(visit{
-			kind: i, place: e.random.IntN(len(e.nodes)), came: e.now, deadline: e.now.Add(kd.Deadline.Duration()), retries: kd.Retries,
+// addArrivals starts the outside requests that are due and schedules the next one
+// of each call kind.
+func (e *Emulator) addArrivals() {
+	for i, ok := e.arrivalSchedule.Pop(e.now); ok; i, ok = e.arrivalSchedule.Pop(e.now) {
+		callKind := &e.scenario.Kinds[i]
+		e.arrivalSchedule.Set(i, e.now.Add(e.randomInterval(callKind.Rate)))
+		e.addRequest(request{
+			callKind: i, node: e.random.IntN(len(e.nodes)), arrivedAt: e.now, deadline: e.now.Add(callKind.Deadline.Duration()), retriesLeft: callKind.Retries,
 		})
 	}
 }
 
-// callFrom has a job make a call, at the node beside its target.
-func (e *Emulator) callFrom(id carobjobid.ID, jb *job) {
-	kd := &e.scenario.Kinds[jb.kind]
+// startNestedCall has a job make a request at the node beside its target. The
+// request ends with the job's deadline at the latest and is never retried.
+func (e *Emulator) startNestedCall(id carobjobid.ID, parentJob *job) {
+	callKind := &e.scenario.Kinds[parentJob.callKind]
 	for i := range e.scenario.Kinds {
-		if called := &e.scenario.Kinds[i]; called.Name == kd.Calls {
-			deadline := carobinstant.Earlier(jb.deadline, e.now.Add(called.Deadline.Duration()))
-			e.visit(visit{kind: i, place: jb.place, came: e.now, deadline: deadline, parent: id})
+		if called := &e.scenario.Kinds[i]; called.Name == callKind.Calls {
+			deadline := carobinstant.Earlier(parentJob.deadline, e.now.Add(called.Deadline.Duration()))
+			e.addRequest(request{callKind: i, node: parentJob.node, arrivedAt: e.now, deadline: deadline, parent: id})
 		}
 	}
 }
 
-func (e *Emulator) visit(v visit) {
-	e.count++
-	e.ask(e.count, e.visits.Put(e.count, v))
+func (e *Emulator) addRequest(request request) {
+	e.lastNumber++
+	e.sendCall(e.lastNumber, e.requests.Put(e.lastNumber, request))
 }
 
-// ask sends a caller's next attempt to its node.
-func (e *Emulator) ask(id uint64, v *visit) {
-	n := e.nodes[v.place]
-	v.call = carobcallid.ID{Node: n.self.Node, Incarnation: n.self.Incarnation, Sequence: id<<attemptBits | n.calls%(1<<attemptBits)}
-	n.calls++
-	ar := carobarrival.Arrival{Call: v.call, Host: host(v.kind), Path: "/", Patience: v.deadline.Sub(e.now)}
-	e.post(v.place, 0, func(in *carobinbox.Inbox) { in.Arrivals = append(in.Arrivals, ar) })
+// sendCall sends the next call of a request to its entry node.
+func (e *Emulator) sendCall(id uint64, request *request) {
+	node := e.nodes[request.node]
+	request.call = carobcallid.ID{Node: node.self.Node, Incarnation: node.self.Incarnation, Sequence: id<<counterBits | node.callCount%(1<<counterBits)}
+	node.callCount++
+	arrival := carobarrival.Arrival{Call: request.call, Host: host(request.callKind), Path: "/", Patience: request.deadline.Sub(e.now)}
+	e.enqueueInput(request.node, 0, func(in *carobinbox.Inbox) { in.Arrivals = append(in.Arrivals, arrival) })
 }
 
-// attemptBits part the attempts of a visit in the sequence of their calls.
-const attemptBits = 20
+// counterBits is the number of low bits of a call's sequence that hold the node's
+// call counter; the bits above hold the number of the request.
+const counterBits = 20
 
-// visitOf returns the visit that a job is of.
-func (e *Emulator) visitOf(id carobjobid.ID) uint64 {
-	return id.Call.Sequence >> attemptBits
+// requestOf returns the number of the request to which a job belongs.
+func (e *Emulator) requestOf(id carobjobid.ID) uint64 {
+	return id.Call.Sequence >> counterBits
 }
 
-// comeBack has callers ask again that were told to wait.
-func (e *Emulator) comeBack() {
-	for id, ok := e.returns.Pop(e.now); ok; id, ok = e.returns.Pop(e.now) {
-		e.ask(id, e.visits.Get(id))
+// retryRequests sends the retries that are due.
+func (e *Emulator) retryRequests() {
+	for id, ok := e.retrySchedule.Pop(e.now); ok; id, ok = e.retrySchedule.Pop(e.now) {
+		e.sendCall(id, e.requests.Get(id))
 	}
 }
 
-// conclude hands a caller the end of its attempt.
-func (e *Emulator) conclude(n *node, cn carobconclusion.Conclusion) {
-	id := carobjobid.ID{Call: cn.Call, Attempt: cn.Attempt}
-	v := e.visits.Get(e.visitOf(id))
+// handleConclusion delivers the conclusion of a call to its caller, which retries
+// or ends its request.
+func (e *Emulator) handleConclusion(node *node, conclusion carobconclusion.Conclusion) {
+	id := carobjobid.ID{Call: conclusion.Call, Attempt: conclusion.Attempt}
+	request := e.requests.Get(e.requestOf(id))
 	status := 0
-	if cn.Kind == carobkind.None {
-		status = n.status[id]
-		e.post(n.place, 0, func(in *carobinbox.Inbox) { in.Deliveries = append(in.Deliveries, carobdelivery.Delivery{Job: id}) })
+	if conclusion.Kind == carobkind.None {
+		status = node.statuses[id]
+		e.enqueueInput(node.index, 0, func(in *carobinbox.Inbox) { in.Deliveries = append(in.Deliveries, carobdelivery.Delivery{Job: id}) })
 	}
-	if v == nil || v.call != cn.Call {
+	if request == nil || request.call != conclusion.Call {
 		return
 	}
-	if e.again(e.visitOf(id), v, cn, status) {
+	if e.scheduleRetry(e.requestOf(id), request, conclusion, status) {
 		return
 	}
-	e.settle(e.visitOf(id), v, cn.Kind, status)
+	e.finishRequest(e.requestOf(id), request, conclusion.Kind, status)
 }
 
-// again has a caller come back if it may, and reports whether it does.
-func (e *Emulator) again(id uint64, v *visit, cn carobconclusion.Conclusion, status int) bool {
-	safe := e.scenario.Kinds[v.kind].Once == carobonce.No
-	left := v.deadline.Sub(e.now)
-	if v.retries == 0 || left <= 0 || status == http.StatusOK || !safe && (cn.Kind == carobkind.None || !cn.Kind.NotRun()) {
+// scheduleRetry schedules a retry if the request allows one, and reports whether it
+// does. A request that is not idempotent is retried only if its call did not run.
+func (e *Emulator) scheduleRetry(id uint64, request *request, conclusion carobconclusion.Conclusion, status int) bool {
+	idempotent := e.scenario.Kinds[request.callKind].Once == carobonce.No
+	timeLeft := request.deadline.Sub(e.now)
+	if request.retriesLeft == 0 || timeLeft <= 0 || status == http.StatusOK || !idempotent && (conclusion.Kind == carobkind.None || !conclusion.Kind.NotRun()) {
 		return false
 	}
-	after := cn.After
-	if after == 0 {
-		after = cn.Kind.Retry()
+	wait := conclusion.After
+	if wait == 0 {
+		wait = conclusion.Kind.Retry()
 	}
-	v.retries--
-	e.returns.Set(id, e.now.Add(min(after, left/patient)))
+	request.retriesLeft--
+	e.retrySchedule.Set(id, e.now.Add(min(wait, timeLeft/maxWaitDivisor)))
 	return true
 }
 
-// settle counts how a visit ended, and tells the job that made it.
-func (e *Emulator) settle(id uint64, v *visit, kind carobkind.Kind, status int) {
-	took := e.now.Sub(v.came)
-	if sm := e.summaries[v.kind]; kind == carobkind.None {
-		sm.AddAnswer(took, status, true)
+// finishRequest counts the result of a request and resumes the job that made it.
+func (e *Emulator) finishRequest(id uint64, request *request, kind carobkind.Kind, status int) {
+	duration := e.now.Sub(request.arrivedAt)
+	if summary := e.summaries[request.callKind]; kind == carobkind.None {
+		summary.AddAnswer(duration, status, true)
 	} else {
-		sm.AddError(took, kind.Outcome(), kind)
+		summary.AddError(duration, kind.Outcome(), kind)
 	}
-	parent := v.parent
-	e.visits.Delete(id)
+	parent := request.parent
+	e.requests.Delete(id)
 	if parent != (carobjobid.ID{}) {
-		e.called(parent, status)
+		e.nestedCallEnded(parent, status)
 	}
 }
--- a/internal/carobemulator/emulator.go
+++ b/internal/carobemulator/emulator.go
@@ -1,7 +1,7 @@
-// Package carobemulator plays a scenario in virtual time: callers, the decisions of
-// many nodes, the network between them, and targets whose VMs turn slow. What the
-// nodes decide is what real ones decide; only traffic is emulated. The same seed
-// gives the same run.
+// Package carobemulator simulates a scenario in virtual time: callers, the decisions
+// of many nodes, the network between them, and targets on VMs with noisy neighbours.
+// Decisions are made by the same core that runs in real nodes; only traffic is
+// emulated. The same seed gives the same run.
 package carobemulator
 
 import (
@@ -22,74 +22,78 @@
 	"github.com/carobknot/carobknot/pkg/carobtable"
 )
 
-// Config is how an emulator is made.
+// Config holds the settings of an emulator.
 type Config struct {
 	Scenario carobscenario.Scenario
-	Seed     uint64
+	// Seed seeds all random numbers of a run.
+	Seed uint64
 }
 
-// Emulator is the deployment at one instant. Its entities stand in tables, and
-// systems run over those that are due, one instant after the other.
+// Emulator is the state of an emulated deployment at one instant. Its entities are
+// rows of tables, and at each instant the systems run over the rows that are due.
 type Emulator struct {
 	scenario carobscenario.Scenario
 	random   *rand.Rand
 	now      carobinstant.Instant
-	// nodes has a node beside each target.
+	// nodes has one node for each target.
 	nodes []*node
-	// places finds nodes by their addresses, and homes by their names.
-	places map[carobaddress.Address]int
-	homes  map[carobnodeid.ID]int
-	routes *carobroutes.Routes
-	// sources are when the next call of each kind comes from outside.
-	sources *carobagenda.Agenda[int]
-	// letters are on their way to nodes; mail has when they arrive.
-	letters *carobtable.Table[uint64, letter]
-	mail    *carobagenda.Agenda[uint64]
-	// visits are the calls that callers wait for; returns has when callers come back
-	// that were refused.
-	visits  *carobtable.Table[uint64, visit]
-	returns *carobagenda.Agenda[uint64]
-	// jobs run at targets; work has when their next step is due.
-	jobs *carobtable.Table[carobjobid.ID, job]
-	work *carobagenda.Agenda[carobjobid.ID]
-	// count numbers letters and visits.
-	count     uint64
+	// nodeByAddress and nodeByID hold indexes into nodes.
+	nodeByAddress map[carobaddress.Address]int
+	nodeByID      map[carobnodeid.ID]int
+	routes        *carobroutes.Routes
+	// arrivalSchedule holds when the next request of each call kind comes from outside.
+	arrivalSchedule *carobagenda.Agenda[int]
+	// inputs are in transit to nodes; inputSchedule holds when they arrive.
+	inputs        *carobtable.Table[uint64, input]
+	inputSchedule *carobagenda.Agenda[uint64]
+	// requests are those that callers wait for; retrySchedule holds when the next
+	// call of a failed request is sent.
+	requests      *carobtable.Table[uint64, request]
+	retrySchedule *carobagenda.Agenda[uint64]
+	// jobs run at targets; jobSchedule holds when their next step is due.
+	jobs        *carobtable.Table[carobjobid.ID, job]
+	jobSchedule *carobagenda.Agenda[carobjobid.ID]
+	// lastNumber is the number given to the newest input or request.
+	lastNumber uint64
+	// summaries has one summary for each call kind.
 	summaries []*carobsummary.Summary
 }
 
-// letter is something on its way to a node.
-type letter struct {
-	to  int
-	put func(in *carobinbox.Inbox)
+// input is in transit to a node; apply adds it to the node's inbox.
+type input struct {
+	node  int
+	apply func(in *carobinbox.Inbox)
 }
 
 const (
-	// begin is any instant that is not Never.
-	begin = carobinstant.Instant(time.Hour)
-	// warmUp is how long nodes have to find each other before callers come.
+	// startTime is when the run starts: any instant other than Never.
+	startTime = carobinstant.Instant(time.Hour)
+	// warmUp is the time that nodes have to discover each other before the first
+	// request.
 	warmUp = 3 * time.Second
-	// rows is more than any table gets here.
-	rows = 1 << 20
+	// maxRows is the limit of each table, above the number of rows that a run holds.
+	maxRows = 1 << 20
 )
 
-// NewEmulator returns a deployment whose nodes have just started.
+// NewEmulator returns a deployment whose nodes have just started, or an error if
+// the scenario's routes are invalid.
 func NewEmulator(c Config) (*Emulator, error) {
 	const stream = 1
 	e := &Emulator{
 		scenario: c.Scenario, random: rand.New(rand.NewPCG(c.Seed, stream)), //nolint:gosec // a run must repeat under a seed
-		now: begin, places: map[carobaddress.Address]int{}, homes: map[carobnodeid.ID]int{},
-		sources: carobagenda.NewAgenda[int](),
-		letters: carobtable.NewTable[uint64, letter](carobtable.Config{Limit: rows}), mail: carobagenda.NewAgenda[uint64](),
-		visits: carobtable.NewTable[uint64, visit](carobtable.Config{Limit: rows}), returns: carobagenda.NewAgenda[uint64](),
-		jobs: carobtable.NewTable[carobjobid.ID, job](carobtable.Config{Limit: rows}), work: carobagenda.NewAgenda[carobjobid.ID](),
+		now: startTime, nodeByAddress: map[carobaddress.Address]int{}, nodeByID: map[carobnodeid.ID]int{},
+		arrivalSchedule: carobagenda.NewAgenda[int](),
+		inputs:          carobtable.NewTable[uint64, input](carobtable.Config{Limit: maxRows}), inputSchedule: carobagenda.NewAgenda[uint64](),
+		requests: carobtable.NewTable[uint64, request](carobtable.Config{Limit: maxRows}), retrySchedule: carobagenda.NewAgenda[uint64](),
+		jobs: carobtable.NewTable[carobjobid.ID, job](carobtable.Config{Limit: maxRows}), jobSchedule: carobagenda.NewAgenda[carobjobid.ID](),
 	}
 	var routes []carobroute.Route
 	for i := range e.scenario.Kinds {
-		kd := &e.scenario.Kinds[i]
-		e.summaries = append(e.summaries, carobsummary.NewSummary(carobsummary.Config{Name: string(kd.Name), Deadline: kd.Slo.Duration()}))
+		callKind := &e.scenario.Kinds[i]
+		e.summaries = append(e.summaries, carobsummary.NewSummary(carobsummary.Config{Name: string(callKind.Name), Deadline: callKind.Slo.Duration()}))
 		routes = append(routes, route(c.Scenario, i))
-		if kd.Rate > 0 {
-			e.sources.Set(i, begin.Add(warmUp).Add(e.gap(kd.Rate)))
+		if callKind.Rate > 0 {
+			e.arrivalSchedule.Set(i, startTime.Add(warmUp).Add(e.randomInterval(callKind.Rate)))
 		}
 	}
 	var err error
@@ -100,53 +104,54 @@
 	return e, nil
 }
 
-// Run plays for a while after the nodes have found each other, and returns what
-// callers saw, a summary a kind. Calls that are under way at its end are not counted.
-func (e *Emulator) Run(d time.Duration) []*carobsummary.Summary {
-	end := begin.Add(warmUp).Add(d)
-	for next := e.next(); next.Reached(end); next = e.next() {
+// Run simulates the warm-up and then the given duration, and returns one summary for
+// each call kind of the scenario. Requests in progress at the end are not counted.
+func (e *Emulator) Run(duration time.Duration) []*carobsummary.Summary {
+	end := startTime.Add(warmUp).Add(duration)
+	for next := e.nextInstant(); next.Reached(end); next = e.nextInstant() {
 		e.now = max(e.now, next)
-		e.arrive()
-		e.comeBack()
-		e.deliver()
+		e.addArrivals()
+		e.retryRequests()
+		e.deliverInputs()
 		e.runJobs()
 		e.stepNodes()
 	}
-	for _, sm := range e.summaries {
-		sm.Close(d)
+	for _, summary := range e.summaries {
+		summary.Close(duration)
 	}
 	return e.summaries
 }
 
-// next returns the instant at which something is due.
-func (e *Emulator) next() carobinstant.Instant {
-	at := carobinstant.Earlier(e.sources.Next(), e.returns.Next())
-	at = carobinstant.Earlier(at, carobinstant.Earlier(e.mail.Next(), e.work.Next()))
-	for _, n := range e.nodes {
-		at = carobinstant.Earlier(at, n.due)
+// nextInstant returns the earliest instant at which any row is due.
+func (e *Emulator) nextInstant() carobinstant.Instant {
+	instant := carobinstant.Earlier(e.arrivalSchedule.Next(), e.retrySchedule.Next())
+	instant = carobinstant.Earlier(instant, carobinstant.Earlier(e.inputSchedule.Next(), e.jobSchedule.Next()))
+	for _, node := range e.nodes {
+		instant = carobinstant.Earlier(instant, node.due)
 	}
-	return at
+	return instant
 }
 
-// post has something put into a node's inbox after a while.
-func (e *Emulator) post(to int, after time.Duration, put func(in *carobinbox.Inbox)) {
-	e.count++
-	e.letters.Put(e.count, letter{to: to, put: put})
-	e.mail.Set(e.count, e.now.Add(after))
+// enqueueInput has an input added to a node's inbox after a delay.
+func (e *Emulator) enqueueInput(nodeIndex int, delay time.Duration, apply func(in *carobinbox.Inbox)) {
+	e.lastNumber++
+	e.inputs.Put(e.lastNumber, input{node: nodeIndex, apply: apply})
+	e.inputSchedule.Set(e.lastNumber, e.now.Add(delay))
 }
 
-// deliver puts the letters that are due into inboxes.
-func (e *Emulator) deliver() {
-	for id, ok := e.mail.Pop(e.now); ok; id, ok = e.mail.Pop(e.now) {
-		lt := e.letters.Get(id)
-		lt.put(&e.nodes[lt.to].inbox)
-		e.nodes[lt.to].due = e.now
-		e.letters.Delete(id)
+// deliverInputs adds the inputs that are due to the inboxes of their nodes.
+func (e *Emulator) deliverInputs() {
+	for id, ok := e.inputSchedule.Pop(e.now); ok; id, ok = e.inputSchedule.Pop(e.now) {
+		input := e.inputs.Get(id)
+		input.apply(&e.nodes[input.node].inbox)
+		e.nodes[input.node].due = e.now
+		e.inputs.Delete(id)
 	}
 }
 
-// hop returns how long a message takes from one VM to another.
-func (e *Emulator) hop(from, to int) time.Duration {
+// networkDelay returns how long a message takes from the VM of one node to that of
+// another.
+func (e *Emulator) networkDelay(from, to int) time.Duration {
 	switch {
 	case from == to:
 		return 0
@@ -157,17 +162,18 @@
 	}
 }
 
-// gap returns the time to the next of so many events a second.
-func (e *Emulator) gap(rate float64) time.Duration {
+// randomInterval draws the time to the next event of a Poisson process with the
+// given rate per second.
+func (e *Emulator) randomInterval(rate float64) time.Duration {
 	return time.Duration(e.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// route is the route of a kind's calls, which have a host of their own.
-func route(sc carobscenario.Scenario, i int) carobroute.Route {
-	kd := &sc.Kinds[i]
+// route returns the route of the call kind with index i. Each has its own host.
+func route(scenario carobscenario.Scenario, i int) carobroute.Route {
+	callKind := &scenario.Kinds[i]
 	return carobroute.Route{
-		Name: kd.Name, Host: host(i), Prefix: "/", Once: kd.Once, Tries: tries, Timeout: kd.Timeout, Slo: kd.Slo,
-		Rank: kd.Rank, Split: parts(kd.Service),
+		Name: callKind.Name, Host: host(i), Prefix: "/", Once: callKind.Once, Tries: maxTries, Timeout: callKind.Timeout, Slo: callKind.Slo,
+		Rank: callKind.Rank, Split: weightedServices(callKind.Service),
 	}
 }
 
--- a/internal/carobemulator/emulator_test.go
+++ b/internal/carobemulator/emulator_test.go
@@ -12,29 +12,35 @@
 	"github.com/carobknot/carobknot/internal/carobsummary"
 )
 
+// noisy loads the example scenario in which VMs have slow periods.
 func noisy(t *testing.T) carobscenario.Scenario {
 	t.Helper()
-	sc, err := carobscenario.Load("../../examples/emulate/noisy.json")
+	scenario, err := carobscenario.Load("../../examples/emulate/noisy.json")
 	require.NoError(t, err)
-	return sc
+	return scenario
 }
 
-func play(t *testing.T, sc carobscenario.Scenario, seed uint64) map[string]*carobsummary.Summary {
+// play runs a scenario for ten seconds of virtual time and returns its summaries by
+// the name of the kind.
+func play(t *testing.T, scenario carobscenario.Scenario, seed uint64) map[string]*carobsummary.Summary {
 	t.Helper()
-	em, err := carobemulator.NewEmulator(carobemulator.Config{Scenario: sc, Seed: seed})
+	emulator, err := carobemulator.NewEmulator(carobemulator.Config{Scenario: scenario, Seed: seed})
 	require.NoError(t, err)
 	kinds := map[string]*carobsummary.Summary{}
-	sums := em.Run(10 * time.Second)
+	summaries := emulator.Run(10 * time.Second)
 	if testing.Verbose() {
-		carobsummary.Table(os.Stdout, sums...)
+		carobsummary.Table(os.Stdout, summaries...)
 	}
-	for _, sm := range sums {
-		kinds[sm.Name] = sm
+	for _, summary := range summaries {
+		kinds[summary.Name] = summary
 	}
 	return kinds
 }
 
-func good(sm *carobsummary.Summary) float64 { return float64(sm.Good) / float64(sm.Calls) }
+// good returns the share of calls that were answered correctly and in time.
+func good(summary *carobsummary.Summary) float64 {
+	return float64(summary.Good) / float64(summary.Calls)
+}
 
 func TestRunRepeatsUnderItsSeed(t *testing.T) {
 	one, two, other := play(t, noisy(t), 1), play(t, noisy(t), 1), play(t, noisy(t), 2)
@@ -44,38 +50,39 @@
 }
 
 func TestQuietVMsAnswerNearlyAllInTime(t *testing.T) {
-	sc := noisy(t)
-	sc.Noise.Factor = 1
-	kinds := play(t, sc, 1)
+	scenario := noisy(t)
+	scenario.Noise.Factor = 1
+	kinds := play(t, scenario, 1)
 	require.Greater(t, kinds["lookup"].Calls, 500)
 	require.Greater(t, good(kinds["lookup"]), 0.97)
 	require.Greater(t, good(kinds["payout"]), 0.97)
 }
 
-// Jobs that start in a slow moment of their VM are late. With health checks they wait
-// or move, and callers get more in time.
+// Jobs that start in a slow period of their VM end late. With health checks, the node
+// delays them or they run on another target, so that more answers are in time.
 func TestCallersGetMoreWhenJobsWaitForTheirVM(t *testing.T) {
 	for seed := range uint64(3) {
-		blind := noisy(t)
-		blind.Measure.Checks = 0
-		before, after := play(t, blind, seed), play(t, noisy(t), seed)
+		noChecks := noisy(t)
+		noChecks.Measure.Checks = 0
+		without, with := play(t, noChecks, seed), play(t, noisy(t), seed)
 		for _, kind := range []string{"lookup", "payout"} {
-			require.Greater(t, good(after[kind]), good(before[kind])+0.05, "%s, seed %d", kind, seed)
+			require.Greater(t, good(with[kind]), good(without[kind])+0.05, "%s, seed %d", kind, seed)
 		}
 	}
 }
 
-// More comes than the targets can do: what is refused is refused early, and what is
-// taken is mostly in time.
+// The load exceeds the capacity of the targets. Guards against nodes that queue calls
+// until they expire instead of refusing them early: most answered calls are in time,
+// and few have an unknown outcome.
 func TestOverloadIsRefusedAndNotHeldUp(t *testing.T) {
-	sc := noisy(t)
-	for i := range sc.Kinds {
-		sc.Kinds[i].Rate *= 4
-		sc.Kinds[i].Retries = 0
+	scenario := noisy(t)
+	for i := range scenario.Kinds {
+		scenario.Kinds[i].Rate *= 4
+		scenario.Kinds[i].Retries = 0
 	}
 	for seed := range uint64(3) {
-		lookup := play(t, sc, seed)["lookup"]
-		require.Greater(t, lookup.NotRun, lookup.Calls/20, "seed %d: this is overload", seed)
+		lookup := play(t, scenario, seed)["lookup"]
+		require.Greater(t, lookup.NotRun, lookup.Calls/20, "seed %d: the load exceeds the capacity", seed)
 		require.Greater(t, lookup.Good, lookup.Answered/2, "seed %d", seed)
 		require.Less(t, lookup.Unknown, lookup.Calls/20, "seed %d", seed)
 	}
--- a/internal/carobemulator/node.go
+++ b/internal/carobemulator/node.go
@@ -32,34 +32,37 @@
 )
 
 const (
-	// tries is on how many targets a call may run.
-	tries = 3
-	// seeds is how many nodes a node knows at its start.
-	seeds = 3
-	// forever is longer than any run.
+	// maxTries is the MaxTries of every route: the limit of attempts of a call.
+	maxTries = 3
+	// seedCount is the number of nodes whose addresses a node has at its start.
+	seedCount = 3
+	// forever is longer than any run, so that announcements do not expire.
 	forever = 1 << 60
 )
 
-// node is the control side of a node, and its target.
+// node is the core of a node and the target beside it.
 type node struct {
-	place int
+	// index is the node's place in Emulator.nodes.
+	index int
 	self  carobmember.Member
 	core  *carobcore.Core
 	inbox carobinbox.Inbox
-	// due is when the core is to step next; Never if nothing is to come.
+	// due is when the core's next tick is due; Never if none is scheduled.
 	due    carobinstant.Instant
 	target target
 	// report is the newest report of the target's load.
 	report *carobreport.Report
-	// calls counts the calls that came to this node.
-	calls uint64
-	// open is where the attempts of this node's calls were sent.
-	open map[carobjobid.ID]int
-	// status is what the attempts were answered.
-	status map[carobjobid.ID]int
+	// callCount counts the calls that arrived at this node.
+	callCount uint64
+	// openAttempts maps each open attempt of this node's calls to the index of the
+	// node that it was sent to.
+	openAttempts map[carobjobid.ID]int
+	// statuses holds the response status of each attempt that has ended.
+	statuses map[carobjobid.ID]int
 }
 
-func parts(service carobservice.Service) []carobpart.Part {
+// weightedServices returns the split of a route that has one service only.
+func weightedServices(service carobservice.Service) []carobpart.Part {
 	return []carobpart.Part{{Service: service, Weight: 1}}
 }
 
@@ -67,124 +70,125 @@
 func (e *Emulator) addNodes() {
 	for _, centre := range e.scenario.Centres {
 		for i := range e.scenario.Services {
-			sv := &e.scenario.Services[i]
-			for range sv.Targets {
-				e.addNode(centre, sv.Name, sv.Slots)
+			service := &e.scenario.Services[i]
+			for range service.Targets {
+				e.addNode(centre, service.Name, service.Slots)
 			}
 		}
 	}
 }
 
 func (e *Emulator) addNode(centre carobcentre.Centre, service carobservice.Service, slots int) {
-	const perNet = 250
+	const nodesPerSubnet = 250
 	place := len(e.nodes)
-	peer := carobaddress.Address(fmt.Sprintf("10.0.%d.%d:7002", place/perNet, 1+place%perNet))
-	n := &node{
-		place: place, due: e.now, open: map[carobjobid.ID]int{}, status: map[carobjobid.ID]int{},
+	peer := carobaddress.Address(fmt.Sprintf("10.0.%d.%d:7002", place/nodesPerSubnet, 1+place%nodesPerSubnet))
+	node := &node{
+		index: place, due: e.now, openAttempts: map[carobjobid.ID]int{}, statuses: map[carobjobid.ID]int{},
 		self: carobmember.Member{
 			Node: carobnodeid.ID(fmt.Sprintf("n%d", place)), Incarnation: 1, Region: "here", Centre: centre, Peer: peer,
 		},
 		target: target{id: carobtargetid.ID{Service: service, Name: carobword.Word(fmt.Sprintf("t%d", place))}, slots: slots},
 	}
-	var known []carobaddress.Address
-	for _, other := range e.nodes[:min(seeds, place)] {
-		known = append(known, other.self.Peer)
+	var seedAddresses []carobaddress.Address
+	for _, other := range e.nodes[:min(seedCount, place)] {
+		seedAddresses = append(seedAddresses, other.self.Peer)
 	}
-	n.core = carobcore.NewCore(carobcore.Config{
+	node.core = carobcore.NewCore(carobcore.Config{
 		World: carobworld.Config{
-			Self: n.self, Limits: caroblimits.NewLimits(), Measure: e.scenario.Measure, Retries: e.scenario.Retries,
+			Self: node.self, Limits: caroblimits.NewLimits(), Measure: e.scenario.Measure, Retries: e.scenario.Retries,
 			Seed: e.random.Uint64(),
 		},
-		Seeds: known, Profiles: []carobprofile.Profile{e.scenario.Profile}, Silence: forever, Untraced: true,
+		Seeds: seedAddresses, Profiles: []carobprofile.Profile{e.scenario.Profile}, Silence: forever, Untraced: true,
 	})
-	n.inbox.Routes = []*carobroutes.Routes{e.routes}
-	n.inbox.Announcements = []carobannouncement.Announcement{{
-		Target: n.target.id, Address: peer, Profile: e.scenario.Profile.Name, Slots: slots, Conns: slots,
+	node.inbox.Routes = []*carobroutes.Routes{e.routes}
+	node.inbox.Announcements = []carobannouncement.Announcement{{
+		Target: node.target.id, Address: peer, Profile: e.scenario.Profile.Name, Slots: slots, Conns: slots,
 		State: carobreadiness.Ready,
 	}}
-	e.nodes = append(e.nodes, n)
-	e.places[peer], e.homes[n.self.Node] = place, place
+	e.nodes = append(e.nodes, node)
+	e.nodeByAddress[peer], e.nodeByID[node.self.Node] = place, place
 }
 
-// stepNodes runs the cores that are due, and carries their effects out.
+// stepNodes runs a tick of each core that is due and applies its effects.
 func (e *Emulator) stepNodes() {
-	for _, n := range e.nodes {
-		if !n.due.Reached(e.now) {
+	for _, node := range e.nodes {
+		if !node.due.Reached(e.now) {
 			continue
 		}
-		in := n.inbox
-		n.inbox = carobinbox.Inbox{}
-		out := n.core.Step(e.now, in)
-		n.due = n.core.Wake()
-		if n.due.Reached(e.now) {
-			n.due = e.now.Add(1)
+		inbox := node.inbox
+		node.inbox = carobinbox.Inbox{}
+		outbox := node.core.Step(e.now, inbox)
+		node.due = node.core.Wake()
+		if node.due.Reached(e.now) {
+			node.due = e.now.Add(1)
 		}
-		e.carry(n, out)
+		e.applyEffects(node, outbox)
 	}
 }
 
-// carry does what traffic goroutines do with the effects of a tick.
-func (e *Emulator) carry(n *node, out *caroboutbox.Outbox) {
-	for i := range out.Reports {
-		n.report = &out.Reports[i]
+// applyEffects emulates the traffic goroutines, which carry out the effects of a tick.
+func (e *Emulator) applyEffects(node *node, outbox *caroboutbox.Outbox) {
+	for i := range outbox.Reports {
+		node.report = &outbox.Reports[i]
 	}
-	for _, ms := range out.Messages {
-		if to, ok := e.places[ms.To]; ok {
-			e.post(to, e.hop(n.place, to), func(in *carobinbox.Inbox) { in.Messages = append(in.Messages, ms) })
+	for _, message := range outbox.Messages {
+		if receiver, ok := e.nodeByAddress[message.To]; ok {
+			e.enqueueInput(receiver, e.networkDelay(node.index, receiver), func(inbox *carobinbox.Inbox) { inbox.Messages = append(inbox.Messages, message) })
 		}
 	}
-	for _, sd := range out.Sends {
-		e.send(n, sd)
+	for _, send := range outbox.Sends {
+		e.sendAttempt(node, send)
 	}
-	for _, rf := range out.Refusals {
-		e.reply(n, rf.Job, n.target.id, rf.Kind, 0)
+	for _, refusal := range outbox.Refusals {
+		e.sendReply(node, refusal.Job, node.target.id, refusal.Kind, 0)
 	}
-	for _, st := range out.Starts {
-		e.start(n, st)
+	for _, start := range outbox.Starts {
+		e.startJob(node, start)
 	}
-	for range out.Checks {
-		hl := carobhealth.Health{Target: n.target.id, Pressure: e.pressure(n)}
-		e.post(n.place, checkTime, func(in *carobinbox.Inbox) { in.Healths = append(in.Healths, hl) })
+	for range outbox.Checks {
+		health := carobhealth.Health{Target: node.target.id, Pressure: e.targetLoad(node)}
+		e.enqueueInput(node.index, healthCheckTime, func(inbox *carobinbox.Inbox) { inbox.Healths = append(inbox.Healths, health) })
 	}
-	for _, id := range out.Cancels {
-		e.cancel(n, id)
+	for _, id := range outbox.Cancels {
+		e.cancelAttempt(node, id)
 	}
-	for _, cn := range out.Conclusions {
-		e.conclude(n, cn)
+	for _, conclusion := range outbox.Conclusions {
+		e.handleConclusion(node, conclusion)
 	}
 }
 
-// send takes an attempt to the target's node.
-func (e *Emulator) send(n *node, sd carobsend.Send) {
-	to := n.place
-	if sd.Peer != "" {
-		to = e.places[sd.Peer]
+// sendAttempt sends an attempt to the target's node.
+func (e *Emulator) sendAttempt(node *node, send carobsend.Send) {
+	receiver := node.index
+	if send.Peer != "" {
+		receiver = e.nodeByAddress[send.Peer]
 	}
-	n.open[sd.Job] = to
-	of := caroboffer.Offer{Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, Patience: sd.Patience, Wish: sd.Wish}
-	e.post(to, e.hop(n.place, to), func(in *carobinbox.Inbox) { in.Offers = append(in.Offers, of) })
+	node.openAttempts[send.Job] = receiver
+	offer := caroboffer.Offer{Job: send.Job, Target: send.Target, Incarnation: send.Incarnation, Patience: send.Patience, Wish: send.Wish}
+	e.enqueueInput(receiver, e.networkDelay(node.index, receiver), func(inbox *carobinbox.Inbox) { inbox.Offers = append(inbox.Offers, offer) })
 }
 
-// reply takes the end of an attempt, or of an offer, from a target's node to the entry.
-func (e *Emulator) reply(n *node, id carobjobid.ID, target carobtargetid.ID, kind carobkind.Kind, status int) {
-	to := e.homes[id.Call.Node]
-	rp := carobreply.Reply{Job: id, Target: target, Kind: kind, Status: status, Report: n.report}
-	e.post(to, e.hop(n.place, to), func(in *carobinbox.Inbox) {
-		delete(e.nodes[to].open, id)
-		e.nodes[to].status[id] = status
-		in.Replies = append(in.Replies, rp)
+// sendReply sends the response or the refusal of an attempt from the target's node to
+// the entry node.
+func (e *Emulator) sendReply(node *node, id carobjobid.ID, target carobtargetid.ID, kind carobkind.Kind, status int) {
+	receiver := e.nodeByID[id.Call.Node]
+	reply := carobreply.Reply{Job: id, Target: target, Kind: kind, Status: status, Report: node.report}
+	e.enqueueInput(receiver, e.networkDelay(node.index, receiver), func(inbox *carobinbox.Inbox) {
+		delete(e.nodes[receiver].openAttempts, id)
+		e.nodes[receiver].statuses[id] = status
+		inbox.Replies = append(inbox.Replies, reply)
 	})
 }
 
-// cancel gives an attempt up.
-func (e *Emulator) cancel(n *node, id carobjobid.ID) {
-	to, ok := n.open[id]
+// cancelAttempt cancels an open attempt at the node that it was sent to.
+func (e *Emulator) cancelAttempt(node *node, id carobjobid.ID) {
+	receiver, ok := node.openAttempts[id]
 	if !ok {
 		return
 	}
-	delete(n.open, id)
-	e.post(to, e.hop(n.place, to), func(in *carobinbox.Inbox) {
-		e.stop(id)
-		in.Finishes = append(in.Finishes, carobfinish.Finish{Job: id, Kind: carobkind.Cancelled})
+	delete(node.openAttempts, id)
+	e.enqueueInput(receiver, e.networkDelay(node.index, receiver), func(inbox *carobinbox.Inbox) {
+		e.stopJob(id)
+		inbox.Finishes = append(inbox.Finishes, carobfinish.Finish{Job: id, Kind: carobkind.Cancelled})
 	})
 }
--- a/internal/carobemulator/target.go
+++ b/internal/carobemulator/target.go
@@ -14,122 +14,127 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// checkTime is how long a health check takes.
-const checkTime = time.Millisecond
+// healthCheckTime is how long a health check takes.
+const healthCheckTime = time.Millisecond
 
-// target runs jobs. How long one takes is settled when it starts, by how slow the VM
-// is then.
+// target runs jobs. The slowness of the VM at the start of a job applies to the whole
+// job.
 type target struct {
 	id      carobtargetid.ID
 	slots   int
 	running int
-	// slow and quick are when the next slow moment begins, and when it is over.
-	slow, quick carobinstant.Instant
+	// slowFrom and slowUntil are the start and end of the current or next slow period.
+	slowFrom, slowUntil carobinstant.Instant
 }
 
 // job is a started job at a target.
 type job struct {
-	place int
-	kind  int
-	// deadline is when the target stops at the latest.
+	node     int
+	callKind int
+	// deadline is when the target ends the job with status 504.
 	deadline carobinstant.Instant
-	// calls is how many calls the job has still to make.
-	calls int
-	// waiting says that a call of it is under way.
+	// callsLeft is the number of nested calls that the job has still to make.
+	callsLeft int
+	// waiting says that a nested call is in progress.
 	waiting bool
-	status  int
+	// status is the HTTP status of the response.
+	status int
 }
 
-// slowness returns how much longer than usual work takes that starts now.
-func (e *Emulator) slowness(tg *target) float64 {
-	ns := e.scenario.Noise
-	if ns.Factor <= 1 || ns.Every <= 0 {
+// slowness returns the factor by which work that starts now takes longer than usual
+// on the target's VM. It draws the next slow period if the last one has ended.
+func (e *Emulator) slowness(target *target) float64 {
+	noise := e.scenario.Noise
+	if noise.Factor <= 1 || noise.Every <= 0 {
 		return 1
 	}
-	for tg.quick <= e.now {
-		tg.slow = max(tg.quick, begin).Add(e.gap(1 / (ns.Every - ns.Lasting).Duration().Seconds()))
-		tg.quick = tg.slow.Add(ns.Lasting.Duration()/2 + time.Duration(e.random.Int64N(int64(ns.Lasting)+1)))
+	for target.slowUntil <= e.now {
+		target.slowFrom = max(target.slowUntil, startTime).Add(e.randomInterval(1 / (noise.Every - noise.Lasting).Duration().Seconds()))
+		target.slowUntil = target.slowFrom.Add(noise.Lasting.Duration()/2 + time.Duration(e.random.Int64N(int64(noise.Lasting)+1)))
 	}
-	if tg.slow <= e.now {
-		return ns.Factor
+	if target.slowFrom <= e.now {
+		return noise.Factor
 	}
 	return 1
 }
 
-func (e *Emulator) pressure(n *node) *carobpressure.Pressure {
-	return &carobpressure.Pressure{Running: n.target.running, Slots: n.target.slots, Slowness: e.slowness(&n.target)}
+func (e *Emulator) targetLoad(node *node) *carobpressure.Pressure {
+	return &carobpressure.Pressure{Running: node.target.running, Slots: node.target.slots, Slowness: e.slowness(&node.target)}
 }
 
-// start runs a job.
-func (e *Emulator) start(n *node, st carobstart.Start) {
-	v := e.visits.Get(e.visitOf(st.Job))
-	if v == nil {
-		e.post(n.place, 0, func(in *carobinbox.Inbox) {
-			in.Finishes = append(in.Finishes, carobfinish.Finish{Job: st.Job, Kind: carobkind.Cancelled})
+// startJob starts a job in a slot of the target. A job whose request has ended already
+// is cancelled.
+func (e *Emulator) startJob(node *node, start carobstart.Start) {
+	request := e.requests.Get(e.requestOf(start.Job))
+	if request == nil {
+		e.enqueueInput(node.index, 0, func(in *carobinbox.Inbox) {
+			in.Finishes = append(in.Finishes, carobfinish.Finish{Job: start.Job, Kind: carobkind.Cancelled})
 		})
 		return
 	}
-	n.target.running++
-	kd := &e.scenario.Kinds[v.kind]
-	jb := job{place: n.place, kind: v.kind, deadline: e.now.Add(st.Patience), status: http.StatusOK}
-	if e.random.Float64() < float64(kd.Share) {
-		jb.calls = kd.Times
+	node.target.running++
+	callKind := &e.scenario.Kinds[request.callKind]
+	job := job{node: node.index, callKind: request.callKind, deadline: e.now.Add(start.Patience), status: http.StatusOK}
+	if e.random.Float64() < float64(callKind.Share) {
+		job.callsLeft = callKind.Times
 	}
-	const least = 0.2
-	work := float64(kd.Work) * max(least, 1+float64(kd.Spread)*e.random.NormFloat64()) * e.slowness(&n.target)
-	e.jobs.Put(st.Job, jb)
-	e.work.Set(st.Job, carobinstant.Earlier(jb.deadline, e.now.Add(time.Duration(work))))
+	const minWorkFactor = 0.2
+	work := float64(callKind.Work) * max(minWorkFactor, 1+float64(callKind.Spread)*e.random.NormFloat64()) * e.slowness(&node.target)
+	e.jobs.Put(start.Job, job)
+	e.jobSchedule.Set(start.Job, carobinstant.Earlier(job.deadline, e.now.Add(time.Duration(work))))
 }
 
-// runJobs takes the next step of the jobs that are due.
+// runJobs carries out the next step of each job that is due: its nested calls first,
+// then its end.
 func (e *Emulator) runJobs() {
-	for id, ok := e.work.Pop(e.now); ok; id, ok = e.work.Pop(e.now) {
-		jb := e.jobs.Get(id)
+	for id, ok := e.jobSchedule.Pop(e.now); ok; id, ok = e.jobSchedule.Pop(e.now) {
+		job := e.jobs.Get(id)
 		switch {
-		case jb.deadline.Reached(e.now):
-			jb.status = http.StatusGatewayTimeout
-			e.end(id, jb)
-		case jb.calls > 0 && jb.status == http.StatusOK:
-			jb.calls--
-			jb.waiting = true
-			e.work.Set(id, jb.deadline)
-			e.callFrom(id, jb)
-		case !jb.waiting:
-			e.end(id, jb)
+		case job.deadline.Reached(e.now):
+			job.status = http.StatusGatewayTimeout
+			e.endJob(id, job)
+		case job.callsLeft > 0 && job.status == http.StatusOK:
+			job.callsLeft--
+			job.waiting = true
+			e.jobSchedule.Set(id, job.deadline)
+			e.startNestedCall(id, job)
+		case !job.waiting:
+			e.endJob(id, job)
 		}
 	}
 }
 
-// called takes in how a call ended that a job made.
-func (e *Emulator) called(id carobjobid.ID, status int) {
-	jb := e.jobs.Get(id)
-	if jb == nil {
+// nestedCallEnded records the status of a job's nested call and resumes the job. Any
+// status but 200 makes the job fail with status 500.
+func (e *Emulator) nestedCallEnded(id carobjobid.ID, status int) {
+	job := e.jobs.Get(id)
+	if job == nil {
 		return
 	}
-	jb.waiting = false
+	job.waiting = false
 	if status != http.StatusOK {
-		jb.status = http.StatusInternalServerError
+		job.status = http.StatusInternalServerError
 	}
-	e.work.Set(id, e.now)
+	e.jobSchedule.Set(id, e.now)
 }
 
-// end has a job answered.
-func (e *Emulator) end(id carobjobid.ID, jb *job) {
-	n, status := e.nodes[jb.place], jb.status
-	fn := carobfinish.Finish{Job: id, Status: status, Pressure: e.pressure(n)}
-	n.target.running--
+// endJob sends the response of a job and frees its slot.
+func (e *Emulator) endJob(id carobjobid.ID, job *job) {
+	node, status := e.nodes[job.node], job.status
+	finish := carobfinish.Finish{Job: id, Status: status, Pressure: e.targetLoad(node)}
+	node.target.running--
 	e.jobs.Delete(id)
-	e.reply(n, id, n.target.id, carobkind.None, status)
-	e.post(n.place, 0, func(in *carobinbox.Inbox) { in.Finishes = append(in.Finishes, fn) })
+	e.sendReply(node, id, node.target.id, carobkind.None, status)
+	e.enqueueInput(node.index, 0, func(in *carobinbox.Inbox) { in.Finishes = append(in.Finishes, finish) })
 }
 
-// stop ends a job whose answer nobody wants.
-func (e *Emulator) stop(id carobjobid.ID) {
-	jb := e.jobs.Get(id)
-	if jb == nil {
+// stopJob ends a cancelled job without a response and frees its slot.
+func (e *Emulator) stopJob(id carobjobid.ID) {
+	job := e.jobs.Get(id)
+	if job == nil {
 		return
 	}
-	e.nodes[jb.place].target.running--
-	e.work.Set(id, carobinstant.Never)
+	e.nodes[job.node].target.running--
+	e.jobSchedule.Set(id, carobinstant.Never)
 	e.jobs.Delete(id)
 }
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -1,5 +1,5 @@
-// Package carobscenario holds what the emulator plays: data centres, services with
-// their targets, and the kinds of calls that callers make.
+// Package carobscenario describes what the emulator simulates: data centres, services
+// with their targets, and the kinds of calls that callers make.
 package carobscenario
 
 import (
@@ -20,30 +20,32 @@
 
 // Scenario is a deployment and its load.
 type Scenario struct {
-	// Centres has at least one data centre.
+	// Centres are the data centres; at least one.
 	Centres []carobcentre.Centre `json:"centres"`
-	// Hop is how long a message takes to another VM, and Far to one in another data
-	// centre.
+	// Hop is the network delay between two VMs of one data centre, and Far that between
+	// two data centres.
 	Hop carobspan.Span `json:"hop"`
 	Far carobspan.Span `json:"far"`
-	// Noise is how the VMs' neighbours take their processors.
+	// Noise is the effect of noisy neighbours on the VMs.
 	Noise noise `json:"noise"`
-	// Measure, Retries and Profile are what nodes go by.
+	// Measure, Retries and Profile are settings of the nodes; one profile holds for all
+	// services.
 	Measure carobmeasure.Measure `json:"measure"`
 	Retries carobretries.Retries `json:"retries"`
 	Profile carobprofile.Profile `json:"profile"`
-	// Services has at least one.
+	// Services has at least one element.
 	Services []service `json:"services"`
-	// Kinds has at least one; a kind that others call comes before them.
-	Kinds []kind `json:"kinds"`
+	// Kinds has at least one element. A kind must precede those that name it in Calls.
+	Kinds []callKind `json:"kinds"`
 }
 
-// noise is when VMs are slow.
+// noise describes the slow periods of VMs.
 type noise struct {
-	// Factor is how much longer work takes that starts in a slow moment; at most 1 is
-	// no noise.
+	// Factor multiplies the time of work that starts in a slow period; values up to 1
+	// mean no noise.
 	Factor float64 `json:"factor"`
-	// Every is the mean time between two slow moments, and Lasting their mean length.
+	// Every is the mean time from the start of one slow period to the start of the
+	// next, and Lasting their mean length. Every of 0 means no noise.
 	Every   carobspan.Span `json:"every"`
 	Lasting carobspan.Span `json:"lasting"`
 }
@@ -51,50 +53,52 @@
 // service is a service and its targets.
 type service struct {
 	Name carobservice.Service `json:"name"`
-	// Targets is how many there are in each data centre, at least 1.
+	// Targets is the number of targets in each data centre, at least 1.
 	Targets int `json:"targets"`
-	// Slots is how many calls a target runs at once, at least 1.
+	// Slots is the number of calls that a target runs at once, at least 1.
 	Slots int `json:"slots"`
 }
 
-// kind is a kind of calls.
-type kind struct {
+// callKind is a kind of calls, with one service, load and route.
+type callKind struct {
 	Name    carobword.Word       `json:"name"`
 	Service carobservice.Service `json:"service"`
-	// Rate is how many calls come a second from outside; 0 if only targets make them.
+	// Rate is the mean number of requests a second from outside; 0 if only targets make
+	// calls of this kind.
 	Rate float64 `json:"rate"`
-	// Work is the mean time that a target takes, and Spread its standard deviation as a
-	// part of it.
+	// Work is the mean time that a target works on a call, and Spread its standard
+	// deviation as a share of the mean.
 	Work   carobspan.Span   `json:"work"`
 	Spread carobshare.Share `json:"spread"`
-	// Slo, Timeout and Deadline are what callers want, the longest that the operator lets
-	// them wait, and when they give up.
+	// Slo is the latency objective, Timeout the limit that the operator sets, and
+	// Deadline the time after which callers give up.
 	Slo      carobspan.Span `json:"slo"`
 	Timeout  carobspan.Span `json:"timeout"`
 	Deadline carobspan.Span `json:"deadline"`
 	Once     carobonce.Once `json:"once"`
 	// Rank is the priority, 0 the highest.
 	Rank int `json:"rank"`
-	// Retries is how often a caller comes back.
+	// Retries is the number of times that a caller retries a failed call.
 	Retries int `json:"retries"`
-	// Calls is the kind of the calls that a target makes while it runs one of this kind,
-	// Times how many one after the other, and Share how many of the runs make them.
+	// Calls is the kind of the nested calls that a target makes while it runs a call of
+	// this kind; empty if it makes none. Times is their number, one after the other, and
+	// Share the share of runs that make them.
 	Calls carobword.Word   `json:"calls"`
 	Times int              `json:"times"`
 	Share carobshare.Share `json:"share"`
 }
 
-// NewScenario returns the defaults, which lack services and kinds.
+// NewScenario returns the defaults, without services and kinds.
 func NewScenario() Scenario {
 	const centre = carobcentre.Centre("here")
-	pf := carobprofile.NewProfile("emulated")
-	pf.Hedge, pf.Near, pf.Policy = 0, 0, "local"
+	profile := carobprofile.NewProfile("emulated")
+	profile.Hedge, profile.Near, profile.Policy = 0, 0, "local"
 	return Scenario{
-		Centres: []carobcentre.Centre{centre}, Measure: carobmeasure.NewMeasure(), Retries: carobretries.NewRetries(), Profile: pf,
+		Centres: []carobcentre.Centre{centre}, Measure: carobmeasure.NewMeasure(), Retries: carobretries.NewRetries(), Profile: profile,
 	}
 }
 
-// Load reads and checks a file.
+// Load reads and checks a scenario file. Its errors are of kind Invalid.
 func Load(file string) (Scenario, error) {
 	data, err := os.ReadFile(file) //nolint:gosec // the operator names the file
 	if err != nil {
@@ -103,20 +107,21 @@
 	return Parse(file, data)
 }
 
-// Parse checks a scenario; the file's name is for errors.
+// Parse decodes and checks a scenario; the name of the file is used in errors.
 func Parse(file string, data []byte) (Scenario, error) {
-	sc := NewScenario()
-	dc := carobdocument.NewDocument(carobdocument.Config{Name: file, Data: data})
-	if err := dc.Decode(&sc); err != nil {
+	scenario := NewScenario()
+	document := carobdocument.NewDocument(carobdocument.Config{Name: file, Data: data})
+	if err := document.Decode(&scenario); err != nil {
 		return Scenario{}, err
 	}
-	if err := sc.Check(); err != nil {
-		return Scenario{}, dc.Refuse(err)
+	if err := scenario.Check(); err != nil {
+		return Scenario{}, document.Refuse(err)
 	}
-	return sc, nil
+	return scenario, nil
 }
 
-// Check tells whether all parts are there and fit each other.
+// Check returns an error of kind Invalid if a part is missing, out of its bounds, or
+// refers to a service or kind that is not defined.
 func (s *Scenario) Check() error {
 	if len(s.Centres) == 0 || len(s.Services) == 0 || len(s.Kinds) == 0 {
 		return carobkind.New(carobkind.Invalid, "centres, services and kinds must not be empty")
@@ -126,11 +131,11 @@
 	}
 	services, kinds := map[carobservice.Service]bool{}, map[carobword.Word]bool{}
 	for i := range s.Services {
-		sv := &s.Services[i]
-		if sv.Targets < 1 || sv.Slots < 1 {
-			return carobkind.New(carobkind.Invalid, "service %s: targets and slots must be at least 1", sv.Name)
+		service := &s.Services[i]
+		if service.Targets < 1 || service.Slots < 1 {
+			return carobkind.New(carobkind.Invalid, "service %s: targets and slots must be at least 1", service.Name)
 		}
-		services[sv.Name] = true
+		services[service.Name] = true
 	}
 	for i := range s.Kinds {
 		if err := s.Kinds[i].check(services, kinds); err != nil {
@@ -141,7 +146,8 @@
 	return nil
 }
 
-func (k *kind) check(services map[carobservice.Service]bool, before map[carobword.Word]bool) error {
+// check checks one kind against all services and the kinds that precede it.
+func (k *callKind) check(services map[carobservice.Service]bool, before map[carobword.Word]bool) error {
 	switch {
 	case !services[k.Service]:
 		return carobkind.New(carobkind.Invalid, "kind %s: there is no service %q", k.Name, k.Service)
