--- a/internal/carobloader/call.go
+++ b/internal/carobloader/call.go
@@ -19,111 +19,119 @@
 )
 
 const (
-	// grace is how long after its deadline a call still waits for the node's word.
-	grace = time.Second
-	// inMemory is the longest body that is made and compared at once.
-	inMemory = 1 << 20
-	decimal  = 10
-	// headerSum is where the stand-in for targets tells the checksum of a body.
+	// answerGrace is how long after its deadline a call still waits for the node's
+	// answer, which gives the outcome of the call.
+	answerGrace = time.Second
+	// maxInMemory is the length in bytes of the longest body that is held in memory and
+	// compared byte by byte. Longer bodies are streamed.
+	maxInMemory = 1 << 20
+	decimal     = 10
+	// headerSum is the header in which carobstandtarget returns the checksum of the
+	// request's body, in hexadecimal.
 	headerSum = "X-Sum"
 )
 
 // call is one call of the load.
 type call struct {
-	// at is when the call is meant to be sent.
-	at carobinstant.Instant
-	// seed makes the call's body, which no other call has.
-	seed    uint64
-	node    carobaddress.Address
-	keyed   bool
+	// scheduledAt is when the call should be sent.
+	scheduledAt carobinstant.Instant
+	// seed determines the body and the idempotency key. Seeds are drawn at random, so
+	// that no two calls have the same body.
+	seed uint64
+	node carobaddress.Address
+	// keyed says that the call has an idempotency key.
+	keyed bool
+	// counted is false for calls that are scheduled during Config.Skip.
 	counted bool
 }
 
-// send carries out a call and counts how it ended. A load that is stopped still
-// waits for its calls.
-func (l *Loader) send(cx context.Context, cl call) {
-	cx, cancel := context.WithTimeout(context.WithoutCancel(cx), l.config.Deadline+grace)
+// send sends a call and counts its result. It ignores the end of the context: a
+// load that is stopped still waits for the calls in progress.
+func (l *Loader) send(ctx context.Context, call call) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), l.config.Deadline+answerGrace)
 	defer cancel()
-	an, err := l.pool.Do(cx, cl.node, l.request(cl), false)
+	answer, err := l.pool.Do(ctx, call.node, l.request(call), false)
 	if err != nil {
-		l.fail(cl, carobkind.Of(err).Outcome(), carobkind.Of(err))
+		l.addError(call, carobkind.Of(err).Outcome(), carobkind.Of(err))
 		return
 	}
-	whole := l.check(cl, an)
-	_ = an.Body.Close()
-	hd := &an.Response.Header
-	outcome := caroboutcome.Outcome(hd.Peek(carobheader.Outcome))
+	whole := l.verify(call, answer)
+	_ = answer.Body.Close()
+	header := &answer.Response.Header
+	outcome := caroboutcome.Outcome(header.Peek(carobheader.Outcome))
 	if l.config.Direct {
 		outcome = caroboutcome.Answered
 	}
 	if outcome != caroboutcome.Answered {
-		l.fail(cl, outcome, carobkind.Kind(hd.Peek(carobheader.Kind)))
+		l.addError(call, outcome, carobkind.Kind(header.Peek(carobheader.Kind)))
 		return
 	}
-	if cl.counted {
-		l.summary.AddAnswer(l.since(cl), an.Response.StatusCode(), whole)
+	if call.counted {
+		l.summary.AddAnswer(l.elapsed(call), answer.Response.StatusCode(), whole)
 	}
 }
 
-func (l *Loader) fail(cl call, outcome caroboutcome.Outcome, kind carobkind.Kind) {
-	if cl.counted {
-		l.summary.AddError(l.since(cl), outcome, kind)
+func (l *Loader) addError(call call, outcome caroboutcome.Outcome, kind carobkind.Kind) {
+	if call.counted {
+		l.summary.AddError(l.elapsed(call), outcome, kind)
 	}
 }
 
-func (l *Loader) since(cl call) time.Duration {
-	return l.config.Timer.Now().Sub(cl.at)
+// elapsed returns the time since the call should have been sent.
+func (l *Loader) elapsed(call call) time.Duration {
+	return l.config.Timer.Now().Sub(call.scheduledAt)
 }
 
-func (l *Loader) request(cl call) *fasthttp.Request {
-	rq := &fasthttp.Request{}
-	rq.Header.SetMethod(fasthttp.MethodPost)
+func (l *Loader) request(call call) *fasthttp.Request {
+	req := &fasthttp.Request{}
+	req.Header.SetMethod(fasthttp.MethodPost)
 	path := "/load"
 	if l.config.Answer > 0 {
-		path += "?size=" + strconv.FormatInt(int64(l.config.Answer), decimal) + "&seed=" + strconv.FormatUint(cl.seed, decimal)
+		path += "?size=" + strconv.FormatInt(int64(l.config.Answer), decimal) + "&seed=" + strconv.FormatUint(call.seed, decimal)
 	}
-	rq.SetRequestURI(path)
-	rq.Header.SetHost(string(l.config.Service))
-	rq.Header.Set(carobheader.Deadline, strconv.FormatInt(l.config.Deadline.Milliseconds(), decimal))
-	if cl.keyed {
-		rq.Header.Set(carobheader.Key, "load-"+strconv.FormatUint(cl.seed, decimal))
+	req.SetRequestURI(path)
+	req.Header.SetHost(string(l.config.Service))
+	req.Header.Set(carobheader.Deadline, strconv.FormatInt(l.config.Deadline.Milliseconds(), decimal))
+	if call.keyed {
+		req.Header.Set(carobheader.Key, "load-"+strconv.FormatUint(call.seed, decimal))
 	}
-	if l.config.Size <= inMemory {
-		rq.SetBodyRaw(l.sent(cl).Bytes())
+	if l.config.Size <= maxInMemory {
+		req.SetBodyRaw(l.requestBody(call).Bytes())
 	} else {
-		rq.SetBodyStream(l.sent(cl), int(l.config.Size))
+		req.SetBodyStream(l.requestBody(call), int(l.config.Size))
 	}
-	return rq
+	return req
 }
 
-// sent returns the body of a call.
-func (l *Loader) sent(cl call) *carobpattern.Pattern {
-	return carobpattern.NewPattern(carobpattern.Config{Seed: cl.seed, Length: int64(l.config.Size)})
+// requestBody returns the body of a call.
+func (l *Loader) requestBody(call call) *carobpattern.Pattern {
+	return carobpattern.NewPattern(carobpattern.Config{Seed: call.seed, Length: int64(l.config.Size)})
 }
 
-// check reads an answer to its end and reports whether it is whole and the
-// call's own. An error of the target has no body to compare.
-func (l *Loader) check(cl call, an *carobanswer.Answer) bool {
-	if an.Response.StatusCode() != fasthttp.StatusOK {
-		_, err := io.Copy(io.Discard, an.Body)
+// verify reads an answer to its end and reports whether it is complete and belongs
+// to the call. An error of the target has no body to compare.
+func (l *Loader) verify(call call, answer *carobanswer.Answer) bool {
+	if answer.Response.StatusCode() != fasthttp.StatusOK {
+		_, err := io.Copy(io.Discard, answer.Body)
 		return err == nil
 	}
-	if l.config.Answer == 0 && l.config.Size <= inMemory {
-		got, err := io.ReadAll(an.Body)
-		return err == nil && bytes.Equal(got, l.sent(cl).Bytes())
+	if l.config.Answer == 0 && l.config.Size <= maxInMemory {
+		got, err := io.ReadAll(answer.Body)
+		return err == nil && bytes.Equal(got, l.requestBody(call).Bytes())
 	}
-	if !l.arrived(cl, an) {
+	if !l.uploadIntact(call, answer) {
 		return false
 	}
-	want := carobpattern.NewPattern(carobpattern.Config{Seed: cl.seed, Length: int64(l.config.Answer)})
-	got, length, err := carobpattern.Sum(an.Body)
+	want := carobpattern.NewPattern(carobpattern.Config{Seed: call.seed, Length: int64(l.config.Answer)})
+	got, length, err := carobpattern.Sum(answer.Body)
 	expected, _, _ := carobpattern.Sum(want)
 	return err == nil && length == int64(l.config.Answer) && got == expected
 }
 
-// arrived reports whether the target had the whole body.
-func (l *Loader) arrived(cl call, an *carobanswer.Answer) bool {
+// uploadIntact reports whether the target received the whole body, by the checksum
+// that it returned.
+func (l *Loader) uploadIntact(call call, answer *carobanswer.Answer) bool {
 	const hexadecimal = 16
-	sum, _, err := carobpattern.Sum(l.sent(cl))
-	return err == nil && string(an.Response.Header.Peek(headerSum)) == strconv.FormatUint(sum, hexadecimal)
+	sum, _, err := carobpattern.Sum(l.requestBody(call))
+	return err == nil && string(answer.Response.Header.Peek(headerSum)) == strconv.FormatUint(sum, hexadecimal)
 }
--- a/internal/carobloader/loader.go
+++ b/internal/carobloader/loader.go
@@ -1,8 +1,9 @@
-// Package carobloader sends a seeded open load of calls and checks every answer.
+// Package carobloader generates an open-loop load of calls from a seed and checks
+// every answer.
 //
-// The load is open: when a call is sent does not depend on how earlier ones
-// fare, and its latency counts from the instant it was meant to be sent. A slow
-// answer can therefore not hide the calls that would have come meanwhile.
+// In an open loop, calls are sent on schedule and do not wait for earlier answers,
+// and latency is measured from the scheduled instant. Slow answers therefore do not
+// delay later calls and hide their latency (coordinated omission).
 package carobloader
 
 import (
@@ -21,32 +22,35 @@
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
 
-// Config is how a load is made.
+// Config holds the settings of a load.
 type Config struct {
-	// Name names the load in its summary.
+	// Name is the name of the load in its summary.
 	Name string
-	// Nodes are the call addresses; each call picks one at random.
+	// Nodes are the addresses to which calls are sent; each call picks one at random.
 	Nodes []carobaddress.Address
-	// Direct says that Nodes are targets, which tell no outcome.
-	Direct  bool
+	// Direct says that Nodes are addresses of targets, whose answers have no outcome
+	// header; every answer counts as answered.
+	Direct bool
+	// Service is the value of the Host header.
 	Service carobservice.Service
 	// Rate is the mean number of calls a second; it is positive.
 	Rate float64
-	// Count and Duration end the load, whichever comes first; 0 is no bound.
+	// Count and Duration end the load, whichever comes first; 0 is no limit.
 	Count    int
 	Duration time.Duration
-	// Skip is how long at the beginning calls are sent but not counted.
+	// Skip is the warm-up at the start, during which calls are sent but not counted.
 	Skip time.Duration
-	// Seed is what arrivals, nodes, keys and bodies follow from.
+	// Seed seeds the random arrivals, nodes, keys and bodies.
 	Seed uint64
-	// Size is the length of each body; Answer that of each answer, or 0 for the
-	// body sent back.
+	// Size is the length of each request's body; Answer that of each answer's body, or
+	// 0 if targets return the request's body.
 	Size, Answer carobsize.Size
 	// Keys is the share of calls with an idempotency key.
 	Keys carobshare.Share
-	// Deadline is how long callers wait; it is positive.
+	// Deadline is the deadline of each call, from its scheduled instant; it is positive.
 	Deadline time.Duration
-	Timer    *carobtimer.Timer
+	// Timer is the clock and the timer of the load.
+	Timer *carobtimer.Timer
 }
 
 // Loader sends one load.
@@ -55,75 +59,77 @@
 	random  *rand.Rand
 	pool    *carobpool.Pool
 	summary *carobsummary.Summary
-	// open has the calls that are under way.
-	open sync.WaitGroup
+	// inProgress counts the calls without a result.
+	inProgress sync.WaitGroup
 }
 
 const (
-	dial = time.Second
-	idle = 20 * time.Second
-	kept = 4096
-	// stall is how long a connection may take no byte of a body.
-	stall = 10 * time.Second
+	dialTimeout  = time.Second
+	idleTimeout  = 20 * time.Second
+	maxIdleConns = 4096
+	// stallTimeout is how long the other end may accept or send no byte of a body.
+	stallTimeout = 10 * time.Second
 )
 
-// NewLoader returns a load that has not begun.
+// NewLoader returns a load that has not started.
 func NewLoader(c Config) *Loader {
 	const stream = 3
 	return &Loader{
 		config:  c,
 		random:  rand.New(rand.NewPCG(c.Seed, stream)), //nolint:gosec // loads must repeat under a seed
-		pool:    carobpool.NewPool(carobpool.Config{Timer: c.Timer, Dial: dial, Idle: idle, Kept: kept, Stall: stall}),
+		pool:    carobpool.NewPool(carobpool.Config{Timer: c.Timer, Dial: dialTimeout, Idle: idleTimeout, Kept: maxIdleConns, Stall: stallTimeout}),
 		summary: carobsummary.NewSummary(carobsummary.Config{Name: c.Name, Deadline: c.Deadline}),
 	}
 }
 
-// Run sends the load, waits for the last answer and returns the summary.
-func (l *Loader) Run(cx context.Context) *carobsummary.Summary {
+// Run sends the load until a limit is reached or ctx ends, waits for the last
+// answer and returns the summary. A loader runs once.
+func (l *Loader) Run(ctx context.Context) *carobsummary.Summary {
 	defer l.pool.Close()
 	start := l.config.Timer.Now()
 	counted := start.Add(l.config.Skip)
 	next := start
-	for n := 0; l.more(n, next.Sub(start)); n++ {
+	for sent := 0; l.continues(sent, next.Sub(start)); sent++ {
 		next = next.Add(time.Duration(l.random.ExpFloat64() / l.config.Rate * float64(time.Second)))
-		if !l.reach(cx, next) {
+		if !l.waitUntil(ctx, next) {
 			break
 		}
-		cl := l.draw(next)
-		cl.counted = !next.Before(counted)
-		l.open.Go(func() { l.send(cx, cl) })
+		call := l.newCall(next)
+		call.counted = !next.Before(counted)
+		l.inProgress.Go(func() { l.send(ctx, call) })
 	}
-	l.open.Wait()
+	l.inProgress.Wait()
 	l.summary.Close(next.Sub(counted))
 	return l.summary
 }
 
-func (l *Loader) more(sent int, passed time.Duration) bool {
+// continues reports whether the load continues after so many calls and such a time.
+func (l *Loader) continues(sent int, passed time.Duration) bool {
 	if l.config.Count > 0 && sent >= l.config.Count {
 		return false
 	}
 	return l.config.Duration <= 0 || passed < l.config.Duration
 }
 
-// reach waits until an instant. It reports false if the load is stopped.
-func (l *Loader) reach(cx context.Context, at carobinstant.Instant) bool {
+// waitUntil waits until an instant. It returns false if the load is stopped.
+func (l *Loader) waitUntil(ctx context.Context, at carobinstant.Instant) bool {
 	for {
 		left := at.Sub(l.config.Timer.Now())
 		if left <= 0 {
-			return cx.Err() == nil
+			return ctx.Err() == nil
 		}
-		if l.config.Timer.Wait(cx, left) != nil {
+		if l.config.Timer.Wait(ctx, left) != nil {
 			return false
 		}
 	}
 }
 
-// draw makes the next call.
-func (l *Loader) draw(at carobinstant.Instant) call {
+// newCall draws the next call, which should be sent at the given instant.
+func (l *Loader) newCall(at carobinstant.Instant) call {
 	return call{
-		at:    at,
-		seed:  l.random.Uint64() >> 1,
-		node:  l.config.Nodes[l.random.IntN(len(l.config.Nodes))],
-		keyed: l.random.Float64() < float64(l.config.Keys),
+		scheduledAt: at,
+		seed:        l.random.Uint64() >> 1,
+		node:        l.config.Nodes[l.random.IntN(len(l.config.Nodes))],
+		keyed:       l.random.Float64() < float64(l.config.Keys),
 	}
 }
--- a/internal/carobsummary/summary.go
+++ b/internal/carobsummary/summary.go
@@ -1,4 +1,5 @@
-// Package carobsummary sums up what callers saw of a run of calls.
+// Package carobsummary counts the results and latencies that callers see in a run of
+// calls.
 package carobsummary
 
 import (
@@ -15,46 +16,50 @@
 	"github.com/carobknot/carobknot/pkg/carobspan"
 )
 
-// Config is how a summary is made.
+// Config holds the settings of a summary.
 type Config struct {
-	// Name tells the summary from others of the same run.
+	// Name is the name of the summary in reports and tables.
 	Name string
-	// Deadline is what a call without a good answer counts as in Felt.
+	// Deadline is the latest time of a good answer. A call without a good answer counts
+	// in Felt with at least this latency.
 	Deadline time.Duration
 }
 
-// Summary counts calls by their ends. Many goroutines may add to it.
+// Summary counts calls by their results. It is safe for concurrent use, but its
+// exported fields may be read only after Close.
 type Summary struct {
 	Name string `json:"name"`
-	// Calls counts all; Answered, NotRun and Unknown part it.
+	// Calls counts all calls; it is the sum of Answered, NotRun and Unknown.
 	Calls    int `json:"calls"`
 	Answered int `json:"answered"`
 	NotRun   int `json:"notrun"`
 	Unknown  int `json:"unknown"`
-	// Good counts the answers that are whole, the call's own, no error of the
-	// target and within the deadline.
+	// Good counts the answers that are complete, belong to the call, are no error of
+	// the target and arrive within the deadline.
 	Good int `json:"good"`
-	// Wrong counts answers that are cut or belong to another call.
+	// Wrong counts answers that are incomplete or belong to another call.
 	Wrong int `json:"wrong"`
-	// Failed counts errors of targets that were passed on as answers.
+	// Failed counts errors of targets (status 500 and above) that nodes forwarded as
+	// answers.
 	Failed int `json:"failed"`
-	// Kinds counts the kinds of errors told by nodes.
+	// Kinds counts the error kinds that nodes returned.
 	Kinds map[carobkind.Kind]int `json:"kinds"`
-	// Took is from the first to the last intended arrival that was counted.
+	// Took is the time during which the counted calls were scheduled to arrive.
 	Took carobspan.Span `json:"took"`
-	// Latency is that of good calls from their intended arrival.
+	// Latency holds quantiles of the latency of good calls, from their scheduled
+	// arrival.
 	Latency quantiles `json:"latency"`
-	// Felt is that of all calls; one without a good answer counts as its whole
-	// deadline.
+	// Felt holds quantiles of the latency of all calls. A call without a good answer
+	// counts with its deadline, or with its own latency if that is longer.
 	Felt quantiles `json:"felt"`
 
-	deadline time.Duration
-	mutex    sync.Mutex
-	good     *hdrhistogram.Histogram
-	felt     *hdrhistogram.Histogram
+	deadline    time.Duration
+	mutex       sync.Mutex
+	goodLatency *hdrhistogram.Histogram
+	feltLatency *hdrhistogram.Histogram
 }
 
-// quantiles are points of a distribution of times.
+// quantiles are quantiles and the maximum of a latency distribution; 0 before Close.
 type quantiles struct {
 	P50  carobspan.Span `json:"p50"`
 	P90  carobspan.Span `json:"p90"`
@@ -69,33 +74,34 @@
 	longest := (10 * time.Minute).Nanoseconds()
 	return &Summary{
 		Name: c.Name, Kinds: map[carobkind.Kind]int{}, deadline: c.Deadline,
-		good: hdrhistogram.New(1, longest, digits), felt: hdrhistogram.New(1, longest, digits),
+		goodLatency: hdrhistogram.New(1, longest, digits), feltLatency: hdrhistogram.New(1, longest, digits),
 	}
 }
 
-// AddAnswer counts a call that was answered.
-func (s *Summary) AddAnswer(took time.Duration, status int, whole bool) {
-	const firstError = 500
+// AddAnswer counts a call that was answered. The answer is correct if it is complete
+// and belongs to the call.
+func (s *Summary) AddAnswer(duration time.Duration, status int, correct bool) {
+	const minServerError = 500
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.Calls++
 	s.Answered++
 	switch {
-	case !whole:
+	case !correct:
 		s.Wrong++
-	case status >= firstError:
+	case status >= minServerError:
 		s.Failed++
-	case took <= s.deadline:
+	case duration <= s.deadline:
 		s.Good++
-		_ = s.good.RecordValue(took.Nanoseconds())
-		_ = s.felt.RecordValue(took.Nanoseconds())
+		_ = s.goodLatency.RecordValue(duration.Nanoseconds())
+		_ = s.feltLatency.RecordValue(duration.Nanoseconds())
 		return
 	}
-	s.miss(took)
+	s.recordFailure(duration)
 }
 
 // AddError counts a call that was not answered.
-func (s *Summary) AddError(took time.Duration, outcome caroboutcome.Outcome, kind carobkind.Kind) {
+func (s *Summary) AddError(duration time.Duration, outcome caroboutcome.Outcome, kind carobkind.Kind) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.Calls++
@@ -105,22 +111,24 @@
 	} else {
 		s.Unknown++
 	}
-	s.miss(took)
+	s.recordFailure(duration)
 }
 
-func (s *Summary) miss(took time.Duration) {
-	_ = s.felt.RecordValue(max(took, s.deadline).Nanoseconds())
+// recordFailure records the latency of a call without a good answer.
+func (s *Summary) recordFailure(duration time.Duration) {
+	_ = s.feltLatency.RecordValue(max(duration, s.deadline).Nanoseconds())
 }
 
-// Close works the quantiles out. The calls arrived during took.
-func (s *Summary) Close(took time.Duration) {
+// Close computes the quantiles. The duration is that during which the counted calls
+// were scheduled to arrive.
+func (s *Summary) Close(duration time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.Took = carobspan.Span(took)
-	s.Latency, s.Felt = quantilesOf(s.good), quantilesOf(s.felt)
+	s.Took = carobspan.Span(duration)
+	s.Latency, s.Felt = quantilesOf(s.goodLatency), quantilesOf(s.feltLatency)
 }
 
-// Goodput returns the good answers a second.
+// Goodput returns the number of good answers a second.
 func (s *Summary) Goodput() float64 {
 	return float64(s.Good) / max(s.Took.Duration().Seconds(), 1e-9)
 }
@@ -132,20 +140,20 @@
 	return quantiles{P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: at(100)}
 }
 
-// Table writes summaries as lines of one table.
+// Table writes a table with one line for each summary.
 func Table(to io.Writer, summaries ...*Summary) {
 	const gap = 2
-	tw := tabwriter.NewWriter(to, 0, 0, gap, ' ', tabwriter.AlignRight)
-	_, _ = fmt.Fprintln(tw, "run\tcalls\tgood\tanswered\tnot run\tunknown\twrong\tfailed\tgood/s\tp50\tp99\tp99.9\tmax\t")
+	writer := tabwriter.NewWriter(to, 0, 0, gap, ' ', tabwriter.AlignRight)
+	_, _ = fmt.Fprintln(writer, "run\tcalls\tgood\tanswered\tnot run\tunknown\twrong\tfailed\tgood/s\tp50\tp99\tp99.9\tmax\t")
 	for _, s := range summaries {
-		_, _ = fmt.Fprintf(tw, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%s\t%s\t%s\t%s\t\n",
+		_, _ = fmt.Fprintf(writer, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%s\t%s\t%s\t%s\t\n",
 			s.Name, s.Calls, s.Good, s.Answered, s.NotRun, s.Unknown, s.Wrong, s.Failed, s.Goodput(),
 			Milliseconds(s.Latency.P50), Milliseconds(s.Latency.P99), Milliseconds(s.Latency.P999), Milliseconds(s.Latency.Max))
 	}
-	_ = tw.Flush()
+	_ = writer.Flush()
 }
 
-// Milliseconds writes a time as tables show it.
-func Milliseconds(sp carobspan.Span) string {
-	return fmt.Sprintf("%.2f ms", float64(sp)/float64(time.Millisecond))
+// Milliseconds formats a duration in milliseconds with two decimals, as in tables.
+func Milliseconds(duration carobspan.Span) string {
+	return fmt.Sprintf("%.2f ms", float64(duration)/float64(time.Millisecond))
 }
