--- a/internal/carobloader/call.go
+++ b/internal/carobloader/call.go
@@ -55,7 +55,7 @@
 		l.addError(call, carobkind.Of(err).Outcome(), carobkind.Of(err))
 		return
 	}
-	whole := l.verify(call, answer)
+	correct := l.verify(call, answer)
 	_ = answer.Body.Close()
 	header := &answer.Response.Header
 	outcome := caroboutcome.Outcome(header.Peek(carobheader.Outcome))
@@ -67,7 +67,7 @@
 		return
 	}
 	if call.counted {
-		l.summary.AddAnswer(l.elapsed(call), answer.Response.StatusCode(), whole)
+		l.summary.AddAnswer(l.elapsed(call), answer.Response.StatusCode(), correct)
 	}
 }
 
--- a/internal/carobloader/loader.go
+++ b/internal/carobloader/loader.go
@@ -47,7 +47,7 @@
 	Size, Answer carobsize.Size
 	// Keys is the share of calls with an idempotency key.
 	Keys carobshare.Share
-	// Deadline is the deadline of each call, from its scheduled instant; it is positive.
+	// Deadline is how long the caller of each call waits; it is positive.
 	Deadline time.Duration
 	// Timer is the clock and the timer of the load.
 	Timer *carobtimer.Timer
@@ -87,7 +87,7 @@
 func (l *Loader) Run(ctx context.Context) *carobsummary.Summary {
 	defer l.pool.Close()
 	start := l.config.Timer.Now()
-	counted := start.Add(l.config.Skip)
+	countFrom := start.Add(l.config.Skip)
 	next := start
 	for sent := 0; l.continues(sent, next.Sub(start)); sent++ {
 		next = next.Add(time.Duration(l.random.ExpFloat64() / l.config.Rate * float64(time.Second)))
@@ -95,30 +95,30 @@
 			break
 		}
 		call := l.newCall(next)
-		call.counted = !next.Before(counted)
+		call.counted = !next.Before(countFrom)
 		l.inProgress.Go(func() { l.send(ctx, call) })
 	}
 	l.inProgress.Wait()
-	l.summary.Close(next.Sub(counted))
+	l.summary.Close(next.Sub(countFrom))
 	return l.summary
 }
 
-// continues reports whether the load continues after so many calls and such a time.
-func (l *Loader) continues(sent int, passed time.Duration) bool {
+// continues reports whether the load continues after the given number of calls and time.
+func (l *Loader) continues(sent int, elapsed time.Duration) bool {
 	if l.config.Count > 0 && sent >= l.config.Count {
 		return false
 	}
-	return l.config.Duration <= 0 || passed < l.config.Duration
+	return l.config.Duration <= 0 || elapsed < l.config.Duration
 }
 
 // waitUntil waits until an instant. It returns false if the load is stopped.
 func (l *Loader) waitUntil(ctx context.Context, at carobinstant.Instant) bool {
 	for {
-		left := at.Sub(l.config.Timer.Now())
-		if left <= 0 {
+		remaining := at.Sub(l.config.Timer.Now())
+		if remaining <= 0 {
 			return ctx.Err() == nil
 		}
-		if l.config.Timer.Wait(ctx, left) != nil {
+		if l.config.Timer.Wait(ctx, remaining) != nil {
 			return false
 		}
 	}
--- a/internal/carobpattern/pattern_test.go
+++ b/internal/carobpattern/pattern_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPatternReadsTheSameInAnyPieces(t *testing.T) {
+func TestBytesDoNotDependOnReadSize(t *testing.T) {
 	c := Config{Seed: 7, Length: 1001}
 	whole := NewPattern(c).Bytes()
 	require.Len(t, whole, 1001)
