--- a/internal/carobbench/bench.go
+++ b/internal/carobbench/bench.go
@@ -1,6 +1,6 @@
-// Package carobbench measures the decisions under shifting load: real nodes and
-// stand-in targets as processes on loopback, several variants of a profile side
-// by side under the same seeded load and faults.
+// Package carobbench measures the effect of routing decisions under load and faults.
+// It runs real nodes and stand-in targets as processes on loopback and compares
+// several variants of a profile under the same seeded load and faults.
 package carobbench
 
 import (
@@ -14,66 +14,69 @@
 	"github.com/carobknot/carobknot/pkg/carobrate"
 )
 
-// Config is how a bench is made.
+// Config holds the settings of a bench.
 type Config struct {
 	// Program is the path of the carobknot program.
 	Program string
-	// Folder takes the settings and profiles of the processes.
+	// Folder is where settings, profiles and logs of the processes are written.
 	Folder string
-	// Deployments, Cases and Variants name what is measured; empty is all
-	// deployments, the deciding cases and the usual variants.
+	// Deployments, Cases and Variants are the names of what is measured; empty means
+	// all deployments, defaultCases and defaultVariants.
 	Deployments, Cases, Variants []string
-	// Rounds is how often each cell is measured; it is positive.
+	// Rounds is the number of measurements of each cell; it is positive.
 	Rounds int
-	// Duration is how long calls are counted in each cell.
+	// Duration is how long calls are counted in each cell, before the case's
+	// durationFactor.
 	Duration time.Duration
 	// Mean is the mean time that a call takes on its target.
 	Mean time.Duration
-	// Measure is the most bytes a second that a node sends for measuring.
+	// Measure is the limit of bytes a second that a node sends for probes and reports.
 	Measure carobrate.Rate
-	// Limit is how long the bench may take; cells that do not fit are left out.
+	// Limit is the time after which no further cell is started.
 	Limit time.Duration
-	// Seed is what load and faults follow from.
-	Seed  uint64
+	// Seed seeds the load and the service times of targets.
+	Seed uint64
+	// Out receives a line for each cell and the tables.
 	Out   io.Writer
 	Timer *carobtimer.Timer
 }
 
-// Bench measures cells: each case with each variant, in each round.
+// Bench measures cells. A cell is one case with one variant in one round.
 type Bench struct {
 	config  Config
 	results []result
-	// until is when no further cell is begun.
-	until carobinstant.Instant
+	// deadline is when Config.Limit is reached.
+	deadline carobinstant.Instant
 }
 
-// NewBench returns a bench that has measured nothing yet.
+// NewBench returns a bench without results.
 func NewBench(c Config) *Bench {
 	if len(c.Cases) == 0 {
-		c.Cases = deciding
+		c.Cases = defaultCases
 	}
 	if len(c.Variants) == 0 {
-		c.Variants = usual
+		c.Variants = defaultVariants
 	}
 	return &Bench{config: c}
 }
 
-// Run measures all cells and writes their table.
-func (b *Bench) Run(cx context.Context) error {
-	b.until = b.config.Timer.Now().Add(b.config.Limit)
-	for _, dp := range deployments {
-		if !wanted(b.config.Deployments, dp.name) {
+// Run measures all selected cells and writes a table for each deployment. It stops at
+// the first cell that cannot be measured and returns its error.
+func (b *Bench) Run(ctx context.Context) error {
+	b.deadline = b.config.Timer.Now().Add(b.config.Limit)
+	for _, deployment := range deployments {
+		if !selected(b.config.Deployments, deployment.name) {
 			continue
 		}
-		if err := b.deploy(cx, dp); err != nil {
+		if err := b.measureDeployment(ctx, deployment); err != nil {
 			return err
 		}
-		table(b.config.Out, dp.name, b.results)
+		writeTable(b.config.Out, deployment.name, b.results)
 	}
 	return nil
 }
 
-// Report returns all results, for a file.
+// Report returns the settings and all results, to be encoded as JSON.
 func (b *Bench) Report() any {
 	return struct {
 		Seed     uint64        `json:"seed"`
@@ -83,20 +86,21 @@
 	}{b.config.Seed, b.config.Duration, b.config.Mean, b.results}
 }
 
-// deploy measures all cells of one deployment. The variants of a case take
-// turns, so that a busy spell of the machine does not fall on one alone.
-func (b *Bench) deploy(cx context.Context, dp deployment) error {
-	cl, err := b.start(cx, dp)
+// measureDeployment measures all cells of one deployment. Each round measures all
+// variants of a case in turn, so that other load on the host affects all variants
+// and not a single one.
+func (b *Bench) measureDeployment(ctx context.Context, deployment deployment) error {
+	cluster, err := b.start(ctx, deployment)
 	if err != nil {
 		return err
 	}
-	defer cl.stop()
+	defer cluster.stop()
 	for round := range b.config.Rounds {
-		for _, cs := range cases {
-			if !wanted(b.config.Cases, cs.name) {
+		for _, benchCase := range cases {
+			if !selected(b.config.Cases, benchCase.name) {
 				continue
 			}
-			if err := b.compare(cx, cl, cs, round); err != nil {
+			if err := b.compareVariants(ctx, cluster, benchCase, round); err != nil {
 				return err
 			}
 		}
@@ -104,32 +108,33 @@
 	return nil
 }
 
-// compare measures a case with all variants.
-func (b *Bench) compare(cx context.Context, cl *cluster, cs scenario, round int) error {
-	for _, vr := range variants {
-		if !wanted(b.config.Variants, vr.name) {
+// compareVariants measures a case with all selected variants.
+func (b *Bench) compareVariants(ctx context.Context, cluster *cluster, benchCase benchCase, round int) error {
+	for _, variant := range variants {
+		if !selected(b.config.Variants, variant.name) {
 			continue
 		}
-		if b.until.Reached(b.config.Timer.Now()) {
-			_, _ = fmt.Fprintf(b.config.Out, "not run, the time is over: %s %s %s #%d\n", cl.deployment.name, cs.name, vr.name, round)
+		if b.deadline.Reached(b.config.Timer.Now()) {
+			_, _ = fmt.Fprintf(b.config.Out, "not run, time limit reached: %s %s %s #%d\n", cluster.deployment.name, benchCase.name, variant.name, round)
 			continue
 		}
-		rs, err := b.measure(cx, cl, cs, vr, round)
+		result, err := b.measureCell(ctx, cluster, benchCase, variant, round)
 		if err != nil {
 			return err
 		}
-		b.results = append(b.results, rs)
-		_, _ = fmt.Fprintf(b.config.Out, "%s\n", rs.line())
+		b.results = append(b.results, result)
+		_, _ = fmt.Fprintf(b.config.Out, "%s\n", result.line())
 	}
 	return nil
 }
 
-func wanted(names []string, name string) bool {
+// selected reports whether a name is among the given ones, or none are given.
+func selected(names []string, name string) bool {
 	if len(names) == 0 {
 		return true
 	}
-	for _, nm := range names {
-		if nm == name {
+	for _, selectedName := range names {
+		if selectedName == name {
 			return true
 		}
 	}
--- a/internal/carobbench/bench_test.go
+++ b/internal/carobbench/bench_test.go
@@ -13,35 +13,37 @@
 	"github.com/carobknot/carobknot/pkg/carobrouting"
 )
 
-// Every variant is a profile that nodes take, with a rule that exists.
-func TestVariantsAreProfiles(t *testing.T) {
+// Guards against variants that nodes reject: the profile must decode and its policy
+// must exist.
+func TestVariantsAreValidProfiles(t *testing.T) {
 	names := map[string]bool{}
-	for _, vr := range variants {
-		data, err := vr.profile(7)
+	for _, variant := range variants {
+		data, err := variant.profile(7)
 		require.NoError(t, err)
-		var pf carobprofile.Profile
-		require.NoError(t, json.Unmarshal(data, &pf), vr.name)
-		require.True(t, carobrouting.Known(pf.Policy), vr.name)
-		require.EqualValues(t, 7, pf.Base)
-		names[vr.name] = true
+		var profile carobprofile.Profile
+		require.NoError(t, json.Unmarshal(data, &profile), variant.name)
+		require.True(t, carobrouting.Known(profile.Policy), variant.name)
+		require.EqualValues(t, 7, profile.Base)
+		names[variant.name] = true
 	}
-	for _, name := range usual {
+	for _, name := range defaultVariants {
 		require.True(t, names[name], name)
 	}
 }
 
-func TestCasesAreBehaviours(t *testing.T) {
+// Guards against cases whose faults the stand-in target rejects.
+func TestCasesHaveValidBehaviours(t *testing.T) {
 	names := map[string]bool{}
-	for _, cs := range cases {
-		for _, change := range []string{healthy, cs.all, cs.first, cs.healed} {
-			bh := carobbehaviour.NewBehaviour()
+	for _, benchCase := range cases {
+		for _, change := range []string{healthy, benchCase.allTargets, benchCase.fault, benchCase.recovery} {
+			behaviour := carobbehaviour.NewBehaviour()
 			if change != "" {
-				require.NoError(t, json.Unmarshal([]byte(change), &bh), cs.name)
+				require.NoError(t, json.Unmarshal([]byte(change), &behaviour), benchCase.name)
 			}
 		}
-		names[cs.name] = true
+		names[benchCase.name] = true
 	}
-	for _, name := range deciding {
+	for _, name := range defaultCases {
 		require.True(t, names[name], name)
 	}
 }
@@ -55,10 +57,10 @@
 		})
 	}
 	var out bytes.Buffer
-	table(&out, "lechfeld", results)
+	writeTable(&out, "lechfeld", results)
 	require.Contains(t, out.String(), "2.0 (1.0-3.0)")
 	out.Reset()
-	table(&out, "lechfeld", results[:2])
+	writeTable(&out, "lechfeld", results[:2])
 	require.Contains(t, out.String(), "2.0 (1.0-3.0)", "the median of two is their mean")
 	require.NotContains(t, out.String(), "noisy")
 }
--- a/internal/carobbench/cell.go
+++ b/internal/carobbench/cell.go
@@ -13,216 +13,226 @@
 )
 
 const (
-	// warm is how long calls are sent before they are counted.
-	warm = 500 * time.Millisecond
-	// after is when a fault has to be dealt with.
-	after    = time.Second
-	bodySize = 256 * carobsize.Byte
-	// rest is the pause after a cell, in which all calls end.
-	rest = 200 * time.Millisecond
+	// warmup is how long calls are sent before they are counted.
+	warmup = 500 * time.Millisecond
+	// detectionTime is how long nodes may take to detect a fault; the faulty target's
+	// calls are counted after it.
+	detectionTime = time.Second
+	bodySize      = 256 * carobsize.Byte
+	// cooldown is the pause after a cell, in which all calls end.
+	cooldown = 200 * time.Millisecond
 )
 
-// result is what one cell gave.
+// result is the measurements of one cell.
 type result struct {
-	Deployment string                `json:"deployment"`
-	Case       string                `json:"case"`
-	Variant    string                `json:"variant"`
-	Round      int                   `json:"round"`
-	Callers    *carobsummary.Summary `json:"callers"`
-	// Capacity is how many calls a second all slots of the service can run.
+	Deployment string `json:"deployment"`
+	Case       string `json:"case"`
+	Variant    string `json:"variant"`
+	Round      int    `json:"round"`
+	// Callers holds the results and latencies that callers saw.
+	Callers *carobsummary.Summary `json:"callers"`
+	// Capacity is the number of calls a second that all slots of the service can run.
 	Capacity float64 `json:"capacity"`
-	// Extra is the runs beyond the first, as a share of all calls.
+	// Extra is the number of runs above one for each call, as a share of all calls.
 	Extra float64 `json:"extra"`
-	// Sick is the share of calls that the first target got from one second after
-	// its fault until it healed.
+	// Sick is the share of calls that the first target received while it was faulty,
+	// from detectionTime after the start of the fault; 0 without a fault.
 	Sick float64 `json:"sick"`
-	// Back is the share of calls that the first target got at the end.
+	// Back is the share of calls that the first target received in the second half of
+	// the time after its recovery; 0 without one.
 	Back float64 `json:"back"`
-	// CPU is the processor time of a node in cores, the mean of all nodes.
+	// CPU is the processor time that a node used, in cores; the mean of all nodes.
 	CPU float64 `json:"cpu"`
-	// Bytes is what a node sent for measuring, a second.
+	// Bytes is the number of bytes a second that a node sent for probes and reports;
+	// the mean of all nodes.
 	Bytes float64 `json:"bytes"`
-	// Hedges is the second attempts as a share of all calls.
+	// Hedges is the number of hedged attempts as a share of all calls.
 	Hedges float64 `json:"hedges"`
 }
 
-// reading is the counts of all processes at one instant.
-type reading struct {
+// snapshot is the counters of all processes at one instant.
+type snapshot struct {
 	targets []totals
-	cpu     time.Duration
-	bytes   float64
-	hedges  int
+	// cpu, bytes and hedges are sums over all nodes since their start.
+	cpu    time.Duration
+	bytes  float64
+	hedges int
 }
 
-// measure runs one cell.
-func (b *Bench) measure(cx context.Context, cl *cluster, cs scenario, vr variant, round int) (result, error) {
-	if err := cl.prepare(cx, cs, vr); err != nil {
+// measureCell prepares the cluster, sends the load of one cell with its faults, and
+// returns the measurements.
+func (b *Bench) measureCell(ctx context.Context, cluster *cluster, benchCase benchCase, variant variant, round int) (result, error) {
+	if err := cluster.prepare(ctx, benchCase, variant); err != nil {
 		return result{}, err
 	}
-	before, err := cl.read(cx)
+	before, err := cluster.snapshot(ctx)
 	if err != nil {
 		return result{}, err
 	}
-	length := cs.length(b.config.Duration)
-	main := cl.deployment.services[0]
-	capacity := float64(slots*main.targets) / b.config.Mean.Seconds()
-	ld := carobloader.NewLoader(carobloader.Config{
-		Name: vr.name, Nodes: cl.calls(), Service: carobservice.Service(main.name), Rate: cs.load * capacity,
-		Duration: warm + length, Skip: warm, Seed: b.config.Seed + uint64(round), //nolint:gosec // not negative
-		Size: bodySize, Deadline: cs.deadline, Timer: b.config.Timer,
+	length := benchCase.duration(b.config.Duration)
+	service := cluster.deployment.services[0]
+	capacity := float64(slots*service.targets) / b.config.Mean.Seconds()
+	loader := carobloader.NewLoader(carobloader.Config{
+		Name: variant.name, Nodes: cluster.callAddresses(), Service: carobservice.Service(service.name), Rate: benchCase.load * capacity,
+		Duration: warmup + length, Skip: warmup, Seed: b.config.Seed + uint64(round), //nolint:gosec // not negative
+		Size: bodySize, Deadline: benchCase.deadline, Timer: b.config.Timer,
 	})
-	rs := result{Deployment: cl.deployment.name, Case: cs.name, Variant: vr.name, Round: round, Capacity: capacity}
-	played := make(chan error, 1)
-	go func() { played <- cl.play(cx, cs, &rs) }()
-	rs.Callers = ld.Run(cx)
-	if err := <-played; err != nil {
+	measured := result{Deployment: cluster.deployment.name, Case: benchCase.name, Variant: variant.name, Round: round, Capacity: capacity}
+	faultDone := make(chan error, 1)
+	go func() { faultDone <- cluster.injectFault(ctx, benchCase, &measured) }()
+	measured.Callers = loader.Run(ctx)
+	if err := <-faultDone; err != nil {
 		return result{}, err
 	}
-	now, err := cl.read(cx)
+	after, err := cluster.snapshot(ctx)
 	if err != nil {
 		return result{}, err
 	}
-	rs.compare(before, now, len(cl.nodes), warm+length, cs.load*capacity)
-	return rs, b.config.Timer.Wait(cx, rest)
+	measured.setDifferences(before, after, len(cluster.nodes), warmup+length, benchCase.load*capacity)
+	return measured, b.config.Timer.Wait(ctx, cooldown)
 }
 
-// prepare heals all targets, puts the profile in force and sets the case up.
-func (c *cluster) prepare(cx context.Context, cs scenario, vr variant) error {
-	for _, tg := range c.targets {
-		if err := behave(cx, tg, healthy); err != nil {
+// prepare ends the faults of all targets, publishes the variant's profile, waits until
+// all nodes have it, and sets the case's behaviour of all targets.
+func (c *cluster) prepare(ctx context.Context, benchCase benchCase, variant variant) error {
+	for _, target := range c.targets {
+		if err := setBehaviour(ctx, target, healthy); err != nil {
 			return err
 		}
 	}
-	if err := c.publish(cx, vr); err != nil {
+	if err := c.publish(ctx, variant); err != nil {
 		return err
 	}
-	if err := c.settle(cx); err != nil {
+	if err := c.settle(ctx); err != nil {
 		return err
 	}
-	for _, tg := range c.targets {
-		if cs.all == "" {
+	for _, target := range c.targets {
+		if benchCase.allTargets == "" {
 			break
 		}
-		if err := behave(cx, tg, cs.all); err != nil {
+		if err := setBehaviour(ctx, target, benchCase.allTargets); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// play sets the fault in and heals it, and counts the calls of the sick target.
-func (c *cluster) play(cx context.Context, cs scenario, rs *result) error {
-	timer, duration := c.bench.config.Timer, cs.length(c.bench.config.Duration)
-	if err := timer.Wait(cx, warm); err != nil {
+// injectFault starts the fault of the case after the warm-up and ends it if the case
+// has a recovery. It measures the share of calls of the faulty target.
+func (c *cluster) injectFault(ctx context.Context, benchCase benchCase, result *result) error {
+	timer, duration := c.bench.config.Timer, benchCase.duration(c.bench.config.Duration)
+	if err := timer.Wait(ctx, warmup); err != nil {
 		return err
 	}
-	if cs.first == "" {
+	if benchCase.fault == "" {
 		return nil
 	}
-	if err := behave(cx, c.targets[0], cs.first); err != nil {
+	if err := setBehaviour(ctx, c.targets[0], benchCase.fault); err != nil {
 		return err
 	}
-	heal := time.Duration(float64(duration) * healing)
-	sick := min(after, heal/2)
-	share, err := c.share(cx, sick, heal-sick)
+	faultTime := time.Duration(float64(duration) * faultShare)
+	detection := min(detectionTime, faultTime/2)
+	share, err := c.firstTargetShare(ctx, detection, faultTime-detection)
 	if err != nil {
 		return err
 	}
-	rs.Sick = share
-	if cs.healed == "" {
+	result.Sick = share
+	if benchCase.recovery == "" {
 		return nil
 	}
-	if err := behave(cx, c.targets[0], cs.healed); err != nil {
+	if err := setBehaviour(ctx, c.targets[0], benchCase.recovery); err != nil {
 		return err
 	}
-	left := duration - heal
-	rs.Back, err = c.share(cx, left/2, left/2)
+	remaining := duration - faultTime
+	result.Back, err = c.firstTargetShare(ctx, remaining/2, remaining/2)
 	return err
 }
 
-// share waits, and returns the share of the calls of the time that follows
-// which the first target gets.
-func (c *cluster) share(cx context.Context, wait, during time.Duration) (float64, error) {
-	if err := c.bench.config.Timer.Wait(cx, wait); err != nil {
+// firstTargetShare waits, and returns the first target's share of all calls that
+// targets receive during the given duration.
+func (c *cluster) firstTargetShare(ctx context.Context, wait, duration time.Duration) (float64, error) {
+	if err := c.bench.config.Timer.Wait(ctx, wait); err != nil {
 		return 0, err
 	}
-	before, err := c.counts(cx)
+	before, err := c.callCounts(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if err := c.bench.config.Timer.Wait(cx, during); err != nil {
+	if err := c.bench.config.Timer.Wait(ctx, duration); err != nil {
 		return 0, err
 	}
-	now, err := c.counts(cx)
+	after, err := c.callCounts(ctx)
 	if err != nil {
 		return 0, err
 	}
 	all := 0
-	for i := range now {
-		all += now[i] - before[i]
+	for i := range after {
+		all += after[i] - before[i]
 	}
-	return float64(now[0]-before[0]) / max(float64(all), 1), nil
+	return float64(after[0]-before[0]) / max(float64(all), 1), nil
 }
 
-// counts returns the calls that each target has got so far.
-func (c *cluster) counts(cx context.Context) ([]int, error) {
+// callCounts returns the number of calls that each target has received so far.
+func (c *cluster) callCounts(ctx context.Context) ([]int, error) {
 	var counts []int
-	for _, tg := range c.targets {
-		tt, err := totalsOf(cx, tg)
+	for _, target := range c.targets {
+		counters, err := totalsOf(ctx, target)
 		if err != nil {
 			return nil, err
 		}
-		counts = append(counts, tt.Started+tt.Shed)
+		counts = append(counts, counters.Started+counters.Shed)
 	}
 	return counts, nil
 }
 
-func (c *cluster) read(cx context.Context) (reading, error) {
-	var rd reading
-	for _, tg := range c.targets {
-		tt, err := totalsOf(cx, tg)
+// snapshot reads the counters of all targets and nodes.
+func (c *cluster) snapshot(ctx context.Context) (snapshot, error) {
+	var reading snapshot
+	for _, target := range c.targets {
+		counters, err := totalsOf(ctx, target)
 		if err != nil {
-			return rd, err
+			return reading, err
 		}
-		rd.targets = append(rd.targets, tt)
+		reading.targets = append(reading.targets, counters)
 	}
-	for _, nd := range c.nodes {
-		st, err := statusOf(cx, nd)
+	for _, node := range c.nodes {
+		status, err := statusOf(ctx, node)
 		if err != nil {
-			return rd, err
+			return reading, err
 		}
-		rd.cpu += nd.cpu()
-		rd.bytes += st.Measured.Bytes
-		rd.hedges += st.Measured.Hedges
+		reading.cpu += node.cpuTime()
+		reading.bytes += status.Measured.Bytes
+		reading.hedges += status.Measured.Hedges
 	}
-	return rd, nil
+	return reading, nil
 }
 
-// compare works out what happened between two readings.
-func (r *result) compare(before, now reading, nodes int, took time.Duration, rate float64) {
-	calls := rate * took.Seconds()
-	perNode := float64(nodes) * took.Seconds()
-	r.CPU = (now.cpu - before.cpu).Seconds() / perNode
-	r.Bytes = (now.bytes - before.bytes) / perNode
-	r.Hedges = float64(now.hedges-before.hedges) / calls
+// setDifferences computes the measurements from two snapshots of the cluster. The
+// number of calls is that expected from the rate.
+func (r *result) setDifferences(before, after snapshot, nodes int, elapsed time.Duration, rate float64) {
+	calls := rate * elapsed.Seconds()
+	perNode := float64(nodes) * elapsed.Seconds()
+	r.CPU = (after.cpu - before.cpu).Seconds() / perNode
+	r.Bytes = (after.bytes - before.bytes) / perNode
+	r.Hedges = float64(after.hedges-before.hedges) / calls
 	started := 0
-	for i := range now.targets {
-		started += now.targets[i].Started - before.targets[i].Started
+	for i := range after.targets {
+		started += after.targets[i].Started - before.targets[i].Started
 	}
 	r.Extra = max(0, (float64(started)-calls)/calls)
 }
 
-// line tells the result in short.
+// line formats the result as one line of text.
 func (r result) line() string {
-	var sb strings.Builder
-	fmt.Fprintf(&sb, "%s %s %s #%d: p50 %s p99 %s p99.9 %s", r.Deployment, r.Case, r.Variant, r.Round,
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s %s %s #%d: p50 %s p99 %s p99.9 %s", r.Deployment, r.Case, r.Variant, r.Round,
 		carobsummary.Milliseconds(r.Callers.Felt.P50), carobsummary.Milliseconds(r.Callers.Felt.P99),
 		carobsummary.Milliseconds(r.Callers.Felt.P999))
-	fmt.Fprintf(&sb, " good %.1f%% of %d, hedges %.1f%%, sick %.2f%%, back %.1f%%, %.0f B/s, cpu %.3f",
+	fmt.Fprintf(&text, " good %.1f%% of %d, hedges %.1f%%, sick %.2f%%, back %.1f%%, %.0f B/s, cpu %.3f",
 		100*float64(r.Callers.Good)/max(float64(r.Callers.Calls), 1), r.Callers.Calls, 100*r.Hedges,
 		100*r.Sick, 100*r.Back, r.Bytes, r.CPU)
 	if len(r.Callers.Kinds) > 0 || r.Callers.Failed > 0 {
-		fmt.Fprintf(&sb, ", failed %d, errors %v", r.Callers.Failed, r.Callers.Kinds)
+		fmt.Fprintf(&text, ", failed %d, errors %v", r.Callers.Failed, r.Callers.Kinds)
 	}
-	return sb.String()
+	return text.String()
 }
--- a/internal/carobbench/cluster.go
+++ b/internal/carobbench/cluster.go
@@ -16,20 +16,24 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// deployment is the size of one customer's system.
+// deployment is a cluster of the size of one customer's system.
 type deployment struct {
-	name    string
+	name string
+	// centres is the number of data centres.
 	centres int
-	// services are in order; the first one gets the load.
+	// services are all services; the first one receives the load.
 	services []service
-	conns    int
+	// conns is the connection limit of each target.
+	conns int
 }
 
 type service struct {
-	name    string
+	name string
+	// targets is the number of targets in all data centres.
 	targets int
 }
 
+// deployments is the table of all deployments.
 var deployments = []deployment{
 	{name: "lechfeld", centres: 4, conns: 200, services: []service{{"lookups", 4}, {"declarations", 4}, {"evidence", 4}}},
 	{name: "hanbit", centres: 3, conns: 250, services: []service{{"rota", 6}, {"payouts", 3}, {"ledgers", 3}}},
@@ -37,11 +41,13 @@
 
 const (
 	profileName = "bench"
-	slots       = 12
-	// settle is how long a new cluster may take until it answers.
-	settle = 20 * time.Second
-	pause  = 50 * time.Millisecond
-	secret = 0o600
+	// slots is the number of slots of each target.
+	slots = 12
+	// settleTimeout is how long nodes may take until they have all targets and the
+	// newest profile.
+	settleTimeout = 20 * time.Second
+	pollInterval  = 50 * time.Millisecond
+	fileMode      = 0o600
 )
 
 // cluster is a running deployment.
@@ -50,83 +56,87 @@
 	deployment deployment
 	log        *process
 	nodes      []*process
-	// targets are those of the first service.
-	targets []*process
-	others  []*process
-	// base is the offset of the profile in force.
-	base   int64
-	errors *os.File
+	// targets are those of the first service, otherTargets those of all others.
+	targets      []*process
+	otherTargets []*process
+	// profileOffset is the offset of the newest profile in the log; -1 if there is none.
+	profileOffset int64
+	// logFile receives what the processes write to their standard error.
+	logFile *os.File
 }
 
-// start starts all processes and waits until every node answers.
-func (b *Bench) start(cx context.Context, dp deployment) (*cluster, error) {
-	cl := &cluster{bench: b, deployment: dp, base: -1}
-	if err := cl.launch(cx); err != nil {
-		cl.stop()
+// start starts a cluster and waits until every node has all targets and the profile.
+func (b *Bench) start(ctx context.Context, deployment deployment) (*cluster, error) {
+	cluster := &cluster{bench: b, deployment: deployment, profileOffset: -1}
+	if err := cluster.startProcesses(ctx); err != nil {
+		cluster.stop()
 		return nil, err
 	}
-	return cl, nil
+	return cluster, nil
 }
 
-func (c *cluster) launch(cx context.Context) error {
+// startProcesses starts the log, the nodes and the targets, and publishes the first
+// profile.
+func (c *cluster) startProcesses(ctx context.Context) error {
 	var err error
 	b := c.bench
-	if c.errors, err = os.Create(filepath.Join(b.config.Folder, c.deployment.name+".log")); err != nil {
+	if c.logFile, err = os.Create(filepath.Join(b.config.Folder, c.deployment.name+".log")); err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "open log file")
 	}
-	if c.log, err = launch(cx, b.config.Program, c.errors, "log", "-listen", "127.0.0.1:0"); err != nil {
+	if c.log, err = startProcess(ctx, b.config.Program, c.logFile, "log", "-listen", "127.0.0.1:0"); err != nil {
 		return err
 	}
 	number := 0
-	for i, sv := range c.deployment.services {
-		for t := range sv.targets {
+	for i, service := range c.deployment.services {
+		for index := range service.targets {
 			number++
-			if err := c.pair(cx, number, t, sv, i == 0); err != nil {
+			if err := c.startPair(ctx, number, index, service, i == 0); err != nil {
 				return err
 			}
 		}
 	}
-	if err := c.publish(cx, variants[0]); err != nil {
+	if err := c.publish(ctx, variants[0]); err != nil {
 		return err
 	}
-	return c.settle(cx)
+	return c.settle(ctx)
 }
 
-// pair starts a node and the target beside it.
-func (c *cluster) pair(cx context.Context, number, t int, sv service, first bool) error {
+// startPair starts a node and the target beside it. The target's index within its
+// service determines the data centre; loaded says that the service receives the load.
+func (c *cluster) startPair(ctx context.Context, number, index int, service service, loaded bool) error {
 	b := c.bench
 	name := fmt.Sprintf("n%d", number)
 	settings := fmt.Sprintf(`{"name": %q, "region": "here", "centre": "c%d", "log": %q,
 		"call": "127.0.0.1:0", "peer": "127.0.0.1:0", "admin": "127.0.0.1:0", "measure": {"rate": "%dB/s", "share": "1%%"}}`,
-		name, t%c.deployment.centres, c.log.addresses["log"], int(b.config.Measure))
+		name, index%c.deployment.centres, c.log.addresses["log"], int(b.config.Measure))
 	file := filepath.Join(b.config.Folder, name+".json")
-	if err := os.WriteFile(file, []byte(settings), secret); err != nil {
+	if err := os.WriteFile(file, []byte(settings), fileMode); err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "write settings")
 	}
-	node, err := launch(cx, b.config.Program, c.errors, "node", "-settings", file)
+	node, err := startProcess(ctx, b.config.Program, c.logFile, "node", "-settings", file)
 	if err != nil {
 		return err
 	}
 	c.nodes = append(c.nodes, node)
-	target, err := launch(cx, b.config.Program, c.errors, "target",
-		"-id", fmt.Sprintf("%s/t%d", sv.name, t), "-profile", profileName, "-admin", node.addresses["admin"],
+	target, err := startProcess(ctx, b.config.Program, c.logFile, "target",
+		"-id", fmt.Sprintf("%s/t%d", service.name, index), "-profile", profileName, "-admin", node.addresses["admin"],
 		"-slots", strconv.Itoa(slots), "-conns", strconv.Itoa(c.deployment.conns),
 		"-latency", b.config.Mean.String(), "-shape", "lognormal", "-sigma", "0.8",
 		"-seed", strconv.FormatUint(b.config.Seed+uint64(number), 10)) //nolint:gosec // not negative
 	if err != nil {
 		return err
 	}
-	if first {
+	if loaded {
 		c.targets = append(c.targets, target)
 	} else {
-		c.others = append(c.others, target)
+		c.otherTargets = append(c.otherTargets, target)
 	}
 	return nil
 }
 
-// stop ends all processes.
+// stop ends all processes that were started, and closes the log file.
 func (c *cluster) stop() {
-	for _, group := range [][]*process{c.others, c.targets, c.nodes} {
+	for _, group := range [][]*process{c.otherTargets, c.targets, c.nodes} {
 		for _, p := range group {
 			p.stop()
 		}
@@ -134,45 +144,46 @@
 	if c.log != nil {
 		c.log.stop()
 	}
-	if c.errors != nil {
-		_ = c.errors.Close()
+	if c.logFile != nil {
+		_ = c.logFile.Close()
 	}
 }
 
-var offsetTold = regexp.MustCompile(`offset (\d+)`)
+var offsetPattern = regexp.MustCompile(`offset (\d+)`)
 
-// publish puts a variant's profile in force.
-func (c *cluster) publish(cx context.Context, vr variant) error {
-	data, err := vr.profile(c.base)
+// publish publishes a variant's profile and stores its offset.
+func (c *cluster) publish(ctx context.Context, variant variant) error {
+	data, err := variant.profile(c.profileOffset)
 	if err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "encode profile")
 	}
 	file := filepath.Join(c.bench.config.Folder, "profile.json")
-	if err := os.WriteFile(file, data, secret); err != nil {
+	if err := os.WriteFile(file, data, fileMode); err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "write profile")
 	}
-	out, err := output(cx, c.bench.config.Program, "publish", "-log", c.log.addresses["log"], file)
+	out, err := runCommand(ctx, c.bench.config.Program, "publish", "-log", c.log.addresses["log"], file)
 	if err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "publish: "+out)
 	}
-	told := offsetTold.FindStringSubmatch(out)
-	if told == nil {
-		return carobkind.New(carobkind.Internal, "publish tells no offset: %s", out)
+	match := offsetPattern.FindStringSubmatch(out)
+	if match == nil {
+		return carobkind.New(carobkind.Internal, "publish printed no offset: %s", out)
 	}
-	c.base, err = strconv.ParseInt(told[1], 10, 64)
+	c.profileOffset, err = strconv.ParseInt(match[1], 10, 64)
 	return err
 }
 
-// settle waits until every node gets answers from every target of the service.
-func (c *cluster) settle(cx context.Context) error {
+// settle waits until every node has all targets and the newest profile. It returns an
+// error of kind NotReady after settleTimeout.
+func (c *cluster) settle(ctx context.Context) error {
 	timer := c.bench.config.Timer
-	until := timer.Now().Add(settle)
-	for _, nd := range c.nodes {
-		for !c.knowsAll(cx, nd) {
-			if until.Reached(timer.Now()) {
-				return carobkind.New(carobkind.NotReady, "node at %s does not know all targets", nd.addresses["call"])
+	deadline := timer.Now().Add(settleTimeout)
+	for _, node := range c.nodes {
+		for !c.isSettled(ctx, node) {
+			if deadline.Reached(timer.Now()) {
+				return carobkind.New(carobkind.NotReady, "node at %s does not have all targets and the newest profile", node.addresses["call"])
 			}
-			if err := timer.Wait(cx, pause); err != nil {
+			if err := timer.Wait(ctx, pollInterval); err != nil {
 				return err
 			}
 		}
@@ -180,10 +191,10 @@
 	return nil
 }
 
-// knowsAll reports whether a node knows all targets and the profile in force.
-func (c *cluster) knowsAll(cx context.Context, nd *process) bool {
-	st, err := statusOf(cx, nd)
-	return err == nil && len(st.Targets) == len(c.targets)+len(c.others) && st.holds(c.base)
+// isSettled reports whether a node has all targets and the newest profile.
+func (c *cluster) isSettled(ctx context.Context, node *process) bool {
+	status, err := statusOf(ctx, node)
+	return err == nil && len(status.Targets) == len(c.targets)+len(c.otherTargets) && status.hasProfile(c.profileOffset)
 }
 
 // nodeStatus is the part of a node's status that the bench uses.
@@ -200,21 +211,22 @@
 	} `json:"measured"`
 }
 
-// holds reports whether the bench's profile is in force as of an offset.
-func (s nodeStatus) holds(offset int64) bool {
-	for _, pf := range s.Profiles {
-		if pf.Name == profileName && pf.Offset >= offset {
+// hasProfile reports whether the node has the bench's profile of the given offset or a
+// later one.
+func (s nodeStatus) hasProfile(offset int64) bool {
+	for _, profile := range s.Profiles {
+		if profile.Name == profileName && profile.Offset >= offset {
 			return true
 		}
 	}
 	return false
 }
 
-func statusOf(cx context.Context, nd *process) (st nodeStatus, err error) {
-	return st, fetch(cx, http.MethodGet, "http://"+nd.addresses["admin"]+"/status", "", &st)
+func statusOf(ctx context.Context, node *process) (status nodeStatus, err error) {
+	return status, fetch(ctx, http.MethodGet, "http://"+node.addresses["admin"]+"/status", "", &status)
 }
 
-// totals are the counts that a target keeps.
+// totals are the counters of a target.
 type totals struct {
 	Started  int `json:"started"`
 	Failed   int `json:"failed"`
@@ -222,38 +234,40 @@
 	Finished int `json:"finished"`
 }
 
-func totalsOf(cx context.Context, tg *process) (tt totals, err error) {
-	return tt, fetch(cx, http.MethodGet, "http://"+tg.addresses["target"]+"/_totals", "", &tt)
+func totalsOf(ctx context.Context, target *process) (counters totals, err error) {
+	return counters, fetch(ctx, http.MethodGet, "http://"+target.addresses["target"]+"/_totals", "", &counters)
 }
 
-func behave(cx context.Context, tg *process, change string) error {
+// setBehaviour changes the behaviour of a target.
+func setBehaviour(ctx context.Context, target *process, change string) error {
 	var state map[string]any
-	return fetch(cx, http.MethodPut, "http://"+tg.addresses["target"]+"/_behaviour", change, &state)
+	return fetch(ctx, http.MethodPut, "http://"+target.addresses["target"]+"/_behaviour", change, &state)
 }
 
-func fetch(cx context.Context, method, url, body string, into any) error {
-	cx, cancel := context.WithTimeout(cx, 5*time.Second)
+// fetch sends a request and decodes the JSON body of its response, of any status.
+func fetch(ctx context.Context, method, url, body string, value any) error {
+	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	rq, err := http.NewRequestWithContext(cx, method, url, bytes.NewBufferString(body))
+	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewBufferString(body))
 	if err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "make request")
 	}
-	rs, err := http.DefaultClient.Do(rq)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return carobkind.Wrap(carobkind.Unreachable, err, "ask "+url)
 	}
-	defer func() { _ = rs.Body.Close() }()
-	if err := json.NewDecoder(rs.Body).Decode(into); err != nil {
+	defer func() { _ = resp.Body.Close() }()
+	if err := json.NewDecoder(resp.Body).Decode(value); err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "decode answer of "+url)
 	}
 	return nil
 }
 
-// calls returns the call addresses of all nodes.
-func (c *cluster) calls() []carobaddress.Address {
-	var ads []carobaddress.Address
-	for _, nd := range c.nodes {
-		ads = append(ads, carobaddress.Address(nd.addresses["call"]))
+// callAddresses returns the call addresses of all nodes.
+func (c *cluster) callAddresses() []carobaddress.Address {
+	var addresses []carobaddress.Address
+	for _, node := range c.nodes {
+		addresses = append(addresses, carobaddress.Address(node.addresses["call"]))
 	}
-	return ads
+	return addresses
 }
--- a/internal/carobbench/table.go
+++ b/internal/carobbench/table.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// spread is the median and the range of a figure over the rounds.
-type spread struct {
+// medianRange is the median and the range of a value over the rounds.
+type medianRange struct {
 	low, median, high float64
 }
 
-func spreadOf(results []result, figure func(r *result) float64) spread {
+func medianRangeOf(results []result, value func(r *result) float64) medianRange {
 	values := make([]float64, len(results))
 	for i := range results {
-		values[i] = figure(&results[i])
+		values[i] = value(&results[i])
 	}
 	slices.Sort(values)
 	upper := len(values) / 2
 	lower := (len(values) - 1) / 2
-	return spread{low: values[0], median: (values[lower] + values[upper]) / 2, high: values[len(values)-1]}
+	return medianRange{low: values[0], median: (values[lower] + values[upper]) / 2, high: values[len(values)-1]}
 }
 
-func (s spread) String() string {
+func (s medianRange) String() string {
 	return fmt.Sprintf("%.1f (%.1f-%.1f)", s.median, s.low, s.high)
 }
 
-// column is one figure of the table.
+// column is one column of the table.
 type column struct {
-	title  string
-	figure func(r *result) float64
+	title string
+	value func(r *result) float64
 }
 
 const (
@@ -39,8 +39,9 @@
 	millisecond = float64(time.Millisecond)
 )
 
-// columns is the look-up table of all figures. Latencies are those that callers
-// felt: a call without a good answer counts as its whole deadline.
+// columns is the table of all columns. Latencies are those of all calls: a call
+// without a good answer counts with its deadline, or with its own latency if that is
+// longer.
 var columns = []column{
 	{"p50 ms", func(r *result) float64 { return float64(r.Callers.Felt.P50) / millisecond }},
 	{"p99 ms", func(r *result) float64 { return float64(r.Callers.Felt.P99) / millisecond }},
@@ -56,29 +57,29 @@
 	{"cpu % a node", func(r *result) float64 { return percent * r.CPU }},
 }
 
-// table writes the results of a deployment, median and range over the rounds.
-func table(to io.Writer, deployment string, results []result) {
-	const gap = 2
-	tw := tabwriter.NewWriter(to, 0, 0, gap, ' ', 0)
-	_, _ = fmt.Fprintf(tw, "\n%s\tvariant", deployment)
-	for _, cm := range columns {
-		_, _ = fmt.Fprintf(tw, "\t%s", cm.title)
+// writeTable writes the results of a deployment, with median and range over the rounds.
+func writeTable(to io.Writer, deployment string, results []result) {
+	const columnGap = 2
+	writer := tabwriter.NewWriter(to, 0, 0, columnGap, ' ', 0)
+	_, _ = fmt.Fprintf(writer, "\n%s\tvariant", deployment)
+	for _, column := range columns {
+		_, _ = fmt.Fprintf(writer, "\t%s", column.title)
 	}
-	_, _ = fmt.Fprintln(tw)
-	for _, cs := range cases {
-		for _, vr := range variants {
+	_, _ = fmt.Fprintln(writer)
+	for _, benchCase := range cases {
+		for _, variant := range variants {
 			cell := slices.DeleteFunc(slices.Clone(results), func(r result) bool {
-				return r.Deployment != deployment || r.Case != cs.name || r.Variant != vr.name
+				return r.Deployment != deployment || r.Case != benchCase.name || r.Variant != variant.name
 			})
 			if len(cell) == 0 {
 				continue
 			}
-			_, _ = fmt.Fprintf(tw, "%s\t%s", cs.name, vr.name)
-			for _, cm := range columns {
-				_, _ = fmt.Fprintf(tw, "\t%s", spreadOf(cell, cm.figure))
+			_, _ = fmt.Fprintf(writer, "%s\t%s", benchCase.name, variant.name)
+			for _, column := range columns {
+				_, _ = fmt.Fprintf(writer, "\t%s", medianRangeOf(cell, column.value))
 			}
-			_, _ = fmt.Fprintln(tw)
+			_, _ = fmt.Fprintln(writer)
 		}
 	}
-	_ = tw.Flush()
+	_ = writer.Flush()
 }
