--- a/internal/carobbench/bench.go
+++ b/internal/carobbench/bench.go
@@ -30,7 +30,8 @@
 	Duration time.Duration
 	// Mean is the mean time that a call takes on its target.
 	Mean time.Duration
-	// Measure is the limit of bytes a second that a node sends for probes and reports.
+	// Measure is the limit of bytes a second that a node sends for probes and their
+	// answers.
 	Measure carobrate.Rate
 	// Limit is the time after which no further cell is started.
 	Limit time.Duration
--- a/internal/carobbench/cell.go
+++ b/internal/carobbench/cell.go
@@ -36,15 +36,16 @@
 	// Extra is the number of runs above one for each call, as a share of all calls.
 	Extra float64 `json:"extra"`
 	// Sick is the share of calls that the first target received while it was faulty,
-	// from detectionTime after the start of the fault; 0 without a fault.
+	// without the first detectionTime, or the first half of the fault if that is
+	// shorter; 0 without a fault.
 	Sick float64 `json:"sick"`
 	// Back is the share of calls that the first target received in the second half of
 	// the time after its recovery; 0 without one.
 	Back float64 `json:"back"`
 	// CPU is the processor time that a node used, in cores; the mean of all nodes.
 	CPU float64 `json:"cpu"`
-	// Bytes is the number of bytes a second that a node sent for probes and reports;
-	// the mean of all nodes.
+	// Bytes is the number of bytes a second that a node sent for probes and their
+	// answers; the mean of all nodes.
 	Bytes float64 `json:"bytes"`
 	// Hedges is the number of hedged attempts as a share of all calls.
 	Hedges float64 `json:"hedges"`
--- a/internal/carobdemo/demo.go
+++ b/internal/carobdemo/demo.go
@@ -1,5 +1,5 @@
-// Package carobdemo runs the main job on one machine: a log, nodes, targets and
-// load, with a jump of load in the middle.
+// Package carobdemo runs a log, nodes, targets and load in one process, and slows one
+// target down for a while.
 package carobdemo
 
 import (
@@ -21,23 +21,25 @@
 	"github.com/carobknot/carobknot/pkg/carobshare"
 )
 
-// Config is how a demo is made.
+// Config holds the settings of a demo.
 type Config struct {
-	// Phase is how long each of the three phases takes.
+	// Phase is the duration of each of the three phases.
 	Phase time.Duration
-	// Seed is what arrivals and service times follow from.
+	// Seed seeds the random arrivals and service times.
 	Seed uint64
-	Out  io.Writer
+	// Out receives the table and the result.
+	Out io.Writer
 }
 
-// Demo is the main job on one machine.
+// Demo runs all components of a small deployment in one process.
 type Demo struct {
 	config Config
 	timer  *carobtimer.Timer
 	logger *logrus.Logger
-	// parts have all that runs, to be ended in reverse order.
-	parts []func()
-	// nodes and targets are where they answer.
+	// stops has a function for each running component that stops it; they are called
+	// in reverse order.
+	stops []func()
+	// nodes and targets hold the addresses of all nodes and targets.
 	nodes   []nodeAddresses
 	targets []runningTarget
 }
@@ -46,6 +48,7 @@
 type service struct {
 	name carobservice.Service
 	once carobonce.Once
+	// rate is the mean number of calls a second.
 	rate float64
 	// keys is the share of calls with an idempotency key.
 	keys carobshare.Share
@@ -61,84 +64,86 @@
 	slots     = 12
 	latency   = 4 * time.Millisecond
 	deadline  = 2 * time.Second
-	// straggle is how much slower one VM gets in the middle phase.
-	straggle = 25
-	// bound ends a demo that hangs.
-	bound = time.Minute
+	// slowFactor multiplies the service times of one target in the middle phase.
+	slowFactor = 25
+	// timeLimit ends a demo that hangs.
+	timeLimit = time.Minute
 )
 
-// NewDemo returns a demo that has not begun.
+// NewDemo returns a demo that has not started.
 func NewDemo(c Config) *Demo {
-	lg := logrus.New()
-	lg.SetOutput(io.Discard)
-	return &Demo{config: c, timer: carobtimer.NewTimer(), logger: lg}
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
+	return &Demo{config: c, timer: carobtimer.NewTimer(), logger: logger}
 }
 
-// Run runs the demo and prints its table. An error says that a call was lost,
-// doubled or mixed up, or that the demo could not be run.
-func (d *Demo) Run(cx context.Context) error {
-	cx, cancel := context.WithTimeout(cx, bound)
+// Run runs the demo and prints its table. It returns an error if a call has an unknown
+// outcome, ran more than once or got a wrong answer, or if the demo could not be run.
+func (d *Demo) Run(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, timeLimit)
 	defer cancel()
-	defer d.end()
-	if err := d.begin(cx); err != nil {
+	defer d.stop()
+	if err := d.start(ctx); err != nil {
 		return err
 	}
-	d.say("%d nodes, each with a target of lookups and one of payouts, %d slots, log and load, on loopback", nodeCount, slots)
-	var all []*carobsummary.Summary
-	for _, ph := range []struct {
+	d.printf("%d nodes, each with a target of lookups and one of payouts, %d slots, log and load, on loopback", nodeCount, slots)
+	var summaries []*carobsummary.Summary
+	for _, phase := range []struct {
 		name     string
 		straggle float64
-	}{{"steady", 1}, {"jump", straggle}, {"after", 1}} {
-		if err := d.slow(cx, d.targets[0], ph.straggle); err != nil {
+	}{{"steady", 1}, {"jump", slowFactor}, {"after", 1}} {
+		if err := d.setSlowness(ctx, d.targets[0], phase.straggle); err != nil {
 			return err
 		}
-		all = append(all, d.load(cx, ph.name)...)
+		summaries = append(summaries, d.load(ctx, phase.name)...)
 	}
-	d.say("in the jump, the first target of lookups takes %d times as long:\n", straggle)
-	carobsummary.Table(d.config.Out, all...)
-	return d.judge(cx, all)
+	d.printf("in the phase jump, the first target of lookups takes %d times as long:\n", slowFactor)
+	carobsummary.Table(d.config.Out, summaries...)
+	return d.verify(ctx, summaries)
 }
 
 // load sends one phase of load to all services at once.
-func (d *Demo) load(cx context.Context, phase string) []*carobsummary.Summary {
+func (d *Demo) load(ctx context.Context, phase string) []*carobsummary.Summary {
 	summaries := make([]*carobsummary.Summary, len(services))
-	var running sync.WaitGroup
-	for i, sv := range services {
+	var loaders sync.WaitGroup
+	for i, service := range services {
 		c := carobloader.Config{
-			Name: string(sv.name) + ", " + phase, Service: sv.name, Rate: sv.rate, Keys: sv.keys,
-			Duration: d.config.Phase, Deadline: deadline, Seed: d.seed(string(sv.name) + phase), Size: 512, Timer: d.timer,
+			Name: string(service.name) + ", " + phase, Service: service.name, Rate: service.rate, Keys: service.keys,
+			Duration: d.config.Phase, Deadline: deadline, Seed: d.seed(string(service.name) + phase), Size: 512, Timer: d.timer,
 		}
-		for _, nd := range d.nodes {
-			c.Nodes = append(c.Nodes, nd.call)
+		for _, node := range d.nodes {
+			c.Nodes = append(c.Nodes, node.call)
 		}
-		running.Go(func() { summaries[i] = carobloader.NewLoader(c).Run(cx) })
+		loaders.Go(func() { summaries[i] = carobloader.NewLoader(c).Run(ctx) })
 	}
-	running.Wait()
+	loaders.Wait()
 	return summaries
 }
 
-// seed is another one for each load, so that no two send the same keys.
+// seed returns a different seed for each load, so that no two loads send the same
+// idempotency keys.
 func (d *Demo) seed(load string) uint64 {
 	return d.config.Seed + xxhash.Sum64String(load)
 }
 
-// judge compares what callers were told with what the targets ran.
-func (d *Demo) judge(cx context.Context, summaries []*carobsummary.Summary) error {
-	doubled, err := d.doubled(cx)
+// verify checks the answers that callers got and the runs that targets counted, and
+// prints the result.
+func (d *Demo) verify(ctx context.Context, summaries []*carobsummary.Summary) error {
+	duplicates, err := d.countDuplicates(ctx)
 	if err != nil {
 		return err
 	}
 	wrong, unknown, notRun := 0, 0, 0
-	for _, sm := range summaries {
-		wrong, unknown, notRun = wrong+sm.Wrong, unknown+sm.Unknown, notRun+sm.NotRun
+	for _, summary := range summaries {
+		wrong, unknown, notRun = wrong+summary.Wrong, unknown+summary.Unknown, notRun+summary.NotRun
 	}
-	d.say("\nlost %d, doubled %d, mixed up or cut %d; told \"not run\" %d", unknown, doubled, wrong, notRun)
-	if doubled+wrong+unknown > 0 {
-		return carobkind.New(carobkind.Internal, "calls were lost, doubled or mixed up")
+	d.printf("\nunknown outcome %d, duplicate runs %d, wrong answers %d; not run %d", unknown, duplicates, wrong, notRun)
+	if duplicates+wrong+unknown > 0 {
+		return carobkind.New(carobkind.Internal, "calls have an unknown outcome, ran more than once or got a wrong answer")
 	}
 	return nil
 }
 
-func (d *Demo) say(format string, args ...any) {
+func (d *Demo) printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(d.config.Out, format+"\n", args...)
 }
--- a/internal/carobstandlog/log.go
+++ b/internal/carobstandlog/log.go
@@ -21,10 +21,10 @@
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
 
-// Config is how a log is made.
+// Config holds the settings of a log.
 type Config struct {
 	Timer *carobtimer.Timer
-	// Retention is how many records of each stream are kept; 0 keeps all.
+	// Retention is the number of records of each stream that are kept; 0 keeps all.
 	Retention int
 }
 
@@ -35,15 +35,17 @@
 	mutex  sync.Mutex
 	// streams has the records of each stream.
 	streams map[carobstream.Stream]*stream
-	// fault is how the log misbehaves at present.
+	// fault is the fault in force; zero if there is none.
 	fault carobfault.Fault
 }
 
 type stream struct {
+	// records are the records that have not expired, in order of their offsets.
 	records []carobrecord.Record
-	next    caroboffset.Offset
-	// grown is closed and replaced at each append.
-	grown chan struct{}
+	// next is the offset of the next record.
+	next caroboffset.Offset
+	// appended is closed and replaced at each append.
+	appended chan struct{}
 }
 
 // NewLog returns an empty log.
@@ -51,36 +53,37 @@
 	l := &Log{config: c, app: fiber.New(fiber.Config{Immutable: true}), streams: map[carobstream.Stream]*stream{}}
 	l.app.Put("/fault", l.setFault)
 	l.app.Get("/fault", l.getFault)
-	l.app.Use("/streams", l.misbehave)
+	l.app.Use("/streams", l.applyFault)
 	l.app.Post("/streams/:name", l.append)
 	l.app.Get("/streams/:name", l.read)
 	return l
 }
 
-// Serve answers until Shutdown.
-func (l *Log) Serve(ls net.Listener) error {
-	return l.app.Listener(ls, fiber.ListenConfig{DisableStartupMessage: true})
+// Serve answers requests until Shutdown is called or the listener is closed.
+func (l *Log) Serve(listener net.Listener) error {
+	return l.app.Listener(listener, fiber.ListenConfig{DisableStartupMessage: true})
 }
 
-// Shutdown stops answering.
-func (l *Log) Shutdown(cx context.Context) error {
-	return l.app.ShutdownWithContext(cx)
+// Shutdown stops the server gracefully, or at the end of ctx.
+func (l *Log) Shutdown(ctx context.Context) error {
+	return l.app.ShutdownWithContext(ctx)
 }
 
-// setFault takes a command: how the log misbehaves from now on.
+// setFault sets the fault in force to that of the request's body, and applies its
+// retention to all streams.
 func (l *Log) setFault(c fiber.Ctx) error {
-	var f carobfault.Fault
-	if err := carobdocument.NewDocument(carobdocument.Config{Name: "fault", Data: c.Body()}).Decode(&f); err != nil {
+	var fault carobfault.Fault
+	if err := carobdocument.NewDocument(carobdocument.Config{Name: "fault", Data: c.Body()}).Decode(&fault); err != nil {
 		return fiber.NewError(http.StatusBadRequest, err.Error())
 	}
-	if err := f.Check(); err != nil {
+	if err := fault.Check(); err != nil {
 		return fiber.NewError(http.StatusBadRequest, err.Error())
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.fault = f
-	for _, st := range l.streams {
-		l.expire(st)
+	l.fault = fault
+	for _, stream := range l.streams {
+		l.expire(stream)
 	}
 	return c.SendStatus(http.StatusNoContent)
 }
@@ -91,20 +94,22 @@
 	return c.JSON(l.fault)
 }
 
-// misbehave refuses or delays a request as commanded.
-func (l *Log) misbehave(c fiber.Ctx) error {
+// applyFault refuses or delays a request as the fault in force says.
+func (l *Log) applyFault(c fiber.Ctx) error {
 	l.mutex.Lock()
-	f := l.fault
+	fault := l.fault
 	l.mutex.Unlock()
-	if f.Slow > 0 {
-		_ = l.config.Timer.Wait(c.Context(), f.Slow.Duration())
+	if fault.Slow > 0 {
+		_ = l.config.Timer.Wait(c.Context(), fault.Slow.Duration())
 	}
-	if f.Out || f.Deaf && c.Method() == fiber.MethodGet {
+	if fault.Out || fault.Deaf && c.Method() == fiber.MethodGet {
 		return fiber.NewError(http.StatusServiceUnavailable, "outage")
 	}
 	return c.Next()
 }
 
+// append appends the request's body to a stream and returns its offset. As the fault
+// in force says, the record or the answer is lost.
 func (l *Log) append(c fiber.Ctx) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -112,13 +117,13 @@
 		l.fault.Drop--
 		return fiber.NewError(http.StatusGatewayTimeout, "append dropped")
 	}
-	st := l.streamOf(carobstream.Stream(c.Params("name")))
-	offset := st.next
-	st.records = append(st.records, carobrecord.Record{Offset: offset, Data: append([]byte(nil), c.Body()...)})
-	st.next++
-	l.expire(st)
-	close(st.grown)
-	st.grown = make(chan struct{})
+	stream := l.streamOf(carobstream.Stream(c.Params("name")))
+	offset := stream.next
+	stream.records = append(stream.records, carobrecord.Record{Offset: offset, Data: append([]byte(nil), c.Body()...)})
+	stream.next++
+	l.expire(stream)
+	close(stream.appended)
+	stream.appended = make(chan struct{})
 	if l.fault.Lose > 0 {
 		l.fault.Lose--
 		return fiber.NewError(http.StatusGatewayTimeout, "answer lost")
@@ -126,17 +131,19 @@
 	return c.JSON(map[string]caroboffset.Offset{"offset": offset})
 }
 
-// expire drops the records that are not kept any more.
-func (l *Log) expire(st *stream) {
+// expire deletes the oldest records of a stream beyond the retention.
+func (l *Log) expire(stream *stream) {
 	keep := l.config.Retention
 	if l.fault.Keep > 0 {
 		keep = l.fault.Keep
 	}
-	if keep > 0 && len(st.records) > keep {
-		st.records = slices.Clone(st.records[len(st.records)-keep:])
+	if keep > 0 && len(stream.records) > keep {
+		stream.records = slices.Clone(stream.records[len(stream.records)-keep:])
 	}
 }
 
+// read returns records of a stream from an offset on. If there are none, it waits
+// until one is appended or the wait of the query has passed.
 func (l *Log) read(c fiber.Ctx) error {
 	from, err := strconv.ParseInt(c.Query("from", "0"), 10, 64)
 	if err != nil || from < 0 {
@@ -147,45 +154,48 @@
 		return fiber.NewError(http.StatusBadRequest, "wait is not a number of milliseconds")
 	}
 	name := carobstream.Stream(c.Params("name"))
-	pg, grown := l.page(name, caroboffset.Offset(from))
-	if len(pg.Records) == 0 && wait > 0 {
-		l.await(grown, time.Duration(wait)*time.Millisecond)
-		pg, _ = l.page(name, caroboffset.Offset(from))
+	page, appended := l.page(name, caroboffset.Offset(from))
+	if len(page.Records) == 0 && wait > 0 {
+		l.waitForAppend(appended, time.Duration(wait)*time.Millisecond)
+		page, _ = l.page(name, caroboffset.Offset(from))
 	}
-	return c.JSON(pg)
+	return c.JSON(page)
 }
 
-// await returns when the stream has grown or d has passed.
-func (l *Log) await(grown <-chan struct{}, d time.Duration) {
-	cx, cancel := context.WithTimeout(context.Background(), d)
+// waitForAppend returns when the channel is closed or the timeout has passed.
+func (l *Log) waitForAppend(appended <-chan struct{}, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	select {
-	case <-grown:
-	case <-cx.Done():
+	case <-appended:
+	case <-ctx.Done():
 	}
 }
 
+// page returns the records of a stream from an offset on, at most maxRecords, and the
+// channel that is closed at the stream's next append.
 func (l *Log) page(name carobstream.Stream, from caroboffset.Offset) (carobpage.Page, <-chan struct{}) {
-	const most = 1000
+	const maxRecords = 1000
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	st := l.streamOf(name)
-	first := st.next - caroboffset.Offset(len(st.records))
+	stream := l.streamOf(name)
+	first := stream.next - caroboffset.Offset(len(stream.records))
 	from = max(from, first)
-	pg := carobpage.Page{First: first, Next: from, Records: []carobrecord.Record{}}
-	if from < st.next {
-		rest := st.records[from-first:]
-		pg.Records = append(pg.Records, rest[:min(most, len(rest))]...)
-		pg.Next = from + caroboffset.Offset(len(pg.Records))
+	page := carobpage.Page{First: first, Next: from, Records: []carobrecord.Record{}}
+	if from < stream.next {
+		newer := stream.records[from-first:]
+		page.Records = append(page.Records, newer[:min(maxRecords, len(newer))]...)
+		page.Next = from + caroboffset.Offset(len(page.Records))
 	}
-	return pg, st.grown
+	return page, stream.appended
 }
 
+// streamOf returns the stream with the given name and creates it if needed.
 func (l *Log) streamOf(name carobstream.Stream) *stream {
-	st, ok := l.streams[name]
+	entry, ok := l.streams[name]
 	if !ok {
-		st = &stream{grown: make(chan struct{})}
-		l.streams[name] = st
+		entry = &stream{appended: make(chan struct{})}
+		l.streams[name] = entry
 	}
-	return st
+	return entry
 }
--- a/internal/carobstandlog/log_test.go
+++ b/internal/carobstandlog/log_test.go
@@ -19,75 +19,81 @@
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 )
 
-// start runs a log and returns a client of it and its URL.
-func start(t *testing.T, patience time.Duration) (*carobplatform.Client, string) {
+// start runs a log and returns a client for it, with the given request timeout, and
+// its URL.
+func start(t *testing.T, timeout time.Duration) (*carobplatform.Client, string) {
 	t.Helper()
-	ls, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	timer := carobtimer.NewTimer()
 	go timer.Run(t.Context())
-	lg := carobstandlog.NewLog(carobstandlog.Config{Timer: timer})
-	go func() { _ = lg.Serve(ls) }()
-	t.Cleanup(func() { _ = ls.Close() })
-	url := "http://" + ls.Addr().String()
-	return carobplatform.NewClient(carobplatform.Config{URL: url, Patience: patience}), url
+	log := carobstandlog.NewLog(carobstandlog.Config{Timer: timer})
+	go func() { _ = log.Serve(listener) }()
+	t.Cleanup(func() { _ = listener.Close() })
+	url := "http://" + listener.Addr().String()
+	return carobplatform.NewClient(carobplatform.Config{URL: url, Patience: timeout}), url
 }
 
-func command(t *testing.T, url, fault string) int {
+// setFault sends a fault to the log and returns the status of the response.
+func setFault(t *testing.T, url, fault string) int {
 	t.Helper()
-	rq, err := http.NewRequest(http.MethodPut, url+"/fault", strings.NewReader(fault))
+	req, err := http.NewRequest(http.MethodPut, url+"/fault", strings.NewReader(fault))
 	require.NoError(t, err)
-	rs, err := http.DefaultClient.Do(rq)
+	resp, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
-	require.NoError(t, rs.Body.Close())
-	return rs.StatusCode
+	require.NoError(t, resp.Body.Close())
+	return resp.StatusCode
 }
 
 func offsets(records []carobrecord.Record) []caroboffset.Offset {
 	all := make([]caroboffset.Offset, 0, len(records))
-	for _, rc := range records {
-		all = append(all, rc.Offset)
+	for _, record := range records {
+		all = append(all, record.Offset)
 	}
 	return all
 }
 
-func TestAppendsAndReads(t *testing.T) {
-	cl, _ := start(t, time.Minute)
+func TestReadReturnsAppendedRecords(t *testing.T) {
+	client, _ := start(t, time.Minute)
 	for i := range 3 {
-		offset, err := cl.Append(t.Context(), "rota", fmt.Append(nil, i))
+		offset, err := client.Append(t.Context(), "rota", fmt.Append(nil, i))
 		require.NoError(t, err)
 		require.EqualValues(t, i, offset)
 	}
-	pg, err := cl.Read(t.Context(), "rota", 1, 0)
+	page, err := client.Read(t.Context(), "rota", 1, 0)
 	require.NoError(t, err)
-	require.Equal(t, []caroboffset.Offset{1, 2}, offsets(pg.Records))
-	require.Equal(t, "1", string(pg.Records[0].Data))
-	require.EqualValues(t, 0, pg.First)
-	require.EqualValues(t, 3, pg.Next)
+	require.Equal(t, []caroboffset.Offset{1, 2}, offsets(page.Records))
+	require.Equal(t, "1", string(page.Records[0].Data))
+	require.EqualValues(t, 0, page.First)
+	require.EqualValues(t, 3, page.Next)
 }
 
-func TestReadWaitsForARecord(t *testing.T) {
-	cl, _ := start(t, time.Minute)
+// Guards against reads that return an empty page before a record is appended, or miss
+// the append.
+func TestReadWaitsForAppend(t *testing.T) {
+	client, _ := start(t, time.Minute)
 	found := make(chan error, 1)
 	go func() {
-		pg, err := cl.Read(context.Background(), "rota", 0, time.Minute)
-		if err == nil && len(pg.Records) != 1 {
-			err = carobkind.New(carobkind.Internal, "%d records", len(pg.Records))
+		page, err := client.Read(context.Background(), "rota", 0, time.Minute)
+		if err == nil && len(page.Records) != 1 {
+			err = carobkind.New(carobkind.Internal, "%d records", len(page.Records))
 		}
 		found <- err
 	}()
-	_, err := cl.Append(t.Context(), "rota", []byte("x"))
+	_, err := client.Append(t.Context(), "rota", []byte("x"))
 	require.NoError(t, err)
 	require.NoError(t, <-found)
 }
 
-func TestFaults(t *testing.T) {
+// Guards against faults that have another effect than their name says: each one must
+// give the client the right kind of error and leave the right number of records.
+func TestFaultsOfAppendsAndReads(t *testing.T) {
 	for _, c := range []struct {
 		name, fault string
-		// appended is the kind of the error of an append, read that of a read.
+		// appended is the expected kind of the error of an append, read that of a read.
 		appended, read carobkind.Kind
-		// there is how many records there are in the end, of two appends.
-		there int
+		// records is the expected number of records after two appends.
+		records int
 	}{
 		{"none", `{}`, carobkind.None, carobkind.None, 2},
 		{"outage", `{"out": true}`, carobkind.LogOut, carobkind.LogOut, 1},
@@ -97,38 +103,38 @@
 		{"slow", `{"slow": "1h"}`, carobkind.Unsure, carobkind.Unsure, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			cl, url := start(t, 200*time.Millisecond)
-			_, err := cl.Append(t.Context(), "rota", []byte("before"))
+			client, url := start(t, 200*time.Millisecond)
+			_, err := client.Append(t.Context(), "rota", []byte("before"))
 			require.NoError(t, err)
-			require.Equal(t, http.StatusNoContent, command(t, url, c.fault))
-			_, err = cl.Append(t.Context(), "rota", []byte("under the fault"))
+			require.Equal(t, http.StatusNoContent, setFault(t, url, c.fault))
+			_, err = client.Append(t.Context(), "rota", []byte("under the fault"))
 			require.Equal(t, c.appended, carobkind.Of(err))
-			_, err = cl.Read(t.Context(), "rota", 0, 0)
+			_, err = client.Read(t.Context(), "rota", 0, 0)
 			require.Equal(t, c.read, carobkind.Of(err))
-			require.Equal(t, http.StatusNoContent, command(t, url, `{}`))
-			pg, err := cl.Read(t.Context(), "rota", 0, 0)
+			require.Equal(t, http.StatusNoContent, setFault(t, url, `{}`))
+			page, err := client.Read(t.Context(), "rota", 0, 0)
 			require.NoError(t, err)
-			require.Len(t, pg.Records, c.there)
+			require.Len(t, page.Records, c.records)
 		})
 	}
 }
 
-func TestRecordsExpire(t *testing.T) {
-	cl, url := start(t, time.Minute)
+func TestKeepFaultExpiresOldestRecords(t *testing.T) {
+	client, url := start(t, time.Minute)
 	for range 5 {
-		_, err := cl.Append(t.Context(), "rota", []byte("x"))
+		_, err := client.Append(t.Context(), "rota", []byte("x"))
 		require.NoError(t, err)
 	}
-	require.Equal(t, http.StatusNoContent, command(t, url, `{"keep": 2}`))
-	pg, err := cl.Read(t.Context(), "rota", 1, 0)
+	require.Equal(t, http.StatusNoContent, setFault(t, url, `{"keep": 2}`))
+	page, err := client.Read(t.Context(), "rota", 1, 0)
 	require.NoError(t, err)
-	require.Equal(t, []caroboffset.Offset{3, 4}, offsets(pg.Records))
-	require.EqualValues(t, 3, pg.First)
+	require.Equal(t, []caroboffset.Offset{3, 4}, offsets(page.Records))
+	require.EqualValues(t, 3, page.First)
 }
 
-func TestBadFaultsAreRefused(t *testing.T) {
+func TestInvalidFaultsAreRejected(t *testing.T) {
 	_, url := start(t, time.Minute)
 	for _, fault := range []string{``, `[]`, `{"lost": 1}`, `{"lose": -1}`, `{"slow": 2}`, `{"out": "yes"}`} {
-		require.Equal(t, http.StatusBadRequest, command(t, url, fault), fault)
+		require.Equal(t, http.StatusBadRequest, setFault(t, url, fault), fault)
 	}
 }
