--- a/internal/carobbehaviour/behaviour.go
+++ b/internal/carobbehaviour/behaviour.go
@@ -1,5 +1,5 @@
-// Package carobbehaviour says how a stand-in for a target behaves: how long its
-// calls take, and which fault it plays.
+// Package carobbehaviour describes how a stand-in for a target behaves: its service
+// times and its faults.
 package carobbehaviour
 
 import (
@@ -9,62 +9,65 @@
 	"github.com/carobknot/carobknot/pkg/carobspan"
 )
 
-// Behaviour is what a stand-in does from now on. It is changed on command.
+// Behaviour is the service times and faults of a stand-in target.
 type Behaviour struct {
-	// Latency is the mean time that a call takes.
+	// Latency is the mean service time of a call, without the factors below.
 	Latency carobspan.Span `json:"latency"`
-	// Shape spreads the times: "fixed", "lognormal" or "pareto".
+	// Shape is the distribution of service times: "fixed", "lognormal" or "pareto".
 	Shape string `json:"shape"`
-	// Sigma is the width of the log-normal distribution.
+	// Sigma is the standard deviation of the logarithm under the log-normal distribution.
 	Sigma float64 `json:"sigma"`
 	// Alpha is the exponent of the bounded Pareto distribution, above 1.
 	Alpha float64 `json:"alpha"`
-	// Straggle multiplies each call's time; 1 is none.
+	// Straggle multiplies the service time of each call; 1 has no effect.
 	Straggle float64 `json:"straggle"`
-	// Jump multiplies the times of calls that start during a jump of load.
+	// Jump multiplies the service times of calls that start during a jump of load, which
+	// models a noisy neighbour.
 	Jump float64 `json:"jump"`
-	// Gap is the mean time between two jumps; 0 is no jumps.
+	// Gap is the mean time between two jumps; 0 means no jumps.
 	Gap carobspan.Span `json:"gap"`
 	// Shortest and Longest bound the length of a jump.
 	Shortest carobspan.Span `json:"shortest"`
 	Longest  carobspan.Span `json:"longest"`
-	// Cold is how long the target warms up after its start or after it was told
-	// to be cold again; a call takes Chill times as long at the beginning.
+	// Cold is the duration of the warm-up, which starts with the target and again when
+	// this field is set; 0 means none. The factor on service times falls linearly from
+	// Chill to 1 during the warm-up.
 	Cold  carobspan.Span `json:"cold"`
 	Chill float64        `json:"chill"`
-	// Fail answers every call with an error at once.
+	// Fail answers every call with status 500, almost at once.
 	Fail bool `json:"fail"`
-	// Shed answers every call with 503 at once, without running it.
+	// Shed answers every call with status 503 at once, without running it.
 	Shed bool `json:"shed"`
-	// Drain takes no new work and says so to nobody: calls are shed and their
-	// connections closed, and those that run are finished.
+	// Drain answers new calls with status 503 and closes their connections, without an
+	// announcement. Running calls are finished.
 	Drain bool `json:"drain"`
-	// Freeze lets nothing go on, heartbeats included.
+	// Freeze stops heartbeats and the end of running calls.
 	Freeze bool `json:"freeze"`
-	// Leave announces that the target is leaving.
+	// Leave makes heartbeats announce that the target is leaving.
 	Leave bool `json:"leave"`
 }
 
-// The shapes.
+// Values of Shape.
 const (
 	Fixed     = "fixed"
 	LogNormal = "lognormal"
 	Pareto    = "pareto"
 )
 
-// NewBehaviour returns a target without faults that answers at once.
+// NewBehaviour returns the defaults: no faults and a latency of 0.
 func NewBehaviour() Behaviour {
 	const (
-		milliseconds = 1_000_000
-		noise        = 10
+		milliseconds  = 1_000_000
+		defaultFactor = 10
 	)
 	return Behaviour{
-		Shape: Fixed, Sigma: 1, Alpha: 1.5, Straggle: 1, Jump: noise, Chill: noise,
+		Shape: Fixed, Sigma: 1, Alpha: 1.5, Straggle: 1, Jump: defaultFactor, Chill: defaultFactor,
 		Shortest: 5 * milliseconds, Longest: 50 * milliseconds,
 	}
 }
 
-// UnmarshalJSON decodes a change over what the behaviour was, and checks it.
+// UnmarshalJSON decodes a change and checks the result. Fields that are not named keep
+// their values. After an error, of kind Invalid, the behaviour is unchanged.
 func (b *Behaviour) UnmarshalJSON(text []byte) error {
 	type plain Behaviour
 	next := plain(*b)
@@ -78,7 +81,7 @@
 	return nil
 }
 
-// Check tells whether all fields are within their bounds.
+// Check returns an error of kind Invalid if a field is out of its bounds.
 func (b Behaviour) Check() error {
 	switch {
 	case b.Shape != Fixed && b.Shape != LogNormal && b.Shape != Pareto:
@@ -86,9 +89,9 @@
 	case b.Shape == Pareto && b.Alpha <= 1:
 		return carobkind.New(carobkind.Invalid, "alpha: must be above 1")
 	case b.Straggle <= 0 || b.Jump <= 0 || b.Chill <= 0 || b.Sigma < 0:
-		return carobkind.New(carobkind.Invalid, "straggle, jump, chill and sigma: must be above 0")
+		return carobkind.New(carobkind.Invalid, "straggle, jump and chill must be above 0, and sigma not below 0")
 	case b.Longest < b.Shortest:
-		return carobkind.New(carobkind.Invalid, "longest: is shorter than shortest")
+		return carobkind.New(carobkind.Invalid, "longest: must not be shorter than shortest")
 	default:
 		return nil
 	}
--- a/internal/carobstandtarget/announce.go
+++ b/internal/carobstandtarget/announce.go
@@ -11,62 +11,65 @@
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 )
 
-// beat announces the target once and waits until the next time, or until its
-// behaviour changes.
-func (t *Target) beat(cx context.Context, address carobaddress.Address) {
-	bh, changed := t.now()
+// sendHeartbeat announces the target once, then waits for heartbeatInterval or until
+// the behaviour changes. A frozen target sends no announcement.
+func (t *Target) sendHeartbeat(ctx context.Context, address carobaddress.Address) {
+	behaviour, changed := t.currentBehaviour()
 	switch {
-	case bh.Freeze:
-	case bh.Leave:
-		t.announce(cx, address, carobreadiness.Leaving)
+	case behaviour.Freeze:
+	case behaviour.Leave:
+		t.announce(ctx, address, carobreadiness.Leaving)
 	default:
-		t.announce(cx, address, carobreadiness.Ready)
+		t.announce(ctx, address, carobreadiness.Ready)
 	}
-	pause, cancel := context.WithCancel(cx)
+	waitCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
 		case <-changed:
 			cancel()
-		case <-pause.Done():
+		case <-waitCtx.Done():
 		}
 	}()
-	_ = t.config.Timer.Wait(pause, heartbeat)
+	_ = t.config.Timer.Wait(waitCtx, heartbeatInterval)
 }
 
-// leave announces the end, finishes what runs, and withdraws.
-func (t *Target) leave(cx context.Context, address carobaddress.Address) error {
-	last, cancel := context.WithTimeout(context.WithoutCancel(cx), 10*patience)
+// shutDown announces that the target is leaving, waits for running calls to end and
+// withdraws the target from its node. It returns an error if calls still run after
+// ten times nodeTimeout.
+func (t *Target) shutDown(ctx context.Context, address carobaddress.Address) error {
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 10*nodeTimeout)
 	defer cancel()
-	t.announce(last, address, carobreadiness.Leaving)
-	err := t.server.ShutdownWithContext(last)
-	t.tell(last, http.MethodDelete, nil)
+	t.announce(shutdownCtx, address, carobreadiness.Leaving)
+	err := t.server.ShutdownWithContext(shutdownCtx)
+	t.sendToNode(shutdownCtx, http.MethodDelete, nil)
 	return err
 }
 
-func (t *Target) announce(cx context.Context, address carobaddress.Address, state carobreadiness.Readiness) {
+// announce sends an announcement with the given readiness to the node.
+func (t *Target) announce(ctx context.Context, address carobaddress.Address, readiness carobreadiness.Readiness) {
 	data, err := json.Marshal(carobannouncement.Announcement{
-		Address: address, Profile: t.config.Profile, Slots: t.config.Slots, Conns: t.config.Conns, State: state,
+		Address: address, Profile: t.config.Profile, Slots: t.config.Slots, Conns: t.config.Conns, State: readiness,
 	})
 	if err == nil {
-		t.tell(cx, http.MethodPut, data)
+		t.sendToNode(ctx, http.MethodPut, data)
 	}
 }
 
-// tell sends a word to the node. A word that gets lost is made up for by the
-// next heartbeat.
-func (t *Target) tell(cx context.Context, method string, data []byte) {
-	cx, cancel := context.WithTimeout(cx, patience)
+// sendToNode sends a request about the target to its node. It does not retry: after a
+// lost request, the next heartbeat brings the node up to date.
+func (t *Target) sendToNode(ctx context.Context, method string, data []byte) {
+	ctx, cancel := context.WithTimeout(ctx, nodeTimeout)
 	defer cancel()
-	path := "http://" + string(t.config.Admin) + "/targets/" + t.config.ID.String()
-	rq, err := http.NewRequestWithContext(cx, method, path, bytes.NewReader(data))
+	url := "http://" + string(t.config.Admin) + "/targets/" + t.config.ID.String()
+	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(data))
 	if err != nil {
 		return
 	}
-	rs, err := http.DefaultClient.Do(rq)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.config.Logger.WithError(err).Warn("target: node cannot be told")
 		return
 	}
-	_ = rs.Body.Close()
+	_ = resp.Body.Close()
 }
--- a/internal/carobstandtarget/record.go
+++ b/internal/carobstandtarget/record.go
@@ -1,6 +1,6 @@
 package carobstandtarget
 
-// record is what a target has run.
+// record counts what a target has run since its start.
 type record struct {
 	// Calls counts the runs of each call.
 	Calls map[string]int `json:"calls"`
@@ -9,18 +9,24 @@
 	Totals totals         `json:"totals"`
 }
 
-// totals counts calls by how they went.
+// totals counts calls by their results.
 type totals struct {
-	// Started counts all runs; the others say how runs ended or why none began.
-	Started   int `json:"started"`
-	Finished  int `json:"finished"`
-	Failed    int `json:"failed"`
+	// Started counts all runs.
+	Started int `json:"started"`
+	// Finished counts runs that were answered with status 200, Failed those answered
+	// with status 500.
+	Finished int `json:"finished"`
+	Failed   int `json:"failed"`
+	// Cancelled counts calls whose caller closed the connection, before or during the
+	// run.
 	Cancelled int `json:"cancelled"`
-	Shed      int `json:"shed"`
-	// Cut counts requests whose body did not come whole.
+	// Shed counts calls refused with status 503 without a run.
+	Shed int `json:"shed"`
+	// Cut counts requests with an incomplete body; they do not run.
 	Cut int `json:"cut"`
 }
 
+// start counts a run. The call's identifier and its idempotency key may be empty.
 func (r *record) start(call, key string) {
 	r.Totals.Started++
 	if call != "" {
--- a/internal/carobstandtarget/serve.go
+++ b/internal/carobstandtarget/serve.go
@@ -18,61 +18,66 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
-// Paths that are not calls.
+// Paths of requests that are not calls: the record, its totals, and the behaviour.
 const (
-	pathRuns    = "/_runs"
-	pathTotals  = "/_totals"
-	pathControl = "/_behaviour"
+	pathRuns      = "/_runs"
+	pathTotals    = "/_totals"
+	pathBehaviour = "/_behaviour"
 )
 
 // Headers of answers.
 const (
 	// headerTarget names the target that ran the call.
 	headerTarget = "X-Target"
-	// headerSum is the checksum of the request's body, headerLength its length.
+	// headerSum is the checksum of the request's body in hexadecimal, headerLength its
+	// length in bytes.
 	headerSum    = "X-Sum"
 	headerLength = "X-Length"
 )
 
 const (
-	// echo is the longest body that is sent back.
-	echo = 1 << 20
-	// look is how often a caller is checked for having hung up.
-	look = 5 * time.Millisecond
-	// errorTime is how long an error at high speed takes.
-	errorTime = 100 * time.Microsecond
+	// maxEcho is the length in bytes of the longest body that is returned to the caller.
+	maxEcho = 1 << 20
+	// pollInterval is the time between checks whether a caller has closed its connection.
+	pollInterval = 5 * time.Millisecond
+	// failTime is the service time of calls under the fault Fail.
+	failTime = 100 * time.Microsecond
 )
 
-func (t *Target) serve(rc *fasthttp.RequestCtx) {
-	switch string(rc.Path()) {
+// serve handles all requests; those on other paths than the listed ones are calls.
+func (t *Target) serve(ctx *fasthttp.RequestCtx) {
+	switch string(ctx.Path()) {
 	case pathRuns:
-		t.answerJSON(rc, func() any { return &t.record })
+		t.answerJSON(ctx, func() any { return &t.record })
 	case pathTotals:
-		t.answerJSON(rc, func() any { return &t.record.Totals })
-	case pathControl:
-		t.control(rc)
+		t.answerJSON(ctx, func() any { return &t.record.Totals })
+	case pathBehaviour:
+		t.serveBehaviour(ctx)
 	default:
-		t.call(rc)
+		t.serveCall(ctx)
 	}
 }
 
-// control shows the behaviour, or changes the fields that the body names.
-func (t *Target) control(rc *fasthttp.RequestCtx) {
-	if !rc.IsGet() {
-		body, err := io.ReadAll(bodyOf(rc))
+// serveBehaviour returns the behaviour; unless the method is GET, it changes the fields
+// that the body names before.
+func (t *Target) serveBehaviour(ctx *fasthttp.RequestCtx) {
+	if !ctx.IsGet() {
+		body, err := io.ReadAll(bodyOf(ctx))
 		if err != nil {
-			rc.Error(err.Error(), http.StatusBadRequest)
+			ctx.Error(err.Error(), http.StatusBadRequest)
 			return
 		}
-		if err := t.change(body); err != nil {
-			rc.Error(err.Error(), http.StatusBadRequest)
+		if err := t.changeBehaviour(body); err != nil {
+			ctx.Error(err.Error(), http.StatusBadRequest)
 			return
 		}
 	}
-	t.answerJSON(rc, func() any { return &t.behaviour })
+	t.answerJSON(ctx, func() any { return &t.behaviour })
 }
 
-func (t *Target) change(body []byte) error {
+// changeBehaviour decodes a change of the behaviour and puts it in force. A change that
+// names the field cold restarts the warm-up, also if its value stays the same.
+func (t *Target) changeBehaviour(body []byte) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	next := t.behaviour
@@ -80,7 +85,7 @@
 		return err
 	}
 	if bytes.Contains(body, []byte(`"cold"`)) {
-		t.clock.chill(t.config.Timer.Now())
+		t.sampler.restartWarmup(t.config.Timer.Now())
 	}
 	t.behaviour = next
 	close(t.changed)
@@ -88,174 +93,183 @@
 	return nil
 }
 
-func (t *Target) answerJSON(rc *fasthttp.RequestCtx, what func() any) {
+// answerJSON answers with a value that it reads and encodes under the mutex.
+func (t *Target) answerJSON(ctx *fasthttp.RequestCtx, value func() any) {
 	t.mutex.Lock()
-	data, err := json.Marshal(what())
+	data, err := json.Marshal(value())
 	t.mutex.Unlock()
 	if err != nil {
-		rc.Error(err.Error(), http.StatusInternalServerError)
+		ctx.Error(err.Error(), http.StatusInternalServerError)
 		return
 	}
-	rc.SetContentType("application/json")
-	rc.SetBody(data)
+	ctx.SetContentType("application/json")
+	ctx.SetBody(data)
 }
 
-// call takes in one call, runs it in a slot and answers.
-func (t *Target) call(rc *fasthttp.RequestCtx) {
-	rc.Response.Header.Set(headerTarget, t.config.ID.String())
-	bh, _ := t.now()
-	if bh.Shed || bh.Drain {
-		t.shed(rc, bh)
+// serveCall reads one call, runs it in a slot and answers.
+func (t *Target) serveCall(ctx *fasthttp.RequestCtx) {
+	ctx.Response.Header.Set(headerTarget, t.config.ID.String())
+	behaviour, _ := t.currentBehaviour()
+	if behaviour.Shed || behaviour.Drain {
+		t.shed(ctx, behaviour)
 		return
 	}
-	body, err := take(rc)
+	body, err := readBody(ctx)
 	if err != nil {
-		t.note(func(tt *totals) { tt.Cut++ })
-		rc.SetConnectionClose()
-		rc.SetStatusCode(http.StatusBadRequest)
+		t.count(func(totals *totals) { totals.Cut++ })
+		ctx.SetConnectionClose()
+		ctx.SetStatusCode(http.StatusBadRequest)
 		return
 	}
-	if !t.enter(rc) {
-		t.note(func(tt *totals) { tt.Cancelled++ })
-		rc.SetConnectionClose()
+	if !t.acquireSlot(ctx) {
+		t.count(func(totals *totals) { totals.Cancelled++ })
+		ctx.SetConnectionClose()
 		return
 	}
 	defer func() { <-t.slots }()
-	t.start(rc)
-	if !t.work(rc) {
-		t.note(func(tt *totals) { tt.Cancelled++ })
-		rc.SetConnectionClose()
+	t.recordStart(ctx)
+	if !t.run(ctx) {
+		t.count(func(totals *totals) { totals.Cancelled++ })
+		ctx.SetConnectionClose()
 		return
 	}
-	t.answer(rc, body)
+	t.answer(ctx, body)
 }
 
-func (t *Target) shed(rc *fasthttp.RequestCtx, bh carobbehaviour.Behaviour) {
-	t.note(func(tt *totals) { tt.Shed++ })
-	_, _ = io.Copy(io.Discard, bodyOf(rc))
-	rc.SetStatusCode(http.StatusServiceUnavailable)
-	if bh.Drain {
-		rc.SetConnectionClose()
+// shed refuses a call with status 503, and closes its connection under the fault Drain.
+func (t *Target) shed(ctx *fasthttp.RequestCtx, behaviour carobbehaviour.Behaviour) {
+	t.count(func(totals *totals) { totals.Shed++ })
+	_, _ = io.Copy(io.Discard, bodyOf(ctx))
+	ctx.SetStatusCode(http.StatusServiceUnavailable)
+	if behaviour.Drain {
+		ctx.SetConnectionClose()
 	}
 }
 
-// enter waits for a slot. It reports false if the caller hung up before.
-func (t *Target) enter(rc *fasthttp.RequestCtx) bool {
+// acquireSlot waits for a slot. It returns false if the caller closes the connection
+// before.
+func (t *Target) acquireSlot(ctx *fasthttp.RequestCtx) bool {
 	for {
-		pause, cancel := context.WithCancel(context.Background())
-		over := make(chan struct{})
+		waitCtx, cancel := context.WithCancel(context.Background())
+		waited := make(chan struct{})
 		go func() {
-			_ = t.config.Timer.Wait(pause, look)
-			close(over)
+			_ = t.config.Timer.Wait(waitCtx, pollInterval)
+			close(waited)
 		}()
 		select {
 		case t.slots <- struct{}{}:
 			cancel()
 			return true
-		case <-over:
+		case <-waited:
 			cancel()
 		}
-		if hungUp(rc.Conn()) {
+		if closedByCaller(ctx.Conn()) {
 			return false
 		}
 	}
 }
 
-// work lets the call's time pass. It reports false if the caller hung up.
-func (t *Target) work(rc *fasthttp.RequestCtx) bool {
-	bh, _ := t.now()
-	left := t.clock.draw(&bh, t.config.Timer.Now())
-	if bh.Fail {
-		left = errorTime
+// run waits for the service time of a call, or longer while the target is frozen. It
+// returns false if the caller closes the connection before.
+func (t *Target) run(ctx *fasthttp.RequestCtx) bool {
+	behaviour, _ := t.currentBehaviour()
+	serviceTime := t.sampler.sample(&behaviour, t.config.Timer.Now())
+	if behaviour.Fail {
+		serviceTime = failTime
 	}
-	for until := t.config.Timer.Now().Add(left); ; {
-		bh, _ := t.now()
+	for end := t.config.Timer.Now().Add(serviceTime); ; {
+		behaviour, _ := t.currentBehaviour()
 		now := t.config.Timer.Now()
-		if until.Reached(now) && !bh.Freeze {
+		if end.Reached(now) && !behaviour.Freeze {
 			return true
 		}
-		_ = t.config.Timer.Wait(context.Background(), nextLook(until, now, bh.Freeze))
-		if hungUp(rc.Conn()) {
+		_ = t.config.Timer.Wait(context.Background(), nextPoll(end, now, behaviour.Freeze))
+		if closedByCaller(ctx.Conn()) {
 			return false
 		}
 	}
 }
 
-func nextLook(until, now carobinstant.Instant, frozen bool) time.Duration {
+// nextPoll returns the time until the next check of the caller's connection.
+func nextPoll(end, now carobinstant.Instant, frozen bool) time.Duration {
 	if frozen {
-		return look
+		return pollInterval
 	}
-	return min(look, until.Sub(now))
+	return min(pollInterval, end.Sub(now))
 }
 
-// answer sends back the request's body, or as many bytes as the query asks for.
-func (t *Target) answer(rc *fasthttp.RequestCtx, body *body) {
-	bh, _ := t.now()
-	if bh.Fail {
-		t.note(func(tt *totals) { tt.Failed++ })
-		rc.SetStatusCode(http.StatusInternalServerError)
+// answer returns the request's body, or a pattern of the size and seed that the query
+// gives.
+func (t *Target) answer(ctx *fasthttp.RequestCtx, body *body) {
+	behaviour, _ := t.currentBehaviour()
+	if behaviour.Fail {
+		t.count(func(totals *totals) { totals.Failed++ })
+		ctx.SetStatusCode(http.StatusInternalServerError)
 		return
 	}
-	t.note(func(tt *totals) { tt.Finished++ })
+	t.count(func(totals *totals) { totals.Finished++ })
 	const hexadecimal = 16
-	rc.Response.Header.Set(headerSum, strconv.FormatUint(body.sum, hexadecimal))
-	rc.Response.Header.Set(headerLength, strconv.FormatInt(body.length, 10))
-	args := rc.QueryArgs()
+	ctx.Response.Header.Set(headerSum, strconv.FormatUint(body.sum, hexadecimal))
+	ctx.Response.Header.Set(headerLength, strconv.FormatInt(body.length, 10))
+	args := ctx.QueryArgs()
 	if size := args.GetUintOrZero("size"); size > 0 {
 		seed := args.GetUintOrZero("seed")
-		rc.SetBodyStream(carobpattern.NewPattern(carobpattern.Config{
+		ctx.SetBodyStream(carobpattern.NewPattern(carobpattern.Config{
 			Seed: uint64(seed), Length: int64(size), //nolint:gosec // not negative
 		}), size)
 		return
 	}
-	rc.SetBody(body.kept)
+	ctx.SetBody(body.content)
 }
 
-// body is what is known of a request's body.
+// body describes a request's body by its checksum and its length in bytes.
 type body struct {
 	sum    uint64
 	length int64
-	// kept is the whole body unless it is longer than echo.
-	kept []byte
+	// content is the whole body; nil if it is longer than maxEcho.
+	content []byte
 }
 
-// take reads a request's body to its end without holding a long one.
-func take(rc *fasthttp.RequestCtx) (*body, error) {
+// readBody reads a request's body to its end. It holds at most maxEcho bytes and one in
+// memory.
+func readBody(ctx *fasthttp.RequestCtx) (*body, error) {
 	digest := xxhash.New()
-	from := io.TeeReader(bodyOf(rc), digest)
-	kept, err := io.ReadAll(io.LimitReader(from, echo+1))
+	reader := io.TeeReader(bodyOf(ctx), digest)
+	kept, err := io.ReadAll(io.LimitReader(reader, maxEcho+1))
 	if err != nil {
 		return nil, err
 	}
-	rest, err := io.Copy(io.Discard, from)
+	discarded, err := io.Copy(io.Discard, reader)
 	if err != nil {
 		return nil, err
 	}
-	bd := &body{sum: digest.Sum64(), length: int64(len(kept)) + rest}
-	if bd.length <= echo {
-		bd.kept = kept
+	result := &body{sum: digest.Sum64(), length: int64(len(kept)) + discarded}
+	if result.length <= maxEcho {
+		result.content = kept
 	}
-	return bd, nil
+	return result, nil
 }
 
-func bodyOf(rc *fasthttp.RequestCtx) io.Reader {
-	if stream := rc.RequestBodyStream(); stream != nil {
+// bodyOf returns a reader of the request's body, whether fasthttp streams it or not.
+func bodyOf(ctx *fasthttp.RequestCtx) io.Reader {
+	if stream := ctx.RequestBodyStream(); stream != nil {
 		return stream
 	}
-	return bytes.NewReader(rc.PostBody())
+	return bytes.NewReader(ctx.PostBody())
 }
 
-// start notes that the call runs.
-func (t *Target) start(rc *fasthttp.RequestCtx) {
-	call := string(rc.Request.Header.Peek(carobheader.Call))
-	key := string(rc.Request.Header.Peek(carobheader.Key))
+// recordStart records the start of a call's run.
+func (t *Target) recordStart(ctx *fasthttp.RequestCtx) {
+	call := string(ctx.Request.Header.Peek(carobheader.Call))
+	key := string(ctx.Request.Header.Peek(carobheader.Key))
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.record.start(call, key)
 }
 
-func (t *Target) note(what func(tt *totals)) {
+// count updates the totals under the mutex.
+func (t *Target) count(update func(totals *totals)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	what(&t.record.Totals)
+	update(&t.record.Totals)
 }
--- a/internal/carobstandtarget/target.go
+++ b/internal/carobstandtarget/target.go
@@ -1,5 +1,6 @@
-// Package carobstandtarget is a stand-in for a target: a server with slots that
-// announces itself to the node on its VM and plays faults on command.
+// Package carobstandtarget is a stand-in for a target: a server with a limited number
+// of slots that announces itself to the node on its VM. Its service times and faults
+// can be changed over HTTP.
 package carobstandtarget
 
 import (
@@ -18,43 +19,47 @@
 	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
-// Config is how a target is made.
+// Config holds the settings of a target.
 type Config struct {
-	ID      carobtargetid.ID
+	ID carobtargetid.ID
+	// Profile, Slots and Conns are announced to the node. Slots is also the number of
+	// calls that run at once; below 1 it counts as 1.
 	Profile carobword.Word
 	Slots   int
 	Conns   int
-	// Behaviour is the one to begin with.
+	// Behaviour is the initial behaviour; the default one if its Shape is empty.
 	Behaviour carobbehaviour.Behaviour
-	// Seed is what all random times follow from.
+	// Seed seeds all random times.
 	Seed uint64
-	// Admin is the address of the node on the target's VM.
+	// Admin is the administration address of the node on the target's VM.
 	Admin  carobaddress.Address
 	Timer  *carobtimer.Timer
 	Logger *logrus.Logger
 }
 
-// Target answers calls and keeps a record of the runs.
+// Target answers calls and counts their runs.
 type Target struct {
 	config Config
 	server *fasthttp.Server
-	// slots has an element for each call that runs; calls above wait.
-	slots chan struct{}
-	clock *clock
+	// slots is a semaphore with an element for each running call; further calls wait.
+	slots   chan struct{}
+	sampler *sampler
 
+	// mutex guards the fields below.
 	mutex sync.Mutex
-	// behaviour is the one in force.
+	// behaviour is the behaviour in force.
 	behaviour carobbehaviour.Behaviour
-	// changed is closed and replaced with every change of the behaviour.
+	// changed is closed and replaced at every change of the behaviour.
 	changed chan struct{}
 	record  record
 }
 
 const (
-	heartbeat = 500 * time.Millisecond
-	patience  = time.Second
-	// longest is the longest body that is taken.
-	longest = 1 << 30
+	heartbeatInterval = 500 * time.Millisecond
+	// nodeTimeout is how long a request to the node may take.
+	nodeTimeout = time.Second
+	// maxBody is the length in bytes of the longest accepted request body.
+	maxBody = 1 << 30
 )
 
 // NewTarget returns a target that does not listen yet.
@@ -64,30 +69,31 @@
 	}
 	t := &Target{
 		config: c, slots: make(chan struct{}, max(1, c.Slots)), behaviour: c.Behaviour,
-		clock: newClock(c.Seed, c.Timer.Now()), changed: make(chan struct{}),
+		sampler: newSampler(c.Seed, c.Timer.Now()), changed: make(chan struct{}),
 		record: record{Calls: map[string]int{}, Keys: map[string]int{}},
 	}
 	t.server = &fasthttp.Server{
-		Handler: t.serve, CloseOnShutdown: true, MaxRequestBodySize: longest, StreamRequestBody: true,
+		Handler: t.serve, CloseOnShutdown: true, MaxRequestBodySize: maxBody, StreamRequestBody: true,
 		DisablePreParseMultipartForm: true, NoDefaultServerHeader: true,
 	}
 	return t
 }
 
-// Run answers calls until cx ends; then it announces that it leaves, finishes
-// what it has and withdraws.
-func (t *Target) Run(cx context.Context, ls net.Listener) error {
-	address := carobaddress.Address(ls.Addr().String())
+// Run answers calls until ctx ends. Then it announces that the target is leaving, waits
+// for running calls to end, and withdraws the target from its node.
+func (t *Target) Run(ctx context.Context, listener net.Listener) error {
+	address := carobaddress.Address(listener.Addr().String())
 	failed := make(chan error, 1)
-	go func() { failed <- t.server.Serve(ls) }()
-	for cx.Err() == nil {
-		t.beat(cx, address)
+	go func() { failed <- t.server.Serve(listener) }()
+	for ctx.Err() == nil {
+		t.sendHeartbeat(ctx, address)
 	}
-	return t.leave(cx, address)
+	return t.shutDown(ctx, address)
 }
 
-// now returns the behaviour in force and what tells of its end.
-func (t *Target) now() (carobbehaviour.Behaviour, <-chan struct{}) {
+// currentBehaviour returns the behaviour in force and a channel that is closed when it
+// changes.
+func (t *Target) currentBehaviour() (carobbehaviour.Behaviour, <-chan struct{}) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.behaviour, t.changed
