--- a/internal/carobbench/cases.go
+++ b/internal/carobbench/cases.go
@@ -30,8 +30,8 @@
 )
 
 // duration returns the counted time of the case.
-func (s benchCase) duration(base time.Duration) time.Duration {
-	return base * time.Duration(max(s.durationFactor, 1))
+func (b benchCase) duration(base time.Duration) time.Duration {
+	return base * time.Duration(max(b.durationFactor, 1))
 }
 
 // defaultCases has the names of the cases that are measured if Config names none.
--- a/internal/carobbench/cluster.go
+++ b/internal/carobbench/cluster.go
@@ -102,7 +102,7 @@
 }
 
 // startPair starts a node and the target beside it. The target's index within its
-// service determines the data centre; loaded says that the service receives the load.
+// service determines the data centre; loaded is true if the service receives the load.
 func (c *cluster) startPair(ctx context.Context, number, index int, service service, loaded bool) error {
 	b := c.bench
 	name := fmt.Sprintf("n%d", number)
--- a/internal/carobbench/table.go
+++ b/internal/carobbench/table.go
@@ -24,8 +24,8 @@
 	return medianRange{low: values[0], median: (values[lower] + values[upper]) / 2, high: values[len(values)-1]}
 }
 
-func (s medianRange) String() string {
-	return fmt.Sprintf("%.1f (%.1f-%.1f)", s.median, s.low, s.high)
+func (m medianRange) String() string {
+	return fmt.Sprintf("%.1f (%.1f-%.1f)", m.median, m.low, m.high)
 }
 
 // column is one column of the table.
--- a/internal/carobdemo/demo.go
+++ b/internal/carobdemo/demo.go
@@ -62,8 +62,9 @@
 const (
 	nodeCount = 4
 	slots     = 12
-	latency   = 4 * time.Millisecond
-	deadline  = 2 * time.Second
+	// latency is the mean service time of targets, deadline the one of calls.
+	latency  = 4 * time.Millisecond
+	deadline = 2 * time.Second
 	// slowFactor multiplies the service times of one target in the middle phase.
 	slowFactor = 25
 	// timeLimit ends a demo that hangs.
@@ -89,10 +90,10 @@
 	d.printf("%d nodes, each with a target of lookups and one of payouts, %d slots, log and load, on loopback", nodeCount, slots)
 	var summaries []*carobsummary.Summary
 	for _, phase := range []struct {
-		name     string
-		straggle float64
+		name   string
+		factor float64
 	}{{"steady", 1}, {"jump", slowFactor}, {"after", 1}} {
-		if err := d.setSlowness(ctx, d.targets[0], phase.straggle); err != nil {
+		if err := d.setSlowness(ctx, d.targets[0], phase.factor); err != nil {
 			return err
 		}
 		summaries = append(summaries, d.load(ctx, phase.name)...)
--- a/internal/carobemulator/caller.go
+++ b/internal/carobemulator/caller.go
@@ -31,7 +31,7 @@
 	retriesLeft int
 	// call is the newest call.
 	call carobcallid.ID
-	// parent is the job that makes the request; zero if it comes from outside.
+	// parent is the job that makes the request; zero for requests from outside.
 	parent carobjobid.ID
 }
 
--- a/internal/carobemulator/emulator_test.go
+++ b/internal/carobemulator/emulator_test.go
@@ -42,6 +42,7 @@
 	return float64(summary.Good) / float64(summary.Calls)
 }
 
+// Guards against state outside the seed, such as map order, that changes the result.
 func TestRunRepeatsUnderItsSeed(t *testing.T) {
 	one, two, other := play(t, noisy(t), 1), play(t, noisy(t), 1), play(t, noisy(t), 2)
 	require.Equal(t, one["lookup"].Good, two["lookup"].Good)
@@ -49,7 +50,9 @@
 	require.NotEqual(t, one["lookup"].Latency, other["lookup"].Latency)
 }
 
-func TestQuietVMsAnswerNearlyAllInTime(t *testing.T) {
+// Guards against decisions that miss deadlines although no VM is slow and the load is
+// below the capacity.
+func TestVMsWithoutNoiseAnswerInTime(t *testing.T) {
 	scenario := noisy(t)
 	scenario.Noise.Factor = 1
 	kinds := play(t, scenario, 1)
@@ -60,7 +63,7 @@
 
 // Jobs that start in a slow period of their VM end late. With health checks, the node
 // delays them or they run on another target, so that more answers are in time.
-func TestCallersGetMoreWhenJobsWaitForTheirVM(t *testing.T) {
+func TestHealthChecksIncreaseAnswersInTime(t *testing.T) {
 	for seed := range uint64(3) {
 		noChecks := noisy(t)
 		noChecks.Measure.Checks = 0
@@ -74,7 +77,7 @@
 // The load exceeds the capacity of the targets. Guards against nodes that queue calls
 // until they expire instead of refusing them early: most answered calls are in time,
 // and few have an unknown outcome.
-func TestOverloadIsRefusedAndNotHeldUp(t *testing.T) {
+func TestOverloadIsRefusedEarly(t *testing.T) {
 	scenario := noisy(t)
 	for i := range scenario.Kinds {
 		scenario.Kinds[i].Rate *= 4
--- a/internal/carobemulator/target.go
+++ b/internal/carobemulator/target.go
@@ -35,7 +35,7 @@
 	deadline carobinstant.Instant
 	// callsLeft is the number of nested calls that the job has still to make.
 	callsLeft int
-	// waiting says that a nested call is in progress.
+	// waiting is true while a nested call is in progress.
 	waiting bool
 	// status is the HTTP status of the response.
 	status int
--- a/internal/carobloader/call.go
+++ b/internal/carobloader/call.go
@@ -39,7 +39,7 @@
 	// that no two calls have the same body.
 	seed uint64
 	node carobaddress.Address
-	// keyed says that the call has an idempotency key.
+	// keyed is true if the call has an idempotency key.
 	keyed bool
 	// counted is false for calls that are scheduled during Config.Skip.
 	counted bool
--- a/internal/carobloader/loader.go
+++ b/internal/carobloader/loader.go
@@ -2,8 +2,8 @@
 // every answer.
 //
 // In an open loop, calls are sent on schedule and do not wait for earlier answers,
-// and latency is measured from the scheduled instant. Slow answers therefore do not
-// delay later calls and hide their latency (coordinated omission).
+// and latency is measured from the scheduled instant. In a closed loop, a slow answer
+// would delay later calls, whose wait would not be measured (coordinated omission).
 package carobloader
 
 import (
@@ -28,7 +28,7 @@
 	Name string
 	// Nodes are the addresses to which calls are sent; each call picks one at random.
 	Nodes []carobaddress.Address
-	// Direct says that Nodes are addresses of targets, whose answers have no outcome
+	// Direct is true if Nodes are addresses of targets. Their answers have no outcome
 	// header; every answer counts as answered.
 	Direct bool
 	// Service is the value of the Host header.
@@ -64,8 +64,9 @@
 }
 
 const (
-	dialTimeout  = time.Second
-	idleTimeout  = 20 * time.Second
+	dialTimeout = time.Second
+	idleTimeout = 20 * time.Second
+	// maxIdleConns is the limit of unused connections to one address.
 	maxIdleConns = 4096
 	// stallTimeout is how long the other end may accept or send no byte of a body.
 	stallTimeout = 10 * time.Second
--- a/internal/carobstandlog/log.go
+++ b/internal/carobstandlog/log.go
@@ -94,7 +94,7 @@
 	return c.JSON(l.fault)
 }
 
-// applyFault refuses or delays a request as the fault in force says.
+// applyFault delays or refuses a request according to the fault in force.
 func (l *Log) applyFault(c fiber.Ctx) error {
 	l.mutex.Lock()
 	fault := l.fault
@@ -108,8 +108,8 @@
 	return c.Next()
 }
 
-// append appends the request's body to a stream and returns its offset. As the fault
-// in force says, the record or the answer is lost.
+// append appends the request's body to a stream and returns its offset. According to
+// the fault in force, the record is dropped or the answer is lost.
 func (l *Log) append(c fiber.Ctx) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/carobstandtarget/sampler.go
+++ b/internal/carobstandtarget/sampler.go
@@ -34,22 +34,22 @@
 }
 
 // restartWarmup makes the warm-up start again.
-func (c *sampler) restartWarmup(now carobinstant.Instant) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.warmupStart = now
+func (s *sampler) restartWarmup(now carobinstant.Instant) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.warmupStart = now
 }
 
 // sample returns the service time of a call that starts now.
-func (c *sampler) sample(behaviour *carobbehaviour.Behaviour, now carobinstant.Instant) time.Duration {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	factor := c.shapeFactor(behaviour) * behaviour.Straggle
-	if c.inJump(behaviour, now) {
+func (s *sampler) sample(behaviour *carobbehaviour.Behaviour, now carobinstant.Instant) time.Duration {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	factor := s.shapeFactor(behaviour) * behaviour.Straggle
+	if s.inJump(behaviour, now) {
 		factor *= behaviour.Jump
 	}
-	if cold := behaviour.Cold.Duration(); cold > 0 && now.Sub(c.warmupStart) < cold {
-		coldness := 1 - float64(now.Sub(c.warmupStart))/float64(cold)
+	if cold := behaviour.Cold.Duration(); cold > 0 && now.Sub(s.warmupStart) < cold {
+		coldness := 1 - float64(now.Sub(s.warmupStart))/float64(cold)
 		factor *= 1 + (behaviour.Chill-1)*coldness
 	}
 	return time.Duration(float64(behaviour.Latency) * factor)
@@ -57,14 +57,14 @@
 
 // shapeFactor draws a random factor whose mean is 1; the Pareto distribution has that
 // mean before it is bounded by maxFactor.
-func (c *sampler) shapeFactor(behaviour *carobbehaviour.Behaviour) float64 {
+func (s *sampler) shapeFactor(behaviour *carobbehaviour.Behaviour) float64 {
 	switch behaviour.Shape {
 	case carobbehaviour.LogNormal:
-		return math.Exp(c.random.NormFloat64()*behaviour.Sigma - behaviour.Sigma*behaviour.Sigma/2)
+		return math.Exp(s.random.NormFloat64()*behaviour.Sigma - behaviour.Sigma*behaviour.Sigma/2)
 	case carobbehaviour.Pareto:
 		const maxFactor = 100
 		scale := (behaviour.Alpha - 1) / behaviour.Alpha
-		return min(scale*math.Pow(1-c.random.Float64(), -1/behaviour.Alpha), maxFactor)
+		return min(scale*math.Pow(1-s.random.Float64(), -1/behaviour.Alpha), maxFactor)
 	default:
 		return 1
 	}
@@ -72,17 +72,17 @@
 
 // inJump reports whether a jump of load by a noisy neighbour is in progress. It draws
 // the next jump if the last one has ended.
-func (c *sampler) inJump(behaviour *carobbehaviour.Behaviour, now carobinstant.Instant) bool {
+func (s *sampler) inJump(behaviour *carobbehaviour.Behaviour, now carobinstant.Instant) bool {
 	if behaviour.Gap <= 0 {
-		c.jumpStart, c.jumpEnd = carobinstant.Never, carobinstant.Never
+		s.jumpStart, s.jumpEnd = carobinstant.Never, carobinstant.Never
 		return false
 	}
-	if c.jumpEnd == carobinstant.Never {
-		c.jumpEnd = now
+	if s.jumpEnd == carobinstant.Never {
+		s.jumpEnd = now
 	}
-	for c.jumpEnd <= now {
-		c.jumpStart = c.jumpEnd.Add(time.Duration(c.jumpRandom.ExpFloat64() * float64(behaviour.Gap)))
-		c.jumpEnd = c.jumpStart.Add(behaviour.Shortest.Duration() + time.Duration(c.jumpRandom.Float64()*float64(behaviour.Longest-behaviour.Shortest)))
+	for s.jumpEnd <= now {
+		s.jumpStart = s.jumpEnd.Add(time.Duration(s.jumpRandom.ExpFloat64() * float64(behaviour.Gap)))
+		s.jumpEnd = s.jumpStart.Add(behaviour.Shortest.Duration() + time.Duration(s.jumpRandom.Float64()*float64(behaviour.Longest-behaviour.Shortest)))
 	}
-	return c.jumpStart <= now
+	return s.jumpStart <= now
 }
--- a/internal/carobsummary/summary.go
+++ b/internal/carobsummary/summary.go
@@ -53,10 +53,10 @@
 	// counts with its deadline, or with its own latency if that is longer.
 	Felt quantiles `json:"felt"`
 
-	deadline    time.Duration
-	mutex       sync.Mutex
-	goodLatency *hdrhistogram.Histogram
-	feltLatency *hdrhistogram.Histogram
+	deadline           time.Duration
+	mutex              sync.Mutex
+	goodHistogram      *hdrhistogram.Histogram
+	effectiveHistogram *hdrhistogram.Histogram
 }
 
 // quantiles are quantiles and the maximum of a latency distribution; 0 before Close.
@@ -74,7 +74,7 @@
 	longest := (10 * time.Minute).Nanoseconds()
 	return &Summary{
 		Name: c.Name, Kinds: map[carobkind.Kind]int{}, deadline: c.Deadline,
-		goodLatency: hdrhistogram.New(1, longest, digits), feltLatency: hdrhistogram.New(1, longest, digits),
+		goodHistogram: hdrhistogram.New(1, longest, digits), effectiveHistogram: hdrhistogram.New(1, longest, digits),
 	}
 }
 
@@ -93,8 +93,8 @@
 		s.Failed++
 	case duration <= s.deadline:
 		s.Good++
-		_ = s.goodLatency.RecordValue(duration.Nanoseconds())
-		_ = s.feltLatency.RecordValue(duration.Nanoseconds())
+		_ = s.goodHistogram.RecordValue(duration.Nanoseconds())
+		_ = s.effectiveHistogram.RecordValue(duration.Nanoseconds())
 		return
 	}
 	s.recordFailure(duration)
@@ -116,7 +116,7 @@
 
 // recordFailure records the latency of a call without a good answer.
 func (s *Summary) recordFailure(duration time.Duration) {
-	_ = s.feltLatency.RecordValue(max(duration, s.deadline).Nanoseconds())
+	_ = s.effectiveHistogram.RecordValue(max(duration, s.deadline).Nanoseconds())
 }
 
 // Close computes the quantiles. The duration is that during which the counted calls
@@ -125,7 +125,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.Took = carobspan.Span(duration)
-	s.Latency, s.Felt = quantilesOf(s.goodLatency), quantilesOf(s.feltLatency)
+	s.Latency, s.Felt = quantilesOf(s.goodHistogram), quantilesOf(s.effectiveHistogram)
 }
 
 // Goodput returns the number of good answers a second.
