--- a/test/failures_test.go
+++ b/test/failures_test.go
@@ -10,155 +10,159 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each failure comes while callers ask without a break. What they are told must
-// match what the targets ran, and calls must be answered again after it.
+// Each failure occurs while callers send one call after another. The outcomes that
+// callers get must match the runs that the targets recorded, and calls must be
+// answered again after the failure.
 func TestFailures(t *testing.T) {
-	const some = 200
+	// batch is the number of calls that each step waits for.
+	const batch = 200
 	for _, tc := range []struct {
 		name string
-		fail func(t *testing.T, c *cluster, tr *traffic)
+		fail func(t *testing.T, cluster *cluster, traffic *traffic)
 	}{
 		{"none", func(*testing.T, *cluster, *traffic) {}},
-		{"node killed and replaced", func(t *testing.T, c *cluster, tr *traffic) {
+		{"node killed and replaced", func(t *testing.T, cluster *cluster, traffic *traffic) {
 			t.Helper()
-			c.kill(t, 1)
-			tr.await(t, some, ended)
-			c.startNode(t, 1)
+			cluster.kill(t, 1)
+			traffic.waitForCalls(t, batch, anyResult)
+			cluster.startNode(t, 1)
 		}},
-		{"node stopped past every timeout", func(t *testing.T, c *cluster, tr *traffic) {
+		{"node suspended past every timeout", func(t *testing.T, cluster *cluster, traffic *traffic) {
 			t.Helper()
-			c.nodes[1].signal(t, syscall.SIGSTOP)
-			tr.await(t, 4, lost)
-			c.nodes[1].signal(t, syscall.SIGCONT)
+			cluster.nodes[1].signal(t, syscall.SIGSTOP)
+			traffic.waitForCalls(t, 4, hasNoResponse)
+			cluster.nodes[1].signal(t, syscall.SIGCONT)
 		}},
-		{"connections cut", func(t *testing.T, c *cluster, tr *traffic) {
+		{"connections closed", func(t *testing.T, cluster *cluster, traffic *traffic) {
 			t.Helper()
 			for range 5 {
-				c.wires[1].cut()
-				tr.await(t, some, ended)
+				cluster.proxies[1].closeConns()
+				traffic.waitForCalls(t, batch, anyResult)
 			}
 		}},
-		{"connections silent", func(t *testing.T, c *cluster, tr *traffic) {
+		{"connections drop bytes", func(t *testing.T, cluster *cluster, traffic *traffic) {
 			t.Helper()
 			for range 2 {
-				c.wires[0].silence()
-				c.wires[1].silence()
-				tr.await(t, some, ended)
+				cluster.proxies[0].dropBytes()
+				cluster.proxies[1].dropBytes()
+				traffic.waitForCalls(t, batch, anyResult)
 			}
 		}},
-		{"answers silent", func(t *testing.T, c *cluster, tr *traffic) {
+		{"connections drop responses", func(t *testing.T, cluster *cluster, traffic *traffic) {
 			t.Helper()
-			c.wires[1].mute()
-			tr.await(t, some, ended)
+			cluster.proxies[1].dropResponses()
+			traffic.waitForCalls(t, batch, anyResult)
 		}},
-		{"log out", func(t *testing.T, c *cluster, tr *traffic) {
+		{"log unavailable", func(t *testing.T, cluster *cluster, traffic *traffic) {
 			t.Helper()
-			fault(t, c.log, `{"out": true}`)
-			tr.await(t, some, answered)
-			c.kill(t, 2)
-			tr.await(t, some, ended)
-			fault(t, c.log, `{}`)
-			c.startNode(t, 2)
+			setFault(t, cluster.log, `{"out": true}`)
+			traffic.waitForCalls(t, batch, isAnswered)
+			cluster.kill(t, 2)
+			traffic.waitForCalls(t, batch, anyResult)
+			setFault(t, cluster.log, `{}`)
+			cluster.startNode(t, 2)
 		}},
-		{"log slow", func(t *testing.T, c *cluster, tr *traffic) {
+		{"log slow", func(t *testing.T, cluster *cluster, traffic *traffic) {
 			t.Helper()
-			fault(t, c.log, `{"slow": "1s"}`)
-			tr.await(t, some, answered)
-			fault(t, c.log, `{}`)
+			setFault(t, cluster.log, `{"slow": "1s"}`)
+			traffic.waitForCalls(t, batch, isAnswered)
+			setFault(t, cluster.log, `{}`)
 		}},
-		{"target drains unannounced", func(t *testing.T, c *cluster, tr *traffic) {
+		{"target drains unannounced", func(t *testing.T, cluster *cluster, traffic *traffic) {
 			t.Helper()
-			c.targets[1].behave(t, `{"drain": true}`)
-			tr.await(t, some, ended)
-			c.targets[1].behave(t, `{"drain": false}`)
+			cluster.targets[1].setBehaviour(t, `{"drain": true}`)
+			traffic.waitForCalls(t, batch, anyResult)
+			cluster.targets[1].setBehaviour(t, `{"drain": false}`)
 		}},
-		{"target fails fast", func(t *testing.T, c *cluster, tr *traffic) {
+		{"target fails fast", func(t *testing.T, cluster *cluster, traffic *traffic) {
 			t.Helper()
-			c.targets[0].behave(t, `{"fail": true}`)
-			tr.await(t, 3*some, ended)
-			c.targets[0].behave(t, `{"fail": false}`)
+			cluster.targets[0].setBehaviour(t, `{"fail": true}`)
+			traffic.waitForCalls(t, 3*batch, anyResult)
+			cluster.targets[0].setBehaviour(t, `{"fail": false}`)
 		}},
-		{"target straggles", func(t *testing.T, c *cluster, tr *traffic) {
+		{"target straggles", func(t *testing.T, cluster *cluster, traffic *traffic) {
 			t.Helper()
-			c.targets[1].behave(t, `{"straggle": 2000}`)
-			tr.await(t, some, ended)
-			c.targets[1].behave(t, `{"straggle": 1}`)
+			cluster.targets[1].setBehaviour(t, `{"straggle": 2000}`)
+			traffic.waitForCalls(t, batch, anyResult)
+			cluster.targets[1].setBehaviour(t, `{"straggle": 1}`)
 		}},
-		{"target frozen", func(t *testing.T, c *cluster, tr *traffic) {
+		{"target frozen", func(t *testing.T, cluster *cluster, traffic *traffic) {
 			t.Helper()
-			c.targets[0].signal(t, syscall.SIGSTOP)
-			tr.await(t, some, ended)
-			c.targets[0].signal(t, syscall.SIGCONT)
+			cluster.targets[0].signal(t, syscall.SIGSTOP)
+			traffic.waitForCalls(t, batch, anyResult)
+			cluster.targets[0].signal(t, syscall.SIGCONT)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c := startCluster(t, 3)
-			tr := c.traffic(t, direct)
-			tr.await(t, some, answered)
-			tc.fail(t, c, tr)
+			cluster := startCluster(t, 3)
+			traffic := cluster.startTraffic(t, perCallTransport)
+			traffic.waitForCalls(t, batch, isAnswered)
+			tc.fail(t, cluster, traffic)
 			for range 3 {
-				tr.await(t, some, answered)
+				traffic.waitForCalls(t, batch, isAnswered)
 			}
-			sc := tr.finish(t)
+			counts := traffic.finish(t)
 			if tc.name == "none" {
-				require.Equal(t, sc.Calls, sc.Answered)
+				require.Equal(t, counts.Calls, counts.Answered)
 			}
 		})
 	}
 }
 
-// All nodes are restarted one by one under load, while an upload is open at each:
-// nothing is cut.
+// All nodes are restarted one by one under load, each while it has an open upload.
+// A node that shuts down must finish its calls: no caller may lose a response, get
+// an unknown outcome, or see its upload cut.
 func TestRollingRestart(t *testing.T) {
-	c := startCluster(t, 3)
-	tr := c.traffic(t, asking)
-	patient := &http.Client{Transport: asking}
-	tr.await(t, 200, answered)
-	for i, node := range c.nodes {
-		body, feed := io.Pipe()
-		answer := make(chan told, 1)
+	cluster := startCluster(t, 3)
+	traffic := cluster.startTraffic(t, expectContinueTransport)
+	uploadClient := &http.Client{Transport: expectContinueTransport}
+	traffic.waitForCalls(t, 200, isAnswered)
+	for index, node := range cluster.nodes {
+		body, bodyWriter := io.Pipe()
+		uploaded := make(chan callResult, 1)
 		const half = 1 << 18
 		want := bytes.Repeat([]byte("deck"), half/2)
 		go func() {
-			rq, err := http.NewRequest(http.MethodPost, "http://"+node.addresses["call"]+"/deck", body)
+			req, err := http.NewRequest(http.MethodPost, "http://"+node.addresses["call"]+"/deck", body)
 			if err != nil {
 				panic(err)
 			}
-			rq.Host = "rota"
-			rq.Header.Set("Carobknot-Deadline", "60000")
-			rq.Header.Set("Expect", "100-continue") // the body goes once the call is taken in
-			rs, err := patient.Do(rq)               //nolint:bodyclose // learn closes it
-			answer <- learn(rs, err, "rota", string(want))
+			req.Host = "rota"
+			req.Header.Set("Carobknot-Deadline", "60000")
+			req.Header.Set("Expect", "100-continue") // the client waits for the node to accept the call
+			resp, err := uploadClient.Do(req)        //nolint:bodyclose // readResult closes it
+			uploaded <- readResult(resp, err, "rota", string(want))
 		}()
-		if _, err := feed.Write(want[:half]); err != nil {
-			require.NoError(t, err, "%+v", await(t, answer, "the upload has no answer"))
+		if _, err := bodyWriter.Write(want[:half]); err != nil {
+			require.NoError(t, err, "%+v", awaitEvent(t, uploaded, "the upload got no response"))
 		}
 		node.signal(t, syscall.SIGTERM)
-		tr.await(t, 200, answered)
-		if _, err := feed.Write(want[half:]); err != nil {
-			require.NoError(t, err, "%+v", await(t, answer, "the upload has no answer"))
+		traffic.waitForCalls(t, 200, isAnswered)
+		if _, err := bodyWriter.Write(want[half:]); err != nil {
+			require.NoError(t, err, "%+v", awaitEvent(t, uploaded, "the upload got no response"))
 		}
-		require.NoError(t, feed.Close())
-		td := await(t, answer, "the upload has no answer")
-		require.True(t, answered(td) && !td.mixed, "%+v", td)
+		require.NoError(t, bodyWriter.Close())
+		result := awaitEvent(t, uploaded, "the upload got no response")
+		require.True(t, isAnswered(result) && !result.wrongBody, "%+v", result)
 		require.NoError(t, node.command.Wait())
-		c.startNode(t, i)
-		tr.await(t, 200, answered)
+		cluster.startNode(t, index)
+		traffic.waitForCalls(t, 200, isAnswered)
 	}
-	sc := tr.finish(t)
-	require.Zero(t, sc.Unknown+sc.Gone, "calls were cut")
+	counts := traffic.finish(t)
+	require.Zero(t, counts.Unknown+counts.NoResponse, "calls without a known outcome")
 }
 
-// Targets leave one by one under load and come back: nothing is cut.
+// Targets announce one by one, under load, that they leave, and return later. No
+// caller may lose a response or get an unknown outcome.
 func TestTargetsLeave(t *testing.T) {
-	c := startCluster(t, 3)
-	tr := c.traffic(t, direct)
-	for _, tg := range c.targets {
-		tr.await(t, 100, answered)
-		tg.behave(t, `{"leave": true}`)
-		tr.await(t, 100, answered)
-		tg.behave(t, `{"leave": false}`)
+	cluster := startCluster(t, 3)
+	traffic := cluster.startTraffic(t, perCallTransport)
+	for _, target := range cluster.targets {
+		traffic.waitForCalls(t, 100, isAnswered)
+		target.setBehaviour(t, `{"leave": true}`)
+		traffic.waitForCalls(t, 100, isAnswered)
+		target.setBehaviour(t, `{"leave": false}`)
 	}
-	sc := tr.finish(t)
-	require.Zero(t, sc.Unknown+sc.Gone, "calls were cut")
+	counts := traffic.finish(t)
+	require.Zero(t, counts.Unknown+counts.NoResponse, "calls without a known outcome")
 }
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// program is the path of the program under test.
+// program is the path of the carobknot binary, which TestMain builds.
 var program string
 
 func TestMain(m *testing.M) {
@@ -35,15 +35,17 @@
 // process is a running carobknot process.
 type process struct {
 	command *exec.Cmd
-	// addresses has the words of the first line of output, by their names.
+	// addresses holds the name=value pairs of the first line of output, such as the
+	// address of each port.
 	addresses map[string]string
 }
 
-// start runs a command that prints its addresses first, and ends it with the test.
+// start starts a command that prints its addresses on its first line of output, and
+// kills it at the end of the test.
 func start(t *testing.T, args ...string) *process {
 	t.Helper()
 	p := &process{command: exec.Command(program, args...), addresses: map[string]string{}}
-	p.command.Stderr = testWriter{t: t, prefix: args[0]}
+	p.command.Stderr = logWriter{t: t, prefix: args[0]}
 	out, err := p.command.StdoutPipe()
 	require.NoError(t, err)
 	require.NoError(t, p.command.Start())
@@ -54,33 +56,34 @@
 	line, err := bufio.NewReader(out).ReadString('\n')
 	require.NoError(t, err)
 	go func() { _, _ = io.Copy(io.Discard, out) }()
-	for word := range strings.FieldsSeq(line) {
-		name, value, _ := strings.Cut(word, "=")
+	for pair := range strings.FieldsSeq(line) {
+		name, value, _ := strings.Cut(pair, "=")
 		p.addresses[name] = value
 	}
 	return p
 }
 
-// terminate asks the process to shut down gracefully and waits for its end.
+// terminate shuts the process down with SIGTERM and requires exit code 0.
 func (p *process) terminate(t *testing.T) {
 	t.Helper()
 	require.NoError(t, p.command.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, p.command.Wait())
 }
 
-// run runs a command to its end and returns its output and exit code.
+// run runs a command to its end and returns its output, with standard error, and
+// exit code.
 func run(args ...string) (output string, code int) {
 	command := exec.Command(program, args...)
 	out, _ := command.CombinedOutput()
 	return string(out), command.ProcessState.ExitCode()
 }
 
-// startNode runs a node on ports from the kernel.
+// startNode starts a node on ports that the kernel selects.
 func startNode(t *testing.T, name, log string, seeds ...string) *process {
 	t.Helper()
 	quoted := ""
-	for _, sd := range seeds {
-		quoted += `"` + sd + `",`
+	for _, seed := range seeds {
+		quoted += `"` + seed + `",`
 	}
 	settings := `{"name": "` + name + `", "region": "bavaria", "centre": "west", "log": "` + log + `",
 		"call": "127.0.0.1:0", "peer": "127.0.0.1:0", "admin": "127.0.0.1:0", "seeds": [` + quoted + `]}`
@@ -89,13 +92,14 @@
 	return start(t, "node", "-settings", file)
 }
 
-// testWriter passes a process's log lines on to the test's.
-type testWriter struct {
+// logWriter writes the log of a process to the log of the test. It omits the warning
+// of a target that cannot reach its node, which repeats while the node is down.
+type logWriter struct {
 	t      *testing.T
 	prefix string
 }
 
-func (w testWriter) Write(data []byte) (int, error) {
+func (w logWriter) Write(data []byte) (int, error) {
 	if !strings.Contains(string(data), "node cannot be told") {
 		w.t.Logf("%s: %s", w.prefix, strings.TrimSpace(string(data)))
 	}
--- a/test/load_test.go
+++ b/test/load_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The load tool finds every answer whole and its own, through nodes and direct.
-func TestLoad(t *testing.T) {
+// The load command checks that each response is complete and belongs to its call. It
+// must find no fault, through the nodes and directly at the target.
+func TestLoadFindsResponsesIntact(t *testing.T) {
 	log := start(t, "log", "-listen", "127.0.0.1:0").addresses["log"]
 	first := startNode(t, "first", log)
 	second := startNode(t, "second", log)
@@ -20,15 +21,15 @@
 	require.Equal(t, 0, code, output)
 	nodes := []*process{first, second}
 	for _, node := range nodes {
-		askUntilAnswered(t, node, "lookups", "haul")
+		callUntilAnswered(t, node, "lookups", "haul")
 	}
 	for _, tc := range []struct {
 		name  string
 		flags []string
 	}{
 		{"small", []string{"-size", "512B", "-count", "300", "-rate", "300", "-keys", "50%"}},
-		{"long answers", []string{"-answer", "3MiB", "-count", "3"}},
-		{"long bodies", []string{"-size", "3MiB", "-answer", "1B", "-count", "3"}},
+		{"long responses", []string{"-answer", "3MiB", "-count", "3"}},
+		{"long requests", []string{"-size", "3MiB", "-answer", "1B", "-count", "3"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			report := filepath.Join(t.TempDir(), "report.json")
@@ -43,9 +44,9 @@
 			var loads []struct{ Calls, Good, Wrong int }
 			require.NoError(t, json.Unmarshal(data, &loads))
 			require.Len(t, loads, 2)
-			for _, ld := range loads {
-				require.Positive(t, ld.Calls)
-				require.Equal(t, ld.Calls, ld.Good, output)
+			for _, load := range loads {
+				require.Positive(t, load.Calls)
+				require.Equal(t, load.Calls, load.Good, output)
 			}
 		})
 	}
--- a/test/publish_test.go
+++ b/test/publish_test.go
@@ -12,50 +12,55 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fault commands the stand-in for the log.
-func fault(t *testing.T, log, command string) {
+// setFault sets the fault that the log command emulates, as JSON; {} clears it.
+func setFault(t *testing.T, log, command string) {
 	t.Helper()
-	rq, err := http.NewRequest(http.MethodPut, log+"/fault", strings.NewReader(command))
+	req, err := http.NewRequest(http.MethodPut, log+"/fault", strings.NewReader(command))
 	require.NoError(t, err)
-	rs, err := http.DefaultClient.Do(rq)
+	resp, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
-	require.NoError(t, rs.Body.Close())
-	require.Equal(t, http.StatusNoContent, rs.StatusCode)
+	require.NoError(t, resp.Body.Close())
+	require.Equal(t, http.StatusNoContent, resp.StatusCode)
 }
 
-const lookups = "../examples/profiles/lookups.json"
+const lookupsProfile = "../examples/profiles/lookups.json"
 
-func TestPublishSettlesLostAnswers(t *testing.T) {
-	for _, c := range []struct {
+// A publish whose append gets no response reads the log, and appends again if the
+// change is not there. Exit code 5 says that the outcome is unknown, 4 that the change
+// was not accepted.
+func TestPublishAfterLostResponse(t *testing.T) {
+	for _, tc := range []struct {
 		name, fault string
 		code        int
 		want        string
 	}{
-		{"answer lost", `{"lose": 1}`, 0, "accepted: profile lookups at offset 1\n"},
+		{"response lost", `{"lose": 1}`, 0, "accepted: profile lookups at offset 1\n"},
 		{"append dropped", `{"drop": 1}`, 0, "accepted: profile lookups at offset 1\n"},
 		{"lost and dropped", `{"lose": 1, "drop": 1}`, 0, "accepted: profile lookups at offset 1\n"},
 		{"all dropped", `{"drop": 9}`, 5, "unknown"},
 		{"outage", `{"out": true}`, 4, "not accepted"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			log := start(t, "log", "-listen", "127.0.0.1:0").addresses["log"]
-			_, code := run("publish", "-log", log, lookups)
+			_, code := run("publish", "-log", log, lookupsProfile)
 			require.Equal(t, 0, code)
-			fault(t, log, c.fault)
-			output, code := run("publish", "-log", log, lookups)
-			require.Equal(t, c.code, code, output)
-			require.Contains(t, output, c.want)
+			setFault(t, log, tc.fault)
+			output, code := run("publish", "-log", log, lookupsProfile)
+			require.Equal(t, tc.code, code, output)
+			require.Contains(t, output, tc.want)
 		})
 	}
 }
 
-// The answer is lost and the log cannot be read: the printed command settles it.
-func TestPublishUnknownIsSettledLater(t *testing.T) {
+// The response to the append is lost and the log cannot be read, so the outcome of
+// publish is unknown. The command that it prints finds the outcome later, and exits
+// with code 5 while the log is unavailable.
+func TestSettleFindsUnknownOutcome(t *testing.T) {
 	log := start(t, "log", "-listen", "127.0.0.1:0").addresses["log"]
 	file := filepath.Join(t.TempDir(), "rota.json")
 	require.NoError(t, os.WriteFile(file, []byte(`{"name": "rota"}`), 0o600))
-	relay := newDeafRelay(t, log)
-	output, code := run("publish", "-log", relay, file)
+	proxyURL := startLossyLogProxy(t, log)
+	output, code := run("publish", "-log", proxyURL, file)
 	require.Equal(t, 5, code, output)
 	settle := regexp.MustCompile(`-settle (\S+)`).FindStringSubmatch(output)
 	require.Len(t, settle, 2, output)
@@ -63,37 +68,38 @@
 	output, code = run("profiles", "-log", log, "-settle", settle[1])
 	require.Equal(t, 0, code, output)
 	require.Equal(t, "accepted: profile rota at offset 0\n", output)
-	fault(t, log, `{"out": true}`)
+	setFault(t, log, `{"out": true}`)
 	_, code = run("profiles", "-log", log, "-settle", settle[1])
 	require.Equal(t, 5, code)
 }
 
-// newDeafRelay passes on to the log until the first append, whose answer it loses
-// with all that follows.
-func newDeafRelay(t *testing.T, log string) string {
+// startLossyLogProxy starts a logProxy and returns its URL.
+func startLossyLogProxy(t *testing.T, log string) string {
 	t.Helper()
-	rl := &relay{log: log}
-	return rl.listen(t)
+	proxy := &logProxy{log: log}
+	return proxy.start(t)
 }
 
-func TestTwoOperatorsAtOnce(t *testing.T) {
+// Of four concurrent publishes with the same base, one is accepted, and the others
+// exit with code 3, conflict.
+func TestConcurrentPublishesConflict(t *testing.T) {
 	log := start(t, "log", "-listen", "127.0.0.1:0").addresses["log"]
 	file := filepath.Join(t.TempDir(), "rota.json")
 	require.NoError(t, os.WriteFile(file, []byte(`{"name": "rota", "base": -1}`), 0o600))
 	const operators = 4
 	codes := make(chan int, operators)
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for range operators {
-		all.Go(func() {
+		group.Go(func() {
 			_, code := run("publish", "-log", log, file)
 			codes <- code
 		})
 	}
-	all.Wait()
+	group.Wait()
 	close(codes)
-	count := map[int]int{}
+	counts := map[int]int{}
 	for code := range codes {
-		count[code]++
+		counts[code]++
 	}
-	require.Equal(t, map[int]int{0: 1, 3: operators - 1}, count)
+	require.Equal(t, map[int]int{0: 1, 3: operators - 1}, counts)
 }
--- a/test/stream_test.go
+++ b/test/stream_test.go
@@ -23,100 +23,107 @@
 )
 
 const (
-	mib      = 1 << 20
-	large    = 512 * mib
-	resident = 96 * mib
+	mib       = 1 << 20
+	largeBody = 512 * mib
+	// maxResident is the highest peak of a node's resident memory, in bytes, that
+	// tests with large bodies allow.
+	maxResident = 96 * mib
 )
 
-// flow gives n bytes from a seed.
-func flow(n int64) io.Reader {
+// randomBytes returns a reader of n pseudorandom bytes, the same ones on every call.
+func randomBytes(n int64) io.Reader {
 	return io.LimitReader(rand.NewChaCha8([32]byte{1}), n)
 }
 
-func sum(t *testing.T, from io.Reader) (string, int64) {
+// checksum returns the SHA-256 checksum in hex, and the number of bytes.
+func checksum(t *testing.T, from io.Reader) (string, int64) {
 	t.Helper()
-	h := sha256.New()
-	n, err := io.Copy(h, from)
+	hash := sha256.New()
+	n, err := io.Copy(hash, from)
 	require.NoError(t, err)
-	return hex.EncodeToString(h.Sum(nil)), n
+	return hex.EncodeToString(hash.Sum(nil)), n
 }
 
-// Bodies of 512 MB go both ways through two nodes, which hold little of them.
+// Bodies of 512 MiB are forwarded in both directions through two nodes. A node that
+// buffered whole bodies would exceed the limit of resident memory.
 func TestLargeBodies(t *testing.T) {
-	m := startMesh(t)
-	m.serve(t, "evidence", listenHTTP(t, func(w http.ResponseWriter, rq *http.Request) {
-		if rq.Method == http.MethodGet {
-			w.Header().Set("Content-Length", fmt.Sprint(large))
-			_, _ = io.Copy(w, flow(large))
+	pair := startNodePair(t)
+	pair.announceTarget(t, "evidence", startHTTPTarget(t, func(w http.ResponseWriter, req *http.Request) {
+		if req.Method == http.MethodGet {
+			w.Header().Set("Content-Length", fmt.Sprint(largeBody))
+			_, _ = io.Copy(w, randomBytes(largeBody))
 			return
 		}
-		h := sha256.New()
-		n, _ := io.Copy(h, rq.Body)
-		_, _ = fmt.Fprintf(w, "%d %x", n, h.Sum(nil))
+		hash := sha256.New()
+		n, _ := io.Copy(hash, req.Body)
+		_, _ = fmt.Fprintf(w, "%d %x", n, hash.Sum(nil))
 	}))
-	want, _ := sum(t, flow(large))
-	for _, length := range []int64{large, -1} {
-		rq, err := http.NewRequest(http.MethodPost, "http://"+m.near.addresses["call"]+"/deck", flow(large))
+	want, _ := checksum(t, randomBytes(largeBody))
+	for _, length := range []int64{largeBody, -1} {
+		req, err := http.NewRequest(http.MethodPost, "http://"+pair.near.addresses["call"]+"/deck", randomBytes(largeBody))
 		require.NoError(t, err)
-		rq.Host, rq.ContentLength = "evidence", length
-		rq.Header.Set("Carobknot-Deadline", "120000")
-		rs, err := http.DefaultClient.Do(rq)
+		req.Host, req.ContentLength = "evidence", length
+		req.Header.Set("Carobknot-Deadline", "120000")
+		resp, err := http.DefaultClient.Do(req)
 		require.NoError(t, err)
-		data, err := io.ReadAll(rs.Body)
+		data, err := io.ReadAll(resp.Body)
 		require.NoError(t, err)
-		require.NoError(t, rs.Body.Close())
-		require.Equal(t, fmt.Sprintf("%d %s", large, want), string(data))
+		require.NoError(t, resp.Body.Close())
+		require.Equal(t, fmt.Sprintf("%d %s", largeBody, want), string(data))
 	}
 
-	rq, err := http.NewRequest(http.MethodGet, "http://"+m.near.addresses["call"]+"/deck", http.NoBody)
+	req, err := http.NewRequest(http.MethodGet, "http://"+pair.near.addresses["call"]+"/deck", http.NoBody)
 	require.NoError(t, err)
-	rq.Host = "evidence"
-	rs, err := http.DefaultClient.Do(rq)
+	req.Host = "evidence"
+	resp, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
-	got, n := sum(t, rs.Body)
-	require.NoError(t, rs.Body.Close())
-	require.Equal(t, int64(large), n)
-	require.Equal(t, want, got)
-	for _, node := range []*process{m.near, m.far} {
-		peak := node.peak(t)
+	actual, n := checksum(t, resp.Body)
+	require.NoError(t, resp.Body.Close())
+	require.Equal(t, int64(largeBody), n)
+	require.Equal(t, want, actual)
+	for _, node := range []*process{pair.near, pair.far} {
+		peak := node.peakMemory(t)
 		t.Logf("peak of %d MiB", peak/mib)
-		require.Less(t, peak, resident)
+		require.Less(t, peak, maxResident)
 	}
 }
 
-// A receiver that takes nothing stops the sender, and nothing piles up between.
+// A target that does not read its request blocks the caller's writes. Nodes without
+// backpressure would buffer the body and exceed the limit of resident memory.
 func TestBackpressure(t *testing.T) {
-	m := startMesh(t)
-	open := make(chan struct{})
-	release := sync.OnceFunc(func() { close(open) })
+	pair := startNodePair(t)
+	released := make(chan struct{})
+	release := sync.OnceFunc(func() { close(released) })
 	defer release()
-	m.serve(t, "evidence", listenHTTP(t, func(_ http.ResponseWriter, rq *http.Request) {
-		if rq.Method == http.MethodPost {
-			<-open
-			_, _ = io.Copy(io.Discard, rq.Body)
+	pair.announceTarget(t, "evidence", startHTTPTarget(t, func(_ http.ResponseWriter, req *http.Request) {
+		if req.Method == http.MethodPost {
+			<-released
+			_, _ = io.Copy(io.Discard, req.Body)
 		}
 	}))
-	cn, _ := m.dial(t)
-	_, err := fmt.Fprintf(cn, "POST /deck HTTP/1.1\r\nHost: evidence\r\nContent-Length: %d\r\n\r\n", large)
+	conn, _ := pair.dial(t)
+	_, err := fmt.Fprintf(conn, "POST /deck HTTP/1.1\r\nHost: evidence\r\nContent-Length: %d\r\n\r\n", largeBody)
 	require.NoError(t, err)
-	// The kernel's buffers and the nodes' take some bytes, and then no more.
-	require.NoError(t, cn.SetWriteDeadline(clock.Wall().Add(2*time.Second)))
-	n, err := io.Copy(cn, flow(large))
+	// The buffers of the kernel and the nodes accept some bytes; then writes block,
+	// until the write deadline.
+	require.NoError(t, conn.SetWriteDeadline(clock.Wall().Add(2*time.Second)))
+	n, err := io.Copy(conn, randomBytes(largeBody))
 	release()
 	require.Error(t, err)
-	require.Less(t, n, int64(resident))
-	require.Less(t, m.near.peak(t), resident)
-	require.Less(t, m.far.peak(t), resident)
+	require.Less(t, n, int64(maxResident))
+	require.Less(t, pair.near.peakMemory(t), maxResident)
+	require.Less(t, pair.far.peakMemory(t), maxResident)
 }
 
-// An upload that is cut never reaches the target as a whole one.
-func TestCutUpload(t *testing.T) {
-	m := startMesh(t)
-	ended := make(chan error, 10)
-	m.serve(t, "evidence", listenHTTP(t, func(_ http.ResponseWriter, rq *http.Request) {
-		if rq.Method == http.MethodPost {
-			_, err := io.Copy(io.Discard, rq.Body)
-			ended <- err
+// A caller closes its connection within the body, or sends an invalid chunk. The target
+// must get a read error, not a body that looks complete.
+func TestTruncatedUpload(t *testing.T) {
+	pair := startNodePair(t)
+	bodyErrors := make(chan error, 10)
+	pair.announceTarget(t, "evidence", startHTTPTarget(t, func(_ http.ResponseWriter, req *http.Request) {
+		if req.Method == http.MethodPost {
+			_, err := io.Copy(io.Discard, req.Body)
+			bodyErrors <- err
 		}
 	}))
 	long := strings.Repeat("x", mib)
@@ -126,20 +133,21 @@
 		"bad chunk": "Transfer-Encoding: chunked\r\n\r\n100000\r\n" + long + "\r\nzz\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			cn, _ := m.dial(t)
-			_, err := io.WriteString(cn, "POST /deck HTTP/1.1\r\nHost: evidence\r\n"+call)
+			conn, _ := pair.dial(t)
+			_, err := io.WriteString(conn, "POST /deck HTTP/1.1\r\nHost: evidence\r\n"+call)
 			require.NoError(t, err)
 			if !strings.HasSuffix(call, "zz\r\n") {
-				require.NoError(t, cn.Close())
+				require.NoError(t, conn.Close())
 			}
-			require.Error(t, await(t, ended, "the target was not told"), "the target must see that its body is not whole")
+			require.Error(t, awaitEvent(t, bodyErrors, "the target did not finish reading the body"), "the truncated body must not end without an error")
 		})
 	}
 }
 
-// An answer that is cut is never passed on as a whole one.
-func TestCutAnswer(t *testing.T) {
-	m := startMesh(t)
+// A target closes its connection within the response. The caller must get a read
+// error, not a response that looks complete.
+func TestTruncatedResponse(t *testing.T) {
+	pair := startNodePair(t)
 	for name, head := range map[string]string{
 		"length":    "Content-Length: 9000000\r\n\r\n",
 		"chunks":    "Transfer-Encoding: chunked\r\n\r\n10000\r\n",
@@ -147,191 +155,195 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			service := "cut-" + strings.ReplaceAll(name, " ", "-")
-			m.serve(t, service, listen(t, func(cn net.Conn, reader *bufio.Reader) {
+			pair.announceTarget(t, service, startRawTarget(t, func(conn net.Conn, reader *bufio.Reader) {
 				if _, err := http.ReadRequest(reader); err == nil {
-					_, _ = io.WriteString(cn, "HTTP/1.1 200 OK\r\n"+head+strings.Repeat("x", 1<<16))
+					_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+head+strings.Repeat("x", 1<<16))
 				}
 			}))
-			cn, reader := m.dial(t)
-			_, err := io.WriteString(cn, "GET /deck HTTP/1.1\r\nHost: "+service+"\r\n\r\n")
+			conn, reader := pair.dial(t)
+			_, err := io.WriteString(conn, "GET /deck HTTP/1.1\r\nHost: "+service+"\r\n\r\n")
 			require.NoError(t, err)
-			rs, err := http.ReadResponse(reader, nil)
+			resp, err := http.ReadResponse(reader, nil)
 			if err != nil {
-				return // cut before the head is no whole answer either
+				return // the connection was closed before the response's header: an error too
 			}
-			defer func() { _ = rs.Body.Close() }()
-			_, err = io.Copy(io.Discard, rs.Body)
-			require.Error(t, err, "the caller must see that its answer is not whole")
+			defer func() { _ = resp.Body.Close() }()
+			_, err = io.Copy(io.Discard, resp.Body)
+			require.Error(t, err, "the truncated response must not end without an error")
 		})
 	}
 }
 
-// An answer that ends with its connection can not be known to be whole.
-func TestAnswerWithoutLength(t *testing.T) {
-	m := startMesh(t)
-	m.serve(t, "endless", listen(t, func(cn net.Conn, reader *bufio.Reader) {
+// A response without Content-Length or chunks ends with its connection, so that a
+// truncated one looks complete. The caller gets kind cut and outcome unknown instead.
+func TestResponseWithoutLength(t *testing.T) {
+	pair := startNodePair(t)
+	pair.announceTarget(t, "endless", startRawTarget(t, func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := http.ReadRequest(reader); err == nil {
-			_, _ = io.WriteString(cn, "HTTP/1.1 200 OK\r\n\r\nhaul 17")
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\nhaul 17")
 		}
 	}))
-	an, err := ask(m.near, "endless", "haul 17")
+	resp, err := sendCall(pair.near, "endless", "haul 17")
 	require.NoError(t, err)
-	require.Equal(t, http.StatusBadGateway, an.status)
-	require.Equal(t, "cut", an.header.Get("Carobknot-Kind"))
-	require.Equal(t, "unknown", an.header.Get("Carobknot-Outcome"))
+	require.Equal(t, http.StatusBadGateway, resp.status)
+	require.Equal(t, "cut", resp.header.Get("Carobknot-Kind"))
+	require.Equal(t, "unknown", resp.header.Get("Carobknot-Outcome"))
 }
 
-// A caller that hangs up cancels the work at the target, from both nodes.
-func TestHangup(t *testing.T) {
-	m := startMesh(t)
-	began, gone := make(chan struct{}, 10), make(chan struct{}, 10)
-	address := listenHTTP(t, func(_ http.ResponseWriter, rq *http.Request) {
-		if rq.URL.Path == "/slow" {
-			began <- struct{}{}
-			<-rq.Context().Done()
-			gone <- struct{}{}
+// A caller that closes its connection cancels the request at the target, whichever
+// node received the call.
+func TestDisconnectCancelsRequest(t *testing.T) {
+	pair := startNodePair(t)
+	started, cancelled := make(chan struct{}, 10), make(chan struct{}, 10)
+	address := startHTTPTarget(t, func(_ http.ResponseWriter, req *http.Request) {
+		if req.URL.Path == "/slow" {
+			started <- struct{}{}
+			<-req.Context().Done()
+			cancelled <- struct{}{}
 		}
 	})
-	m.serve(t, "lookups", address)
-	for _, node := range []*process{m.near, m.far} {
-		cn, err := net.Dial("tcp", node.addresses["call"])
+	pair.announceTarget(t, "lookups", address)
+	for _, node := range []*process{pair.near, pair.far} {
+		conn, err := net.Dial("tcp", node.addresses["call"])
 		require.NoError(t, err)
-		_, err = io.WriteString(cn, "GET /slow HTTP/1.1\r\nHost: lookups\r\nCarobknot-Deadline: 60000\r\n\r\n")
+		_, err = io.WriteString(conn, "GET /slow HTTP/1.1\r\nHost: lookups\r\nCarobknot-Deadline: 60000\r\n\r\n")
 		require.NoError(t, err)
-		await(t, began, "the target was not called")
-		require.NoError(t, cn.Close())
-		await(t, gone, "the target was not told that the caller is gone")
+		awaitEvent(t, started, "the target was not called")
+		require.NoError(t, conn.Close())
+		awaitEvent(t, cancelled, "the request at the target was not cancelled")
 	}
 }
 
-// await returns the next event, or fails the test when none comes.
-func await[E any](t *testing.T, events <-chan E, failure string) E {
+// awaitEvent returns the next event, and fails the test if none comes within 10 s.
+func awaitEvent[E any](t *testing.T, events <-chan E, failure string) E {
 	t.Helper()
-	cx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	select {
 	case event := <-events:
 		return event
-	case <-cx.Done():
+	case <-ctx.Done():
 		require.FailNow(t, failure)
 		panic("not reached")
 	}
 }
 
-// A refusal uses nothing of a long body up: it reaches another target whole.
-func TestRefusedUpload(t *testing.T) {
-	m := startMesh(t)
+// One of two targets is busy and has no queue, so that attempts there are refused. The
+// body, longer than what the profile lets a node buffer, must reach the other target
+// complete: a node that consumed it for a refused attempt could not send it again.
+func TestUploadAfterRefusal(t *testing.T) {
+	pair := startNodePair(t)
 	file := filepath.Join(t.TempDir(), "uploads.json")
 	profile := `{"name": "lookups", "base": 0, "policy": "random", "queue": 0, "tries": 10, "once": "call", "keep": "1KiB", "deadline": "20s"}`
 	require.NoError(t, os.WriteFile(file, []byte(profile), 0o600))
-	output, code := run("publish", "-log", m.log, file)
+	output, code := run("publish", "-log", pair.log, file)
 	require.Equal(t, 0, code, output)
 
-	began, end := make(chan struct{}, 100), make(chan struct{})
-	defer close(end)
-	handler := func(w http.ResponseWriter, rq *http.Request) {
-		if rq.URL.Path == "/slow" {
-			began <- struct{}{}
-			<-end
+	started, released := make(chan struct{}, 100), make(chan struct{})
+	defer close(released)
+	handler := func(w http.ResponseWriter, req *http.Request) {
+		if req.URL.Path == "/slow" {
+			started <- struct{}{}
+			<-released
 		}
-		n, err := io.Copy(io.Discard, rq.Body)
+		n, err := io.Copy(io.Discard, req.Body)
 		_, _ = fmt.Fprintf(w, "%d %v", n, err)
 	}
 	for _, name := range []string{"one", "two"} {
-		announce(t, m.far, "evidence/"+name, listenHTTP(t, handler), 1)
+		announce(t, pair.far, "evidence/"+name, startHTTPTarget(t, handler), 1)
 	}
-	m.known(t, "evidence")
-	m.lists(t, "evidence/one", "evidence/two")
-	hold, _ := m.dial(t)
-	_, err := io.WriteString(hold, "GET /slow HTTP/1.1\r\nHost: evidence\r\n\r\n")
+	pair.waitForService(t, "evidence")
+	pair.waitForTargets(t, "evidence/one", "evidence/two")
+	slow, _ := pair.dial(t)
+	_, err := io.WriteString(slow, "GET /slow HTTP/1.1\r\nHost: evidence\r\n\r\n")
 	require.NoError(t, err)
-	await(t, began, "the target was not called")
+	awaitEvent(t, started, "the target was not called")
 	for range 10 {
-		rq, err := http.NewRequest(http.MethodPost, "http://"+m.near.addresses["call"]+"/deck", flow(8*mib))
+		req, err := http.NewRequest(http.MethodPost, "http://"+pair.near.addresses["call"]+"/deck", randomBytes(8*mib))
 		require.NoError(t, err)
-		rq.Host, rq.ContentLength = "evidence", 8*mib
-		rs, err := http.DefaultClient.Do(rq)
+		req.Host, req.ContentLength = "evidence", 8*mib
+		resp, err := http.DefaultClient.Do(req)
 		require.NoError(t, err)
-		data, err := io.ReadAll(rs.Body)
+		data, err := io.ReadAll(resp.Body)
 		require.NoError(t, err)
-		require.NoError(t, rs.Body.Close())
+		require.NoError(t, resp.Body.Close())
 		require.Equal(t, fmt.Sprintf("%d <nil>", 8*mib), string(data))
 	}
 }
 
-// A long body that was sent and got no answer can not be sent again, and the
-// caller is told so.
-func TestSpentUpload(t *testing.T) {
-	m := startMesh(t)
+// A target reads the body and closes its connection without a response. A body of this
+// length is not buffered, so the call cannot be retried; the response says so.
+func TestLongUploadIsNotRetried(t *testing.T) {
+	pair := startNodePair(t)
 	var calls atomic.Int64
-	m.serve(t, "evidence", listen(t, func(_ net.Conn, reader *bufio.Reader) {
-		if rq, err := http.ReadRequest(reader); err == nil && rq.Method == http.MethodPost {
+	pair.announceTarget(t, "evidence", startRawTarget(t, func(_ net.Conn, reader *bufio.Reader) {
+		if req, err := http.ReadRequest(reader); err == nil && req.Method == http.MethodPost {
 			calls.Add(1)
-			_, _ = io.Copy(io.Discard, rq.Body)
+			_, _ = io.Copy(io.Discard, req.Body)
 		}
 	}))
-	rq, err := http.NewRequest(http.MethodPost, "http://"+m.near.addresses["call"]+"/deck", flow(mib))
+	req, err := http.NewRequest(http.MethodPost, "http://"+pair.near.addresses["call"]+"/deck", randomBytes(mib))
 	require.NoError(t, err)
-	rq.Host, rq.ContentLength = "evidence", mib
-	rs, err := http.DefaultClient.Do(rq)
+	req.Host, req.ContentLength = "evidence", mib
+	resp, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
-	data, err := io.ReadAll(rs.Body)
+	data, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
-	require.NoError(t, rs.Body.Close())
-	require.Equal(t, http.StatusBadGateway, rs.StatusCode)
-	require.Equal(t, "cut", rs.Header.Get("Carobknot-Kind"))
-	require.Equal(t, "unknown", rs.Header.Get("Carobknot-Outcome"))
+	require.NoError(t, resp.Body.Close())
+	require.Equal(t, http.StatusBadGateway, resp.StatusCode)
+	require.Equal(t, "cut", resp.Header.Get("Carobknot-Kind"))
+	require.Equal(t, "unknown", resp.Header.Get("Carobknot-Outcome"))
 	require.Contains(t, string(data), "can not be sent again")
 	require.Equal(t, int64(1), calls.Load())
 }
 
-// A caller that hangs up while its call waits for a slot takes it out of the
-// queue: it never runs, and those behind it go on.
-func TestHangupInQueue(t *testing.T) {
-	m := startMesh(t)
-	began, end := make(chan string, 10), make(chan struct{})
-	release := sync.OnceFunc(func() { close(end) })
-	announce(t, m.far, "lookups/one", listenHTTP(t, func(_ http.ResponseWriter, rq *http.Request) {
-		if rq.URL.Path != "/ready" {
-			began <- rq.URL.Path
-			<-end
+// A caller closes its connection while its call waits in the queue of a target. The
+// call must leave the queue without running, and the next one must run.
+func TestDisconnectRemovesQueuedCall(t *testing.T) {
+	pair := startNodePair(t)
+	started, released := make(chan string, 10), make(chan struct{})
+	release := sync.OnceFunc(func() { close(released) })
+	announce(t, pair.far, "lookups/one", startHTTPTarget(t, func(_ http.ResponseWriter, req *http.Request) {
+		if req.URL.Path != "/ready" {
+			started <- req.URL.Path
+			<-released
 		}
 	}), 1)
 	t.Cleanup(release)
-	m.known(t, "lookups")
-	call := func(path string) (net.Conn, *bufio.Reader) {
-		cn, reader := m.dial(t)
-		_, err := io.WriteString(cn, "GET "+path+" HTTP/1.1\r\nHost: lookups\r\nCarobknot-Deadline: 60000\r\n\r\n")
+	pair.waitForService(t, "lookups")
+	send := func(path string) (net.Conn, *bufio.Reader) {
+		conn, reader := pair.dial(t)
+		_, err := io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: lookups\r\nCarobknot-Deadline: 60000\r\n\r\n")
 		require.NoError(t, err)
-		return cn, reader
+		return conn, reader
 	}
-	_, first := call("/first")
-	require.Equal(t, "/first", await(t, began, "the target was not called"))
-	second, _ := call("/second")
-	m.jobs(t, 2)
+	_, first := send("/first")
+	require.Equal(t, "/first", awaitEvent(t, started, "the target was not called"))
+	second, _ := send("/second")
+	pair.waitForJobs(t, 2)
 	require.NoError(t, second.Close())
-	m.jobs(t, 1)
-	_, third := call("/third")
-	m.jobs(t, 2)
+	pair.waitForJobs(t, 1)
+	_, third := send("/third")
+	pair.waitForJobs(t, 2)
 	release()
-	require.Equal(t, http.StatusOK, readAnswer(t, first).status)
-	require.Equal(t, http.StatusOK, readAnswer(t, third).status)
-	require.Equal(t, "/third", await(t, began, "the target was not called"))
+	require.Equal(t, http.StatusOK, readResponse(t, first).status)
+	require.Equal(t, http.StatusOK, readResponse(t, third).status)
+	require.Equal(t, "/third", awaitEvent(t, started, "the target was not called"))
 }
 
-// jobs waits until the far node has a number of calls at its targets, queued
-// ones included.
-func (m mesh) jobs(t *testing.T, calls int) {
+// waitForJobs waits until the far node has the given number of jobs, including queued
+// ones.
+func (np nodePair) waitForJobs(t *testing.T, count int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		rs, err := http.Get("http://" + m.far.addresses["admin"] + "/status")
+		resp, err := http.Get("http://" + np.far.addresses["admin"] + "/status")
 		if err != nil {
 			return false
 		}
-		defer func() { _ = rs.Body.Close() }()
+		defer func() { _ = resp.Body.Close() }()
 		var status struct {
 			Jobs int `json:"jobs"`
 		}
-		return json.NewDecoder(rs.Body).Decode(&status) == nil && status.Jobs == calls
+		return json.NewDecoder(resp.Body).Decode(&status) == nil && status.Jobs == count
 	}, 10*time.Second, 10*time.Millisecond)
 }
