--- a/internal/carobbehaviour/behaviour.go
+++ b/internal/carobbehaviour/behaviour.go
@@ -5,8 +5,8 @@
 import (
 	"encoding/json"
 
-	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
 // Behaviour is the service times and faults of a stand-in target.
@@ -33,7 +33,7 @@
 	// this field is set; 0 means none. The factor on service times falls linearly from
 	// Chill to 1 during the warm-up.
 	Cold  carobduration.Duration `json:"cold"`
-	Chill float64        `json:"chill"`
+	Chill float64                `json:"chill"`
 	// Fail answers every call with status 500, almost at once.
 	Fail bool `json:"fail"`
 	// Shed answers every call with status 503 at once, without running it.
--- a/internal/carobdemo/components.go
+++ b/internal/carobdemo/components.go
@@ -15,16 +15,16 @@
 	"github.com/carobknot/carobknot/internal/carobstandtarget"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobchange"
+	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
-	"github.com/carobknot/carobknot/pkg/carobprobelimits"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
+	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
-	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // nodeAddresses are the addresses of a node for calls and for administration.
--- a/internal/carobdemo/demo.go
+++ b/internal/carobdemo/demo.go
@@ -15,8 +15,8 @@
 	"github.com/carobknot/carobknot/internal/carobloader"
 	"github.com/carobknot/carobknot/internal/carobsummary"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobguarantee"
+	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobshare"
 )
--- a/internal/carobdemo/requests.go
+++ b/internal/carobdemo/requests.go
@@ -11,8 +11,8 @@
 
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
-	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobguarantee"
+	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboutcome"
 )
 
--- a/internal/carobemulator/caller.go
+++ b/internal/carobemulator/caller.go
@@ -7,11 +7,11 @@
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 )
 
 // maxWaitDivisor limits the wait before a retry to a third of the time left until
--- a/internal/carobemulator/emulator.go
+++ b/internal/carobemulator/emulator.go
@@ -12,13 +12,13 @@
 	"github.com/carobknot/carobknot/internal/carobscenario"
 	"github.com/carobknot/carobknot/internal/carobsummary"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
-	"github.com/carobknot/carobknot/pkg/carobschedule"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobroute"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
+	"github.com/carobknot/carobknot/pkg/carobschedule"
 	"github.com/carobknot/carobknot/pkg/carobtable"
 )
 
--- a/internal/carobemulator/target.go
+++ b/internal/carobemulator/target.go
@@ -9,9 +9,9 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobtargetload"
 	"github.com/carobknot/carobknot/pkg/carobstart"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 )
 
 // healthCheckTime is how long a health check takes.
--- a/internal/carobfault/fault.go
+++ b/internal/carobfault/fault.go
@@ -2,8 +2,8 @@
 package carobfault
 
 import (
-	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
 // Fault is the fault in force at a log, until the next one is set. The zero value means
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -7,15 +7,15 @@
 
 	"github.com/carobknot/carobknot/internal/carobdocument"
 	"github.com/carobknot/carobknot/pkg/carobcentre"
+	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobprobelimits"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobretrylimits"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobshare"
-	"github.com/carobknot/carobknot/pkg/carobduration"
-	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
 // Scenario is a deployment and its load.
@@ -32,7 +32,7 @@
 	// services.
 	Measure carobprobelimits.ProbeLimits `json:"measure"`
 	Retries carobretrylimits.RetryLimits `json:"retries"`
-	Profile carobprofile.Profile `json:"profile"`
+	Profile carobprofile.Profile         `json:"profile"`
 	// Services has at least one element.
 	Services []service `json:"services"`
 	// Kinds has at least one element. A kind must precede those that name it in Calls.
@@ -68,13 +68,13 @@
 	Rate float64 `json:"rate"`
 	// Work is the mean time that a target works on a call, and Spread its standard
 	// deviation as a share of the mean.
-	Work   carobduration.Duration   `json:"work"`
-	Spread carobshare.Share `json:"spread"`
+	Work   carobduration.Duration `json:"work"`
+	Spread carobshare.Share       `json:"spread"`
 	// Slo is the latency objective, Timeout the limit that the operator sets, and
 	// Deadline the time after which callers give up.
-	Slo      carobduration.Duration `json:"slo"`
-	Timeout  carobduration.Duration `json:"timeout"`
-	Deadline carobduration.Duration `json:"deadline"`
+	Slo      carobduration.Duration   `json:"slo"`
+	Timeout  carobduration.Duration   `json:"timeout"`
+	Deadline carobduration.Duration   `json:"deadline"`
 	Once     carobguarantee.Guarantee `json:"once"`
 	// Rank is the priority, 0 the highest.
 	Rank int `json:"rank"`
--- a/internal/carobstandtarget/target.go
+++ b/internal/carobstandtarget/target.go
@@ -15,8 +15,8 @@
 	"github.com/carobknot/carobknot/internal/carobbehaviour"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
-	"github.com/carobknot/carobknot/pkg/carobtargetid"
 	"github.com/carobknot/carobknot/pkg/carobname"
+	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
 // Config holds the settings of a target.
--- a/internal/carobstandtarget/target_test.go
+++ b/internal/carobstandtarget/target_test.go
@@ -16,8 +16,8 @@
 	"github.com/carobknot/carobknot/internal/carobbehaviour"
 	"github.com/carobknot/carobknot/internal/carobpattern"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
 // startTarget runs a target without a node and returns it and its URL.
--- a/internal/carobsummary/summary.go
+++ b/internal/carobsummary/summary.go
@@ -11,9 +11,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboutcome"
-	"github.com/carobknot/carobknot/pkg/carobduration"
 )
 
 // Config holds the settings of a summary.
