--- a/internal/carobpage/page.go
+++ b/internal/carobpage/page.go
@@ -1,4 +1,4 @@
-// Package carobpage holds what a read of the platform's log gives.
+// Package carobpage holds the result of reading a stream of the platform's log.
 package carobpage
 
 import (
@@ -6,13 +6,14 @@
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 )
 
-// Page is the records of a stream from an offset on.
+// Page holds consecutive records of a stream, from the requested offset on.
 type Page struct {
-	// Records are in the order of their offsets, without gaps.
+	// Records are in the order of their offsets, without gaps. Empty if the stream
+	// has no records from the requested offset on.
 	Records []carobrecord.Record `json:"records"`
-	// First is the first offset that the log still keeps.
+	// First is the lowest offset that the log still retains.
 	First caroboffset.Offset `json:"first"`
-	// Next is the offset after the last of Records, or the one asked for, or
-	// First if that is later.
+	// Next is the offset from which to continue: the one after the last record. If
+	// Records is empty, it is the requested offset, or First if that is higher.
 	Next caroboffset.Offset `json:"next"`
 }
--- a/internal/carobplatform/client.go
+++ b/internal/carobplatform/client.go
@@ -1,5 +1,5 @@
-// Package carobplatform speaks to the platform's log. Another log is another
-// file here that gives the same methods.
+// Package carobplatform is the HTTP client of the platform's log. To support
+// another log, add a client with the same methods in a file of this package.
 package carobplatform
 
 import (
@@ -18,84 +18,86 @@
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
 
-// Config is how a client is made.
+// Config holds the parameters of NewClient.
 type Config struct {
-	// URL is where the log answers.
+	// URL is the base URL of the log.
 	URL string
-	// Patience is how long one request may take, the wait for records aside.
+	// Patience is the timeout of a request, not counting the time for which Read
+	// waits for records.
 	Patience time.Duration
 }
 
-// Client reads and appends records.
+// Client appends records to the log and reads them.
 type Client struct {
 	config Config
 	http   *http.Client
 }
 
-// longest is the most bytes of one answer.
-const longest = 64 << 20
+// maxResponseSize is the maximum size of a response in bytes.
+const maxResponseSize = 64 << 20
 
-// NewClient returns a client.
+// NewClient returns a client of the log at c.URL. It opens no connection yet.
 func NewClient(c Config) *Client {
 	return &Client{config: c, http: &http.Client{}}
 }
 
-// Append appends a record. An error is LogOut if the record is certainly not in
-// the log, and Unsure if it may be.
-func (c *Client) Append(cx context.Context, stream carobstream.Stream, data []byte) (caroboffset.Offset, error) {
-	cx, cancel := context.WithTimeout(cx, c.config.Patience)
+// Append appends a record to a stream and returns its offset. The error is of
+// kind LogOut if the record was certainly not appended, and Unsure if it may have
+// been.
+func (c *Client) Append(ctx context.Context, stream carobstream.Stream, data []byte) (caroboffset.Offset, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.config.Patience)
 	defer cancel()
-	var answer struct {
+	var response struct {
 		Offset caroboffset.Offset `json:"offset"`
 	}
-	err := c.do(cx, http.MethodPost, c.path(stream), data, &answer)
-	return answer.Offset, err
+	err := c.do(ctx, http.MethodPost, c.path(stream), data, &response)
+	return response.Offset, err
 }
 
-// Read returns the records from an offset on, waiting for some if there are
-// none yet, with the first kept offset and the next one to come.
-func (c *Client) Read(cx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.Page, error) {
-	cx, cancel := context.WithTimeout(cx, c.config.Patience+wait)
+// Read returns the records of a stream from an offset on. If there are none yet,
+// the log holds the request for up to wait until one is appended.
+func (c *Client) Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.Page, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.config.Patience+wait)
 	defer cancel()
 	query := url.Values{}
 	query.Set("from", strconv.FormatInt(int64(from), 10))
 	query.Set("wait", strconv.FormatInt(int64(wait/time.Millisecond), 10))
-	var pg carobpage.Page
-	if err := c.do(cx, http.MethodGet, c.path(stream)+"?"+query.Encode(), nil, &pg); err != nil {
-		return pg, err
+	var page carobpage.Page
+	if err := c.do(ctx, http.MethodGet, c.path(stream)+"?"+query.Encode(), nil, &page); err != nil {
+		return page, err
 	}
-	for i := range pg.Records {
-		pg.Records[i].Stream = stream
+	for i := range page.Records {
+		page.Records[i].Stream = stream
 	}
-	return pg, nil
+	return page, nil
 }
 
 func (c *Client) path(stream carobstream.Stream) string {
 	return c.config.URL + "/streams/" + url.PathEscape(string(stream))
 }
 
-func (c *Client) do(cx context.Context, method, path string, body []byte, into any) error {
-	rq, err := http.NewRequestWithContext(cx, method, path, bytes.NewReader(body))
+func (c *Client) do(ctx context.Context, method, path string, body []byte, result any) error {
+	req, err := http.NewRequestWithContext(ctx, method, path, bytes.NewReader(body))
 	if err != nil {
-		return carobkind.Wrap(carobkind.Invalid, err, "make request to the log")
+		return carobkind.Wrap(carobkind.Invalid, err, "create request to the log")
 	}
-	rs, err := c.http.Do(rq)
+	resp, err := c.http.Do(req)
 	if err != nil {
-		return carobkind.Wrap(unsent(err), err, "ask the log")
+		return carobkind.Wrap(kindOfFailure(err), err, "ask the log")
 	}
-	defer func() { _ = rs.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(rs.Body, longest))
+	defer func() { _ = resp.Body.Close() }()
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseSize))
 	if err != nil {
-		return carobkind.Wrap(carobkind.Unsure, err, "read the log's answer")
+		return carobkind.Wrap(carobkind.Unsure, err, "read the log's response body")
 	}
-	if rs.StatusCode == http.StatusServiceUnavailable {
-		return carobkind.New(carobkind.LogOut, "the log answers status %d", rs.StatusCode)
+	if resp.StatusCode == http.StatusServiceUnavailable {
+		return carobkind.New(carobkind.LogOut, "the log responded with status %d", resp.StatusCode)
 	}
-	if rs.StatusCode != http.StatusOK {
-		return carobkind.New(carobkind.Unsure, "the log answers status %d", rs.StatusCode)
+	if resp.StatusCode != http.StatusOK {
+		return carobkind.New(carobkind.Unsure, "the log responded with status %d", resp.StatusCode)
 	}
-	if err := json.Unmarshal(data, into); err != nil {
-		return carobkind.Wrap(carobkind.Unsure, err, "decode the log's answer")
+	if err := json.Unmarshal(data, result); err != nil {
+		return carobkind.Wrap(carobkind.Unsure, err, "decode the log's response")
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/carobplatform/failure.go
@@ -0,0 +1,20 @@
+package carobplatform
+
+import (
+	"net"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/carobknot/carobknot/pkg/carobkind"
+)
+
+// kindOfFailure returns the kind of a failed request: LogOut if no connection
+// could be opened, since the log then cannot have appended anything, and Unsure
+// otherwise.
+func kindOfFailure(err error) carobkind.Kind {
+	var netErr *net.OpError
+	if errors.As(err, &netErr) && netErr.Op == "dial" {
+		return carobkind.LogOut
+	}
+	return carobkind.Unsure
+}
--- a/internal/carobtail/tail.go
+++ b/internal/carobtail/tail.go
@@ -1,4 +1,4 @@
-// Package carobtail follows streams of the platform's log.
+// Package carobtail reads streams of the platform's log continuously.
 package carobtail
 
 import (
@@ -18,10 +18,10 @@
 
 // reader reads records of the log.
 type reader interface {
-	Read(cx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.Page, error)
+	Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.Page, error)
 }
 
-// Config is how a tail is made.
+// Config holds the parameters of NewTail.
 type Config struct {
 	Stream  carobstream.Stream
 	Log     reader
@@ -31,59 +31,60 @@
 }
 
 const (
-	// wait is how long the log holds a read that finds nothing.
-	wait = 10 * time.Second
-	// pause is the time between two reads while the log is out.
-	pause = 200 * time.Millisecond
+	// longPollTimeout is how long the log may hold a read until there are records.
+	longPollTimeout = 10 * time.Second
+	// retryInterval is the time between two reads while the log is unavailable.
+	retryInterval = 200 * time.Millisecond
 )
 
-// Tail follows one stream.
+// Tail reads one stream and posts its records to the control goroutine's mailbox.
 type Tail struct {
 	config Config
 }
 
-// NewTail returns a tail.
+// NewTail returns a tail that reads nothing until Run is called.
 func NewTail(c Config) *Tail {
 	return &Tail{config: c}
 }
 
-// Run posts the records of the stream, from the first kept one on, until cx ends.
-// The first read waits for nothing, so that how far an empty stream reaches is
-// known at once.
-func (t *Tail) Run(cx context.Context) {
+// Run posts the records of the stream, from the first retained one on, until ctx
+// is done. The first read does not wait for records, so that the control goroutine
+// learns the bounds of an empty stream at once.
+func (t *Tail) Run(ctx context.Context) {
 	next := caroboffset.Offset(0)
-	out, hold := false, time.Duration(0)
-	for cx.Err() == nil {
-		pg, err := t.config.Log.Read(cx, t.config.Stream, next, hold)
+	failing, wait := false, time.Duration(0)
+	for ctx.Err() == nil {
+		page, err := t.config.Log.Read(ctx, t.config.Stream, next, wait)
 		if err != nil {
-			t.say(&out, err)
-			_ = t.config.Timer.Wait(cx, pause)
+			t.logChange(&failing, err)
+			_ = t.config.Timer.Wait(ctx, retryInterval)
 			continue
 		}
-		t.say(&out, nil)
-		next, hold = max(next, pg.Next), wait
-		t.post(pg)
+		t.logChange(&failing, nil)
+		next, wait = max(next, page.Next), longPollTimeout
+		t.post(page)
 	}
 }
 
-// post passes on what a read found.
-func (t *Tail) post(pg carobpage.Page) {
+// post posts the records of a page and the bounds of the stream.
+func (t *Tail) post(page carobpage.Page) {
 	t.config.Mailbox.Post(func(in *carobinbox.Inbox) {
-		in.Records = append(in.Records, pg.Records...)
-		in.Marks = append(in.Marks, carobmark.Mark{Stream: t.config.Stream, First: pg.First, Next: pg.Next})
+		in.Records = append(in.Records, page.Records...)
+		in.Marks = append(in.Marks, carobmark.Mark{Stream: t.config.Stream, First: page.First, Next: page.Next})
 	})
 }
 
-// say logs when the log goes out and when it is back.
-func (t *Tail) say(out *bool, err error) {
-	if *out == (err != nil) {
+// logChange logs the first of several failed reads, and the first read that
+// succeeds after them. failing holds whether the read before failed.
+func (t *Tail) logChange(failing *bool, err error) {
+	if *failing == (err != nil) {
 		return
 	}
-	*out = err != nil
+	*failing = err != nil
 	entry := t.config.Logger.WithField("stream", t.config.Stream)
-	if *out {
+	if *failing {
 		entry.WithError(err).Warn("log: stream cannot be read")
 		return
 	}
-	entry.Info("log: stream is read again")
+	entry.Info("log: stream can be read again")
 }
