--- a/internal/carobtracewriter/writer.go
+++ b/internal/carobtracewriter/writer.go
@@ -1,12 +1,12 @@
-// Package carobtracewriter writes what a node has to tell into the platform's log: the
-// hops of calls, the audit trail, and the records that systems order.
+// Package carobtracewriter writes what a node records into the platform's log: the
+// hops of calls, the audit trail, and the records that systems append.
 //
-// The log takes several hundred appends a second from all nodes together. So hops
-// and audit entries are collected, and each stream gets one append in a few
-// seconds, or one soon if there was none for that long. While the log is out they
-// are kept, up to a bound; what is dropped beyond it is counted, and the next
-// record says how much that was. An append whose answer is lost is made again, so
-// a batch may stand in the log twice; its number tells.
+// The log takes several hundred appends a second from all nodes together. Hops and
+// audit entries are therefore buffered, and each stream gets one append in 5 s, or
+// one within 200 ms if there was none for that long. While the log is unavailable
+// they are kept, up to a limit; the entries dropped beyond it are counted, and the
+// next record holds the count. An append whose response is lost is repeated, so a
+// batch may be in the log twice; readers recognise it by its number.
 package carobtracewriter
 
 import (
@@ -28,168 +28,175 @@
 
 // appender appends records to the log.
 type appender interface {
-	Append(cx context.Context, stream carobstream.Stream, data []byte) (caroboffset.Offset, error)
+	Append(ctx context.Context, stream carobstream.Stream, data []byte) (caroboffset.Offset, error)
 }
 
-// Config is how a trace writer is made.
+// Config holds the parameters of NewTraceWriter.
 type Config struct {
-	// Self names the node in the records.
+	// Self is named in the records as their source.
 	Self   carobmember.Member
 	Log    appender
 	Timer  *carobtimer.Timer
 	Logger *logrus.Entry
-	// Kept is the most bytes that are kept of each stream, packed.
+	// Kept limits the compressed entries that are buffered for each stream.
 	Kept carobsize.Size
 }
 
 const (
-	// linger is how long a first entry waits for others.
+	// linger is how long the first entry of a batch waits for others.
 	linger = 200 * time.Millisecond
-	// gap is the least time between two appends to a stream, and between two
-	// tries while the log is out.
-	gap = 5 * time.Second
-	// retry is the time between two tries of a record that a system ordered.
-	retry = 500 * time.Millisecond
-	// largest is about the most bytes of one record.
-	largest = 512 << 10
+	// appendInterval is the minimum time between two appends to a stream, and between
+	// two attempts while the log is unavailable.
+	appendInterval = 5 * time.Second
+	// retryInterval is the time between two attempts to append a system's record.
+	retryInterval = 500 * time.Millisecond
+	// recordSize is the size in bytes from which on no further batch is added to a
+	// record. The last batch may exceed it.
+	recordSize = 512 << 10
 )
 
-// TraceWriter writes into the log.
+// TraceWriter appends hops, audit entries and the records of systems to the log.
 type TraceWriter struct {
 	config Config
-	// writing is held while appends are made; mutex, only while state is touched.
-	writing sync.Mutex
-	mutex   sync.Mutex
-	// bundles has what is collected for a stream.
-	bundles map[carobstream.Stream]*bundle
-	// orders has the newest record ordered for each stream.
-	orders map[carobstream.Stream][]byte
-	// rung holds one element while there is something to do.
-	rung chan struct{}
+	// writeMutex serialises calls of write and is held while appends are made; mutex
+	// guards the state and is not held while the log is called.
+	writeMutex sync.Mutex
+	mutex      sync.Mutex
+	// buffers holds the entries of each buffered stream.
+	buffers map[carobstream.Stream]*buffer
+	// records holds the newest record that systems want to append to each stream.
+	records map[carobstream.Stream][]byte
+	// wake holds one element while there may be something to append.
+	wake chan struct{}
 }
 
-// NewTraceWriter returns a trace writer that does not write yet.
+// NewTraceWriter returns a trace writer that appends nothing until Run is called.
 func NewTraceWriter(c Config) *TraceWriter {
 	return &TraceWriter{
 		config: c,
-		bundles: map[carobstream.Stream]*bundle{
-			carobstream.Traces: newBundle(c), carobstream.Audit: newBundle(c),
+		buffers: map[carobstream.Stream]*buffer{
+			carobstream.Traces: newBuffer(c), carobstream.Audit: newBuffer(c),
 		},
-		orders: map[carobstream.Stream][]byte{},
-		rung:   make(chan struct{}, 1),
+		records: map[carobstream.Stream][]byte{},
+		wake:    make(chan struct{}, 1),
 	}
 }
 
-// Carry collects what a tick has to tell. It does not block on the log.
+// Carry takes the hops, audit entries and records of a tick for appending. It does
+// not wait for the log.
 func (t *TraceWriter) Carry(out *caroboutbox.Outbox) {
 	if len(out.Hops) == 0 && len(out.Audits) == 0 && len(out.Appends) == 0 {
 		return
 	}
 	t.mutex.Lock()
 	for i := range out.Hops {
-		t.bundles[carobstream.Traces].add(&out.Hops[i])
+		t.buffers[carobstream.Traces].add(&out.Hops[i])
 	}
 	for i := range out.Audits {
 		t.audit(&out.Audits[i])
 	}
 	for _, ap := range out.Appends {
-		t.orders[ap.Stream] = ap.Data
+		t.records[ap.Stream] = ap.Data
 	}
 	t.mutex.Unlock()
-	t.ring()
+	t.signal()
 }
 
-func (t *TraceWriter) ring() {
+// signal wakes Run. It does not block.
+func (t *TraceWriter) signal() {
 	select {
-	case t.rung <- struct{}{}:
+	case t.wake <- struct{}{}:
 	default:
 	}
 }
 
-// audit logs an entry and collects it.
-func (t *TraceWriter) audit(au *carobaudit.Audit) {
-	if au.When.IsZero() {
-		au.When = t.config.Timer.Wall().UTC()
+// audit logs an audit entry and, unless it is local, adds it to the audit stream.
+func (t *TraceWriter) audit(entry *carobaudit.Audit) {
+	if entry.When.IsZero() {
+		entry.When = t.config.Timer.Wall().UTC()
 	}
 	t.config.Logger.WithFields(logrus.Fields{
-		"part": au.Part, "who": au.Who, "what": au.What, "from": au.From, "to": au.To,
+		"part": entry.Part, "who": entry.Who, "what": entry.What, "from": entry.From, "to": entry.To,
 	}).Info("audit: changed")
-	if !au.Local {
-		t.bundles[carobstream.Audit].add(au)
+	if !entry.Local {
+		t.buffers[carobstream.Audit].add(entry)
 	}
 }
 
-// Lost returns how many hops and audit entries were dropped.
+// Lost returns how many hops and audit entries were dropped since the start.
 func (t *TraceWriter) Lost() (hops, audits int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.bundles[carobstream.Traces].dropped, t.bundles[carobstream.Audit].dropped
+	return t.buffers[carobstream.Traces].dropped, t.buffers[carobstream.Audit].dropped
 }
 
-// Run writes until cx ends.
-func (t *TraceWriter) Run(cx context.Context) {
-	set := t.config.Timer.Subscribe(t.ring)
-	defer set(carobinstant.Never)
+// Run appends what is due until ctx is done.
+func (t *TraceWriter) Run(ctx context.Context) {
+	wakeAt := t.config.Timer.Subscribe(t.signal)
+	defer wakeAt(carobinstant.Never)
 	for {
 		select {
-		case <-cx.Done():
+		case <-ctx.Done():
 			return
-		case <-t.rung:
+		case <-t.wake:
 		}
-		set(t.write(cx, false))
+		wakeAt(t.write(ctx, false))
 	}
 }
 
-// Flush writes all that is left, if the log takes it at once.
-func (t *TraceWriter) Flush(cx context.Context) {
-	t.write(cx, true)
+// Flush tries once to append the next record of every stream, whether due or not.
+func (t *TraceWriter) Flush(ctx context.Context) {
+	t.write(ctx, true)
 }
 
-// write makes the appends that are due, or all, and returns when the next one is.
-func (t *TraceWriter) write(cx context.Context, all bool) carobinstant.Instant {
-	t.writing.Lock()
-	defer t.writing.Unlock()
-	next := t.writeOrders(cx)
-	for stream, bd := range t.bundles {
+// write makes the appends that are due, or all that there are, and returns when the
+// next one is due, or Never.
+func (t *TraceWriter) write(ctx context.Context, all bool) carobinstant.Instant {
+	t.writeMutex.Lock()
+	defer t.writeMutex.Unlock()
+	next := t.writeRecords(ctx)
+	for stream, entries := range t.buffers {
 		t.mutex.Lock()
 		now := t.config.Timer.Now()
-		due := bd.due(now)
+		due := entries.due(now)
 		var data []byte
 		if due.Reached(now) || all && due != carobinstant.Never {
-			data = bd.take(now)
-			due = now.Add(gap)
+			data = entries.nextRecord(now)
+			due = now.Add(appendInterval)
 		}
 		t.mutex.Unlock()
 		next = carobinstant.Earlier(next, due)
 		if data == nil {
 			continue
 		}
-		_, err := t.config.Log.Append(cx, stream, data)
+		_, err := t.config.Log.Append(ctx, stream, data)
 		t.mutex.Lock()
-		bd.settle(err == nil)
+		entries.endAppend(err == nil)
 		t.mutex.Unlock()
 		if err != nil {
-			t.config.Logger.WithField("stream", stream).WithError(err).Warn("log: append is put off")
+			t.config.Logger.WithField("stream", stream).WithError(err).Warn("log: append failed, will be retried")
 		}
 	}
 	return next
 }
 
-// writeOrders appends the records that systems ordered.
-func (t *TraceWriter) writeOrders(cx context.Context) carobinstant.Instant {
+// writeRecords appends the records of systems. It returns when to retry those that
+// failed, or Never if none did. A newer record of the same stream replaces a failed
+// one.
+func (t *TraceWriter) writeRecords(ctx context.Context) carobinstant.Instant {
 	t.mutex.Lock()
-	orders := t.orders
-	t.orders = map[carobstream.Stream][]byte{}
+	records := t.records
+	t.records = map[carobstream.Stream][]byte{}
 	t.mutex.Unlock()
 	next := carobinstant.Never
-	for stream, data := range orders {
-		if _, err := t.config.Log.Append(cx, stream, data); err == nil {
+	for stream, data := range records {
+		if _, err := t.config.Log.Append(ctx, stream, data); err == nil {
 			continue
 		}
-		next = t.config.Timer.Now().Add(retry)
+		next = t.config.Timer.Now().Add(retryInterval)
 		t.mutex.Lock()
-		if _, newer := t.orders[stream]; !newer {
-			t.orders[stream] = data
+		if _, newer := t.records[stream]; !newer {
+			t.records[stream] = data
 		}
 		t.mutex.Unlock()
 	}
--- a/internal/carobtracewriter/writer_test.go
+++ b/internal/carobtracewriter/writer_test.go
@@ -26,44 +26,46 @@
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
 
-// fakeLog keeps what is appended, or refuses it while out.
+// fakeLog is a log in memory. While unavailable is set, appends fail.
 type fakeLog struct {
-	mutex   sync.Mutex
-	out     bool
-	records map[carobstream.Stream][][]byte
-	grown   chan carobstream.Stream
+	mutex       sync.Mutex
+	unavailable bool
+	records     map[carobstream.Stream][][]byte
+	// appended receives the stream of each record.
+	appended chan carobstream.Stream
 }
 
 func newFakeLog() *fakeLog {
-	return &fakeLog{records: map[carobstream.Stream][][]byte{}, grown: make(chan carobstream.Stream, 100)}
+	return &fakeLog{records: map[carobstream.Stream][][]byte{}, appended: make(chan carobstream.Stream, 100)}
 }
 
 func (l *fakeLog) Append(_ context.Context, stream carobstream.Stream, data []byte) (caroboffset.Offset, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.out {
+	if l.unavailable {
 		return 0, carobkind.LogOut
 	}
 	l.records[stream] = append(l.records[stream], data)
-	l.grown <- stream
+	l.appended <- stream
 	return 0, nil
 }
 
-func (l *fakeLog) setOut(out bool) {
+func (l *fakeLog) setUnavailable(unavailable bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.out = out
+	l.unavailable = unavailable
 }
 
-// unpack returns the entries of a stream and how many were told lost.
-func (l *fakeLog) unpack(t *testing.T, stream carobstream.Stream) (entries, lost int) {
+// readEntries returns how many entries the records of a stream hold, and how many
+// they report as lost.
+func (l *fakeLog) readEntries(t *testing.T, stream carobstream.Stream) (entries, lost int) {
 	t.Helper()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, record := range l.records[stream] {
-		unpacker, err := gzip.NewReader(bytes.NewReader(record))
+		reader, err := gzip.NewReader(bytes.NewReader(record))
 		require.NoError(t, err)
-		lines := bufio.NewScanner(unpacker)
+		lines := bufio.NewScanner(reader)
 		for lines.Scan() {
 			var head struct {
 				Node          string
@@ -97,56 +99,64 @@
 	return &caroboutbox.Outbox{Hops: make([]carobhop.Hop, n)}
 }
 
-func TestHopsAndAuditsAreWritten(t *testing.T) {
+// Guards against hops or audit entries that never reach the log, and against local
+// audit entries, which the log has already, being appended again.
+func TestHopsAndAuditEntriesAreAppended(t *testing.T) {
 	log := newFakeLog()
-	sc, lines := newTraceWriter(t, log)
-	sc.Carry(&caroboutbox.Outbox{
+	writer, lines := newTraceWriter(t, log)
+	writer.Carry(&caroboutbox.Outbox{
 		Hops:   make([]carobhop.Hop, 3),
 		Audits: []carobaudit.Audit{{Part: "target", Who: "first", What: "rota/a", From: "ready", To: "leaving"}, {Part: "profile", Local: true}},
 	})
 	require.Contains(t, lines.String(), "audit: changed")
-	go sc.Run(t.Context())
-	seen := map[carobstream.Stream]bool{<-log.grown: true, <-log.grown: true}
+	go writer.Run(t.Context())
+	seen := map[carobstream.Stream]bool{<-log.appended: true, <-log.appended: true}
 	require.True(t, seen[carobstream.Traces] && seen[carobstream.Audit])
-	entries, lost := log.unpack(t, carobstream.Traces)
+	entries, lost := log.readEntries(t, carobstream.Traces)
 	require.Equal(t, 3, entries)
 	require.Zero(t, lost)
-	entries, _ = log.unpack(t, carobstream.Audit)
-	require.Equal(t, 1, entries, "what the log has already is not written again")
+	entries, _ = log.readEntries(t, carobstream.Audit)
+	require.Equal(t, 1, entries, "a local audit entry was appended to the log")
 }
 
-func TestManyHopsAreOneAppend(t *testing.T) {
+// Guards against an append for each tick, which would exceed the several hundred
+// appends a second that the log takes from all nodes.
+func TestManyHopsShareOneAppend(t *testing.T) {
 	log := newFakeLog()
-	sc, _ := newTraceWriter(t, log)
+	writer, _ := newTraceWriter(t, log)
 	for range 50 {
-		sc.Carry(hops(100))
+		writer.Carry(hops(100))
 	}
-	sc.Flush(t.Context())
+	writer.Flush(t.Context())
 	require.Len(t, log.records[carobstream.Traces], 1)
-	entries, _ := log.unpack(t, carobstream.Traces)
+	entries, _ := log.readEntries(t, carobstream.Traces)
 	require.Equal(t, 5000, entries)
 }
 
-func TestOutageIsBridged(t *testing.T) {
+// Guards against the loss of entries, as long as they are within the limit, when
+// appends fail.
+func TestEntriesAreKeptWhileTheLogIsUnavailable(t *testing.T) {
 	log := newFakeLog()
-	sc, _ := newTraceWriter(t, log)
-	log.setOut(true)
+	writer, _ := newTraceWriter(t, log)
+	log.setUnavailable(true)
 	for range 20 {
-		sc.Carry(hops(1000))
-		sc.Flush(t.Context())
+		writer.Carry(hops(1000))
+		writer.Flush(t.Context())
 	}
-	log.setOut(false)
-	sc.Flush(t.Context())
-	entries, lost := log.unpack(t, carobstream.Traces)
+	log.setUnavailable(false)
+	writer.Flush(t.Context())
+	entries, lost := log.readEntries(t, carobstream.Traces)
 	require.Equal(t, 20_000, entries)
 	require.Zero(t, lost)
 }
 
-// What does not fit is dropped, the oldest first, and counted in the next record.
-func TestLossIsBoundedAndCounted(t *testing.T) {
+// Guards against unbounded memory while the log is unavailable: entries beyond the
+// limit are dropped, the oldest first, and the next record holds their count. The
+// traces are random so that they do not compress below the limit.
+func TestOldestEntriesAreDroppedAndCountedBeyondTheLimit(t *testing.T) {
 	log := newFakeLog()
-	sc, _ := newTraceWriter(t, log)
-	log.setOut(true)
+	writer, _ := newTraceWriter(t, log)
+	log.setUnavailable(true)
 	const all = 20_000
 	random := uint64(1)
 	for range all / 1000 {
@@ -159,16 +169,16 @@
 			}
 			out.Hops[i].Trace = string(trace)
 		}
-		sc.Carry(out)
+		writer.Carry(out)
 	}
-	log.setOut(false)
-	sc.Carry(hops(1))
+	log.setUnavailable(false)
+	writer.Carry(hops(1))
 	for range 100 {
-		sc.Flush(t.Context())
+		writer.Flush(t.Context())
 	}
-	dropped, _ := sc.Lost()
+	dropped, _ := writer.Lost()
 	require.Positive(t, dropped)
-	entries, lost := log.unpack(t, carobstream.Traces)
+	entries, lost := log.readEntries(t, carobstream.Traces)
 	require.Equal(t, all+1, entries+dropped)
 	require.Equal(t, dropped, lost)
 	for _, record := range log.records[carobstream.Traces] {
@@ -176,19 +186,21 @@
 	}
 }
 
-func TestOrdersAreRetriedAndTheNewestWins(t *testing.T) {
+// Guards against a failed append of a system's record that is not repeated, and
+// against one that is repeated although a newer record has replaced it.
+func TestNewestRecordOfAStreamIsRetried(t *testing.T) {
 	log := newFakeLog()
-	sc, _ := newTraceWriter(t, log)
-	log.setOut(true)
+	writer, _ := newTraceWriter(t, log)
+	log.setUnavailable(true)
 	order := func(data string) *caroboutbox.Outbox {
 		return &caroboutbox.Outbox{Appends: []carobappend.Append{{Stream: carobstream.Nodes, Data: []byte(data)}}}
 	}
-	sc.Carry(order("old"))
-	sc.Flush(t.Context())
-	sc.Carry(order("new"))
-	go sc.Run(t.Context())
-	log.setOut(false)
-	require.Equal(t, carobstream.Nodes, <-log.grown)
+	writer.Carry(order("old"))
+	writer.Flush(t.Context())
+	writer.Carry(order("new"))
+	go writer.Run(t.Context())
+	log.setUnavailable(false)
+	require.Equal(t, carobstream.Nodes, <-log.appended)
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	require.Equal(t, [][]byte{[]byte("new")}, log.records[carobstream.Nodes])
