--- a/internal/carobclaimlog/claimlog.go
+++ b/internal/carobclaimlog/claimlog.go
@@ -1,5 +1,5 @@
-// Package carobclaimlog carries out what the home of idempotency keys decides:
-// it appends batches of claims to the log, and follows their streams.
+// Package carobclaimlog appends batches of claims to the log and reads the streams
+// of claims, for the shards of which this node is the home.
 package carobclaimlog
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
 
-// Config is how a claim log is made.
+// Config holds the parameters of NewClaimLog.
 type Config struct {
 	Log     *carobplatform.Client
 	Mailbox *carobmailbox.Mailbox
@@ -27,53 +27,59 @@
 	Logger  *logrus.Entry
 }
 
-// ClaimLog speaks to the log for the shards that the node is home of.
+// ClaimLog carries out the appends and subscriptions of the home of idempotency keys.
 type ClaimLog struct {
 	config Config
-	// context ends all appends and tails.
-	context context.Context
-	// stops ends the tail of each stream that is followed. It belongs to the
-	// goroutine that calls Carry.
-	stops map[carobstream.Stream]context.CancelFunc
+	// ctx ends all appends and tails.
+	ctx context.Context
+	// cancels holds the function that ends the tail of each stream being read. Only
+	// the goroutine that calls Carry uses it.
+	cancels map[carobstream.Stream]context.CancelFunc
 }
 
-// NewClaimLog returns a claim log that follows nothing. It ends with cx.
-func NewClaimLog(cx context.Context, c Config) *ClaimLog {
-	return &ClaimLog{config: c, context: cx, stops: map[carobstream.Stream]context.CancelFunc{}}
+// NewClaimLog returns a claim log that reads no stream yet. Its appends and tails
+// end when ctx is done.
+func NewClaimLog(ctx context.Context, c Config) *ClaimLog {
+	return &ClaimLog{config: c, ctx: ctx, cancels: map[carobstream.Stream]context.CancelFunc{}}
 }
 
-// Carry starts what the control goroutine decided.
+// Carry starts and stops reading streams, and starts the appends of a tick. It does
+// not wait for the log.
 func (c *ClaimLog) Carry(out *caroboutbox.Outbox) {
-	for _, fl := range out.Follows {
-		c.stop(fl.Stream)
-		if fl.On {
-			c.follow(fl.Stream)
+	for _, subscription := range out.Follows {
+		c.stop(subscription.Stream)
+		if subscription.On {
+			c.start(subscription.Stream)
 		}
 	}
-	for _, cm := range out.Commits {
-		go c.commit(cm)
+	for _, request := range out.Commits {
+		go c.appendBatch(request)
 	}
 }
 
+// stop stops reading a stream, if it is being read.
 func (c *ClaimLog) stop(stream carobstream.Stream) {
-	if stop, ok := c.stops[stream]; ok {
-		stop()
-		delete(c.stops, stream)
+	if cancel, ok := c.cancels[stream]; ok {
+		cancel()
+		delete(c.cancels, stream)
 	}
 }
 
-func (c *ClaimLog) follow(stream carobstream.Stream) {
-	cx, cancel := context.WithCancel(c.context)
-	c.stops[stream] = cancel
+// start starts reading a stream from its first retained record on.
+func (c *ClaimLog) start(stream carobstream.Stream) {
+	ctx, cancel := context.WithCancel(c.ctx)
+	c.cancels[stream] = cancel
 	tail := carobtail.NewTail(carobtail.Config{
 		Stream: stream, Log: c.config.Log, Mailbox: c.config.Mailbox, Timer: c.config.Timer, Logger: c.config.Logger,
 	})
-	go tail.Run(cx)
+	go tail.Run(ctx)
 }
 
-// commit appends once. Whether the record landed in doubt is found out by reading.
-func (c *ClaimLog) commit(cm carobcommit.Commit) {
-	_, err := c.config.Log.Append(c.context, cm.Stream, cm.Data)
-	cd := carobcommitted.Committed{Stream: cm.Stream, Number: cm.Number, Kind: carobkind.Of(err)}
-	c.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Committed = append(in.Committed, cd) })
+// appendBatch makes one attempt to append a batch and posts the result. After an
+// uncertain one, the control goroutine finds out from the records of the stream
+// whether the batch was appended.
+func (c *ClaimLog) appendBatch(request carobcommit.Commit) {
+	_, err := c.config.Log.Append(c.ctx, request.Stream, request.Data)
+	result := carobcommitted.Committed{Stream: request.Stream, Number: request.Number, Kind: carobkind.Of(err)}
+	c.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Committed = append(in.Committed, result) })
 }
--- a/internal/carobledger/ledger.go
+++ b/internal/carobledger/ledger.go
@@ -1,5 +1,5 @@
-// Package carobledger reads all profiles and their changes from the platform's
-// log, for the command line.
+// Package carobledger reads all profiles and their changes from the platform's log,
+// for the command line.
 package carobledger
 
 import (
@@ -20,26 +20,29 @@
 
 // reader reads records of the log.
 type reader interface {
-	Read(cx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.Page, error)
+	Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.Page, error)
 }
 
-// Config is how a ledger is made.
+// Config holds the parameters of NewLedger.
 type Config struct {
 	Log reader
 }
 
-// Ledger is the profiles as the log has them. It uses the fold of the nodes.
+// Ledger holds the profiles and their changes as recorded in the log. It applies
+// records with the same system as the nodes, so that both reach the same result.
 type Ledger struct {
 	log   reader
 	world *carobworld.World
 	fold  *carobfold.System
-	// next is the offset to read on from; first is the first one that is kept.
+	// next is the offset from which to continue reading; first is the lowest offset
+	// that the log retains.
 	next, first caroboffset.Offset
-	// History has what became of the changes that are kept, in their order.
+	// History holds the results of the changes that were read, in the order of the
+	// log.
 	History []carobchangeresult.ChangeResult
 }
 
-// NewLedger returns a ledger that has read nothing.
+// NewLedger returns an empty ledger. Read fills it.
 func NewLedger(c Config) *Ledger {
 	return &Ledger{
 		log: c.Log, fold: carobfold.NewSystem(),
@@ -47,25 +50,27 @@
 	}
 }
 
-// Read reads up to the present end of the log.
-func (l *Ledger) Read(cx context.Context) error {
+// Read applies all records up to the present end of the log. It can be called again
+// to apply later ones.
+func (l *Ledger) Read(ctx context.Context) error {
 	for {
-		pg, err := l.log.Read(cx, carobstream.Profiles, l.next, 0)
+		page, err := l.log.Read(ctx, carobstream.Profiles, l.next, 0)
 		if err != nil {
 			return err
 		}
-		l.first, l.next = pg.First, max(l.next, pg.Next)
-		if len(pg.Records) == 0 {
+		l.first, l.next = page.First, max(l.next, page.Next)
+		if len(page.Records) == 0 {
 			return nil
 		}
-		l.world.Begin(carobinbox.Inbox{Records: pg.Records})
+		l.world.Begin(carobinbox.Inbox{Records: page.Records})
 		l.fold.Run(l.world, 1)
 		l.History = append(l.History, l.world.Outbox.ChangeResults...)
 	}
 }
 
-// Whole reports whether all that was read is folded in. Otherwise the log keeps
-// neither the first changes nor a snapshot that makes up for them.
+// Whole reports whether all records that were read could be applied. If it is
+// false, the first changes have expired from the log and it holds no snapshot that
+// replaces them.
 func (l *Ledger) Whole() bool {
 	return l.world.ProfilesRead+1 >= l.next
 }
@@ -75,33 +80,35 @@
 	return l.next
 }
 
-// InForce returns the profiles in force.
+// InForce returns the revisions in force, one for each profile.
 func (l *Ledger) InForce() []carobrevision.Revision {
 	return l.world.TakeSnapshot().Revisions
 }
 
-// Of returns the offset of the profile in force under a name, or None.
+// Of returns the offset of the revision in force of a profile, or None if there is
+// no such profile.
 func (l *Ledger) Of(name carobword.Word) caroboffset.Offset {
-	if rv := l.world.Profiles.Get(name); rv != nil {
-		return rv.Offset
+	if revision := l.world.Profiles.Get(name); revision != nil {
+		return revision.Offset
 	}
 	return caroboffset.None
 }
 
-// Find returns what became of a change, by its ID. A change that was appended
-// more than once won if one of its records did.
+// Find returns the result of the change with an ID. A change that was appended more
+// than once was accepted if one of its records was. A change whose record has
+// expired is found while its revision is in force.
 func (l *Ledger) Find(id string) (found carobchangeresult.ChangeResult, ok bool) {
-	for _, cr := range l.History {
-		if cr.Change.ID == id && (cr.Won || !ok) {
-			found, ok = cr, true
+	for _, result := range l.History {
+		if result.Change.ID == id && (result.Won || !ok) {
+			found, ok = result, true
 		}
 		if ok && found.Won {
 			return found, true
 		}
 	}
-	for _, rv := range l.InForce() {
-		if rv.Change.ID == id {
-			return carobchangeresult.ChangeResult{Change: rv.Change, Offset: rv.Offset, Won: true}, true
+	for _, revision := range l.InForce() {
+		if revision.Change.ID == id {
+			return carobchangeresult.ChangeResult{Change: revision.Change, Offset: revision.Offset, Won: true}, true
 		}
 	}
 	return found, ok
