--- a/internal/carobenroller/enroller.go
+++ b/internal/carobenroller/enroller.go
@@ -1,5 +1,5 @@
-// Package carobenroller has a node put its word into a directory that all nodes
-// share, and read there where the others are.
+// Package carobenroller writes the description of this node (its member) into a
+// directory that all nodes share, and reads the descriptions of the others there.
 package carobenroller
 
 import (
@@ -19,13 +19,15 @@
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
 
-// directory keeps the newest word of each node.
+// directory holds the newest member of each node, encoded.
 type directory interface {
-	Enrol(cx context.Context, node carobnodeid.ID, word []byte) error
-	Words(cx context.Context) ([][]byte, error)
+	// Enrol writes the member of a node.
+	Enrol(ctx context.Context, node carobnodeid.ID, member []byte) error
+	// Words returns the members of all nodes.
+	Words(ctx context.Context) ([][]byte, error)
 }
 
-// Config is how an enroller is made.
+// Config holds the parameters of NewEnroller.
 type Config struct {
 	Node      carobnodeid.ID
 	Directory directory
@@ -35,90 +37,95 @@
 }
 
 const (
-	// The time between two tries grows from the first to the last, and each is up to
-	// twice as long by chance, so that nodes that start together spread.
-	firstPause, lastPause = 200 * time.Millisecond, 2 * time.Second
-	// patience is how long one request may take.
-	patience = time.Second
+	// The backoff grows from the first value to the second. Jitter of up to the same
+	// time is added, so that nodes that start together do not retry together.
+	minBackoff, maxBackoff = 200 * time.Millisecond, 2 * time.Second
+	// requestTimeout is the timeout of one request to the directory.
+	requestTimeout = time.Second
 )
 
 // Enroller writes and reads the directory.
 type Enroller struct {
 	config Config
 	mutex  sync.Mutex
-	// word is the newest that is to be written; nil if there is none.
-	word []byte
-	rung chan struct{}
+	// member is the newest one to be written, encoded; nil before the first.
+	member []byte
+	// wake holds one element after member has changed.
+	wake chan struct{}
 }
 
-// NewEnroller returns an enroller that does nothing yet.
+// NewEnroller returns an enroller that does nothing until Run is called.
 func NewEnroller(c Config) *Enroller {
-	return &Enroller{config: c, rung: make(chan struct{}, 1)}
+	return &Enroller{config: c, wake: make(chan struct{}, 1)}
 }
 
-// Carry takes note of a word to be written.
+// Carry takes the newest member that the tick appends to the stream of nodes. It
+// does not wait for the directory.
 func (e *Enroller) Carry(out *caroboutbox.Outbox) {
 	for _, ap := range out.Appends {
 		if ap.Stream != carobstream.Nodes {
 			continue
 		}
 		e.mutex.Lock()
-		e.word = ap.Data
+		e.member = ap.Data
 		e.mutex.Unlock()
 		select {
-		case e.rung <- struct{}{}:
+		case e.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Run writes each word and then reads those of the others, until cx ends. In this
-// order, of two nodes that start together one finds the other.
-func (e *Enroller) Run(cx context.Context) {
+// Run writes the node's member after each change and then reads those of all nodes,
+// until ctx is done. It writes before it reads, so that of two nodes that start
+// together at least one finds the other.
+func (e *Enroller) Run(ctx context.Context) {
 	for {
 		select {
-		case <-cx.Done():
+		case <-ctx.Done():
 			return
-		case <-e.rung:
+		case <-e.wake:
 		}
-		e.persist(cx, "directory: own word is not written", e.enrol)
-		e.persist(cx, "directory: words are not read", e.list)
+		e.retry(ctx, "directory: own member cannot be written", e.write)
+		e.retry(ctx, "directory: members cannot be read", e.read)
 	}
 }
 
-// persist tries until it works or cx ends.
-func (e *Enroller) persist(cx context.Context, complaint string, try func(cx context.Context) error) {
-	pause := firstPause
-	for tries := 0; cx.Err() == nil; tries++ {
-		inner, cancel := context.WithTimeout(cx, patience)
-		err := try(inner)
+// retry repeats an operation with backoff until it succeeds or ctx is done. It logs
+// only the first failure.
+func (e *Enroller) retry(ctx context.Context, failureText string, operation func(ctx context.Context) error) {
+	backoff := minBackoff
+	for tries := 0; ctx.Err() == nil; tries++ {
+		inner, cancel := context.WithTimeout(ctx, requestTimeout)
+		err := operation(inner)
 		cancel()
 		if err == nil {
 			return
 		}
 		if tries == 0 {
-			e.config.Logger.WithError(err).Warn(complaint)
+			e.config.Logger.WithError(err).Warn(failureText)
 		}
-		_ = e.config.Timer.Wait(cx, pause+time.Duration(rand.Int64N(int64(pause)))) //nolint:gosec // spreads load
-		pause = min(2*pause, lastPause)
+		_ = e.config.Timer.Wait(ctx, backoff+time.Duration(rand.Int64N(int64(backoff)))) //nolint:gosec // jitter need not be secret
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func (e *Enroller) enrol(cx context.Context) error {
+func (e *Enroller) write(ctx context.Context) error {
 	e.mutex.Lock()
-	word := e.word
+	member := e.member
 	e.mutex.Unlock()
-	return e.config.Directory.Enrol(cx, e.config.Node, word)
+	return e.config.Directory.Enrol(ctx, e.config.Node, member)
 }
 
-func (e *Enroller) list(cx context.Context) error {
-	words, err := e.config.Directory.Words(cx)
+// read posts the members of all nodes as records of the stream of nodes.
+func (e *Enroller) read(ctx context.Context) error {
+	members, err := e.config.Directory.Words(ctx)
 	if err != nil {
 		return err
 	}
 	e.config.Mailbox.Post(func(in *carobinbox.Inbox) {
-		for _, word := range words {
-			in.Records = append(in.Records, carobrecord.Record{Stream: carobstream.Nodes, Data: word})
+		for _, member := range members {
+			in.Records = append(in.Records, carobrecord.Record{Stream: carobstream.Nodes, Data: member})
 		}
 	})
 	return nil
--- a/internal/carobfollower/follower.go
+++ b/internal/carobfollower/follower.go
@@ -1,5 +1,5 @@
 // Package carobfollower reads the operator's route tables from a store while the
-// control goroutine wants that.
+// control goroutine needs them.
 package carobfollower
 
 import (
@@ -17,14 +17,14 @@
 	"github.com/carobknot/carobknot/pkg/carobroutes"
 )
 
-// source has the operator's route tables.
+// source provides the operator's route tables.
 type source interface {
-	// Routes returns the newest table once there is one that was not returned
-	// before, or nil if there is none for as long as wait.
-	Routes(cx context.Context, wait time.Duration) (*carobroutes.Routes, error)
+	// Routes returns the newest table as soon as there is one that it has not
+	// returned before, or nil if none appears within wait.
+	Routes(ctx context.Context, wait time.Duration) (*carobroutes.Routes, error)
 }
 
-// Config is how a follower is made.
+// Config holds the parameters of NewFollower.
 type Config struct {
 	Source  source
 	Mailbox *carobmailbox.Mailbox
@@ -33,135 +33,143 @@
 }
 
 const (
-	// The time between two tries of a failing read grows from the first to the last.
-	firstPause, lastPause = 150 * time.Millisecond, time.Second
-	// enough is how many reads in a row fail before the node counts as blind.
-	enough = 2
-	// retry is the time between two looks of a blind node that need not follow.
-	retry = 10 * time.Second
+	// The backoff after failed reads grows from the first value to the second.
+	minBackoff, maxBackoff = 150 * time.Millisecond, time.Second
+	// failureThreshold is the number of consecutive failed reads after which the store
+	// counts as unreadable.
+	failureThreshold = 2
+	// recheckInterval is the time between two reads of an unreadable store by a node
+	// that does not have to read tables, so that it notices when the store recovers.
+	recheckInterval = 10 * time.Second
 )
 
-// Follower reads route tables.
+// Follower reads route tables and posts them to the control goroutine's mailbox.
 type Follower struct {
 	config Config
 	mutex  sync.Mutex
-	// following says that the control goroutine wants tables; stop ends a read when
-	// it does not any more, and is nil while there is none.
-	following bool
-	stop      context.CancelFunc
-	// hold is how long a read may be held on average.
-	hold time.Duration
-	// rung holds one element while following has changed.
-	rung chan struct{}
-	// failures counts the reads that failed in a row.
+	// enabled is true while the control goroutine needs tables. cancel ends the read in
+	// progress once it no longer does; nil while there is no such read.
+	enabled bool
+	cancel  context.CancelFunc
+	// meanWait is the mean time for which the store may hold a read that finds nothing.
+	meanWait time.Duration
+	// changed holds one element after enabled has changed.
+	changed chan struct{}
+	// failures is the number of consecutive failed reads.
 	failures int
-	blind    bool
+	// unreadable is true from the failure that reaches failureThreshold to the next
+	// successful read.
+	unreadable bool
 }
 
-// NewFollower returns a follower that reads nothing yet.
+// NewFollower returns a follower that reads nothing until Carry enables it and Run
+// is called.
 func NewFollower(c Config) *Follower {
-	return &Follower{config: c, rung: make(chan struct{}, 1)}
+	return &Follower{config: c, changed: make(chan struct{}, 1)}
 }
 
-// Carry takes note of whether tables are wanted.
+// Carry starts or stops the reading of tables, as the tick decided.
 func (f *Follower) Carry(out *caroboutbox.Outbox) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.hold = out.Hold
-	if f.following == out.Following {
+	f.meanWait = out.Hold
+	if f.enabled == out.Following {
 		return
 	}
-	f.following = out.Following
-	if !f.following && f.stop != nil {
-		f.stop()
+	f.enabled = out.Following
+	if !f.enabled && f.cancel != nil {
+		f.cancel()
 	}
 	select {
-	case f.rung <- struct{}{}:
+	case f.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Run reads until cx ends.
-func (f *Follower) Run(cx context.Context) {
-	for cx.Err() == nil {
-		if !f.wanted() && !f.idle(cx) {
+// Run reads tables until ctx is done.
+func (f *Follower) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		if !f.isEnabled() && !f.idle(ctx) {
 			continue
 		}
-		f.read(cx)
+		f.read(ctx)
 	}
 }
 
-func (f *Follower) wanted() bool {
+func (f *Follower) isEnabled() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.following
+	return f.enabled
 }
 
-// idle waits until tables are wanted, or a blind node is to look again.
-func (f *Follower) idle(cx context.Context) bool {
-	inner, cancel := context.WithCancel(cx)
+// idle waits until enabled changes, or until an unreadable store has to be checked
+// again. It reports whether to read although tables are not needed.
+func (f *Follower) idle(ctx context.Context) bool {
+	inner, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if f.blind {
-		set := f.config.Timer.Subscribe(cancel)
-		set(f.config.Timer.Now().Add(retry))
-		defer set(0)
+	if f.unreadable {
+		cancelAt := f.config.Timer.Subscribe(cancel)
+		cancelAt(f.config.Timer.Now().Add(recheckInterval))
+		defer cancelAt(0)
 	}
 	select {
-	case <-f.rung:
+	case <-f.changed:
 		return false
 	case <-inner.Done():
-		return cx.Err() == nil
+		return ctx.Err() == nil
 	}
 }
 
-// read reads once. While a blind node need not follow, it does not wait.
-func (f *Follower) read(cx context.Context) {
-	inner, cancel := context.WithCancel(cx)
+// read reads once. The store may hold the read only while tables are needed, not if
+// it is checked for recovery.
+func (f *Follower) read(ctx context.Context) {
+	inner, cancel := context.WithCancel(ctx)
 	defer cancel()
-	hold := time.Duration(0)
+	wait := time.Duration(0)
 	f.mutex.Lock()
-	if f.following {
-		f.stop = cancel
-		hold = spread(f.hold)
+	if f.enabled {
+		f.cancel = cancel
+		wait = withJitter(f.meanWait)
 	}
 	f.mutex.Unlock()
-	rs, err := f.config.Source.Routes(inner, hold)
+	routes, err := f.config.Source.Routes(inner, wait)
 	f.mutex.Lock()
-	f.stop = nil
+	f.cancel = nil
 	f.mutex.Unlock()
 	if inner.Err() != nil {
 		return
 	}
-	f.judge(err)
-	if rs != nil {
-		f.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Routes = append(in.Routes, rs) })
+	f.updateState(err)
+	if routes != nil {
+		f.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Routes = append(in.Routes, routes) })
 	}
 	if err != nil {
-		_ = f.config.Timer.Wait(cx, min(firstPause<<min(f.failures, 4), lastPause))
+		_ = f.config.Timer.Wait(ctx, min(minBackoff<<min(f.failures, 4), maxBackoff))
 	}
 }
 
-// spread returns a time between half and one and a half of d, so that reads that
-// began together, at the same change, do not end together.
-func spread(d time.Duration) time.Duration {
+// withJitter returns a random duration from d/2 to 3d/2. Reads of many nodes begin
+// together when the tables change; the jitter keeps them from ending together.
+func withJitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d+1) //nolint:gosec // it need not be secret
 }
 
-// judge tells the control goroutine when the store is lost or back.
-func (f *Follower) judge(err error) {
+// updateState counts failures, and logs and posts when the store becomes unreadable
+// or readable again.
+func (f *Follower) updateState(err error) {
 	f.failures++
 	if err == nil {
 		f.failures = 0
 	}
-	blind := f.failures >= enough || f.blind && err != nil
-	if blind == f.blind {
+	unreadable := f.failures >= failureThreshold || f.unreadable && err != nil
+	if unreadable == f.unreadable {
 		return
 	}
-	f.blind = blind
-	if blind {
+	f.unreadable = unreadable
+	if unreadable {
 		f.config.Logger.WithError(err).Warn("store: route tables cannot be read")
 	} else {
-		f.config.Logger.Info("store: route tables are read again")
+		f.config.Logger.Info("store: route tables can be read again")
 	}
-	f.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Blind = append(in.Blind, blind) })
+	f.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Blind = append(in.Blind, unreadable) })
 }
--- a/internal/carobfollower/follower_test.go
+++ b/internal/carobfollower/follower_test.go
@@ -17,14 +17,15 @@
 	"github.com/carobknot/carobknot/pkg/carobroutes"
 )
 
-// source answers as a test tells it to.
-type source struct {
+// stubSource sends the wait of each read to reads and returns what the test sends
+// to answers: an error, or nil for the table.
+type stubSource struct {
 	reads   chan time.Duration
 	answers chan error
 	table   *carobroutes.Routes
 }
 
-func (s *source) Routes(cx context.Context, wait time.Duration) (*carobroutes.Routes, error) {
+func (s *stubSource) Routes(ctx context.Context, wait time.Duration) (*carobroutes.Routes, error) {
 	s.reads <- wait
 	select {
 	case err := <-s.answers:
@@ -32,47 +33,52 @@
 			return nil, err
 		}
 		return s.table, nil
-	case <-cx.Done():
-		return nil, cx.Err()
+	case <-ctx.Done():
+		return nil, ctx.Err()
 	}
 }
 
-func TestFollowerReadsWhileItIsWanted(t *testing.T) {
+// Guards against reads that are not repeated, held for too long, or not cancelled
+// once the control goroutine no longer needs tables, and against a store whose
+// failure or recovery is not posted.
+func TestFollowerReadsWhileEnabled(t *testing.T) {
 	table, err := carobroutes.NewRoutes(1, nil)
 	require.NoError(t, err)
 	timer, mailbox := carobtimer.NewTimer(), carobmailbox.NewMailbox()
 	go timer.Run(t.Context())
-	sc := &source{reads: make(chan time.Duration), answers: make(chan error), table: table}
-	logger, lines := test.NewNullLogger()
-	f := carobfollower.NewFollower(carobfollower.Config{
-		Source: sc, Mailbox: mailbox, Timer: timer, Logger: logrus.NewEntry(logger),
+	routeSource := &stubSource{reads: make(chan time.Duration), answers: make(chan error), table: table}
+	logger, logged := test.NewNullLogger()
+	follower := carobfollower.NewFollower(carobfollower.Config{
+		Source: routeSource, Mailbox: mailbox, Timer: timer, Logger: logrus.NewEntry(logger),
 	})
-	go f.Run(t.Context())
+	go follower.Run(t.Context())
 	const hold = time.Second
-	f.Carry(&caroboutbox.Outbox{Following: true, Hold: hold})
-	held := <-sc.reads
-	require.GreaterOrEqual(t, held, hold/2, "a follower waits for what is new")
-	require.LessOrEqual(t, held, hold*3/2, "but not for long")
-	sc.answers <- nil
+	follower.Carry(&caroboutbox.Outbox{Following: true, Hold: hold})
+	held := <-routeSource.reads
+	require.GreaterOrEqual(t, held, hold/2, "the store must hold a read that finds nothing")
+	require.LessOrEqual(t, held, hold*3/2, "a read must not be held longer than its jitter allows")
+	routeSource.answers <- nil
 	require.True(t, mailbox.Await(t.Context()))
 	require.Len(t, mailbox.Take().Routes, 1)
 
-	// Failures in a row make it blind, and an answer makes it see again.
+	// After two consecutive failures the store counts as unreadable, until a read
+	// succeeds.
 	for range 2 {
-		<-sc.reads
-		sc.answers <- errors.New("refused")
+		<-routeSource.reads
+		routeSource.answers <- errors.New("refused")
 	}
 	require.True(t, mailbox.Await(t.Context()))
 	require.Equal(t, []bool{true}, mailbox.Take().Blind)
-	require.Contains(t, lines.LastEntry().Message, "cannot be read")
-	<-sc.reads
-	sc.answers <- nil
+	require.Contains(t, logged.LastEntry().Message, "cannot be read")
+	<-routeSource.reads
+	routeSource.answers <- nil
 	require.True(t, mailbox.Await(t.Context()))
 	require.Equal(t, []bool{false}, mailbox.Take().Blind)
 
-	// A read that is not wanted any more ends, and no other begins.
-	<-sc.reads
-	f.Carry(&caroboutbox.Outbox{})
-	f.Carry(&caroboutbox.Outbox{Following: true})
-	<-sc.reads
+	// A read ends when the follower is disabled, and another one begins when it is
+	// enabled again.
+	<-routeSource.reads
+	follower.Carry(&caroboutbox.Outbox{})
+	follower.Carry(&caroboutbox.Outbox{Following: true})
+	<-routeSource.reads
 }
