--- a/internal/carobeventlog/log.go
+++ b/internal/carobeventlog/log.go
@@ -1,9 +1,9 @@
-// Package carobeventlog writes what the control goroutine decided and learned as
-// structured lines, for those on call.
+// Package carobeventlog writes the decisions and audit entries of the control
+// goroutine as structured log lines, for operators on call.
 //
-// One goroutine writes. Lines that come faster than it writes are dropped and
-// counted. What went well is written a bounded number of times a second; failures
-// that a caller sees have a larger bound of their own.
+// One goroutine writes. Lines that arrive faster than it writes are dropped and
+// counted. The number of lines a second is limited; failures that a caller sees have
+// a limit of their own, so that successful calls cannot displace them.
 package carobeventlog
 
 import (
@@ -22,78 +22,81 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Config is how a log is made.
+// Config holds the parameters of NewEventLog.
 type Config struct {
 	Logger *logrus.Logger
 	Timer  *carobtimer.Timer
-	// Usual is how many lines a second are written of what went well, and Failures
-	// of what did not.
+	// Usual limits the lines a second about successful decisions; Failures limits
+	// those about failures and audit entries.
 	Usual, Failures int
-	// Audits says that the audit trail is written too, since nothing else does.
+	// Audits makes the log include the audit entries. Set it where no other part logs
+	// them.
 	Audits bool
 }
 
-// depth is how many lines wait to be written at most.
-const depth = 2048
+// queueSize is the maximum number of lines that wait to be written.
+const queueSize = 2048
 
-// EventLog writes lines.
+// EventLog writes log lines.
 type EventLog struct {
 	config Config
 	lines  chan line
-	// left is how many lines of each class may still come in this second, which
-	// began at since. Both belong to the goroutine that calls Carry.
-	left  [2]int
-	since carobinstant.Instant
-	// dropped counts the lines that were left out since the last one that says so.
+	// remaining is how many lines of each class may still be written in the present
+	// second, which began at secondStart. Only the goroutine that calls Carry uses
+	// both.
+	remaining   [2]int
+	secondStart carobinstant.Instant
+	// dropped counts the lines dropped since the last line that reported the count.
 	dropped atomic.Int64
 }
 
-// line is one of the two.
+// line holds a decision or an audit entry; the other one is nil.
 type line struct {
 	decision *carobdecision.Decision
 	audit    *carobaudit.Audit
 }
 
-// Classes of lines.
+// Classes of lines, each with its own limit.
 const (
-	usual = iota
+	success = iota
 	failure
 )
 
-// NewEventLog returns a log that writes nothing yet.
+// NewEventLog returns a log that writes nothing until Run is called.
 func NewEventLog(c Config) *EventLog {
-	return &EventLog{config: c, lines: make(chan line, depth)}
+	return &EventLog{config: c, lines: make(chan line, queueSize)}
 }
 
-// Carry takes in the lines of a tick. It never blocks.
+// Carry enqueues the lines of a tick. It never blocks.
 func (l *EventLog) Carry(out *caroboutbox.Outbox) {
 	if len(out.Decisions) == 0 && len(out.Audits) == 0 {
 		return
 	}
-	if now := l.config.Timer.Now(); l.since == carobinstant.Never || now.Sub(l.since) >= time.Second {
-		l.since, l.left = now, [2]int{l.config.Usual, l.config.Failures}
+	if now := l.config.Timer.Now(); l.secondStart == carobinstant.Never || now.Sub(l.secondStart) >= time.Second {
+		l.secondStart, l.remaining = now, [2]int{l.config.Usual, l.config.Failures}
 	}
 	for i := range out.Audits {
 		if !l.config.Audits {
 			break
 		}
-		l.put(failure, line{audit: &out.Audits[i]})
+		l.enqueue(failure, line{audit: &out.Audits[i]})
 	}
 	for i := range out.Decisions {
-		class := usual
+		class := success
 		if out.Decisions[i].Kind != carobkind.None {
 			class = failure
 		}
-		l.put(class, line{decision: &out.Decisions[i]})
+		l.enqueue(class, line{decision: &out.Decisions[i]})
 	}
 }
 
-func (l *EventLog) put(class int, ln line) {
-	if l.left[class] == 0 {
+// enqueue drops the line if the limit of its class is reached or the queue is full.
+func (l *EventLog) enqueue(class int, ln line) {
+	if l.remaining[class] == 0 {
 		l.dropped.Add(1)
 		return
 	}
-	l.left[class]--
+	l.remaining[class]--
 	select {
 	case l.lines <- ln:
 	default:
@@ -101,14 +104,14 @@
 	}
 }
 
-// Dropped returns how many lines were left out and not told of yet.
+// Dropped returns how many lines were dropped that no line has reported yet.
 func (l *EventLog) Dropped() int64 { return l.dropped.Load() }
 
-// Run writes until cx ends.
-func (l *EventLog) Run(cx context.Context) {
+// Run writes lines until ctx is done.
+func (l *EventLog) Run(ctx context.Context) {
 	for {
 		select {
-		case <-cx.Done():
+		case <-ctx.Done():
 			return
 		case ln := <-l.lines:
 			l.write(ln)
@@ -117,29 +120,29 @@
 }
 
 func (l *EventLog) write(ln line) {
-	if au := ln.audit; au != nil {
+	if entry := ln.audit; entry != nil {
 		l.config.Logger.WithFields(logrus.Fields{
-			"who": au.Who, "what": au.What, "from": au.From, "to": au.To,
-		}).Info(au.Part + ": changed")
+			"who": entry.Who, "what": entry.What, "from": entry.From, "to": entry.To,
+		}).Info(entry.Part + ": changed")
 		return
 	}
-	dc := ln.decision
-	fields := logrus.Fields{"id": string(dc.Request), "call": dc.Call.String()}
-	if dc.Attempt > 0 {
-		fields["attempt"] = dc.Attempt
+	decision := ln.decision
+	fields := logrus.Fields{"id": string(decision.Request), "call": decision.Call.String()}
+	if decision.Attempt > 0 {
+		fields["attempt"] = decision.Attempt
 	}
-	if dc.Target != (carobtargetid.ID{}) {
-		fields["target"] = dc.Target.String()
+	if decision.Target != (carobtargetid.ID{}) {
+		fields["target"] = decision.Target.String()
 	}
-	for _, in := range dc.Inputs {
-		fields[in.Name] = in.Value
+	for _, input := range decision.Inputs {
+		fields[input.Name] = input.Value
 	}
 	if dropped := l.dropped.Swap(0); dropped > 0 {
 		fields["dropped"] = dropped
 	}
 	fields["outcome"] = "done"
-	if dc.Kind != carobkind.None {
-		fields["outcome"] = string(dc.Kind)
+	if decision.Kind != carobkind.None {
+		fields["outcome"] = string(decision.Kind)
 	}
-	l.config.Logger.WithFields(fields).Info(dc.Part + ": " + dc.Text)
+	l.config.Logger.WithFields(fields).Info(decision.Part + ": " + decision.Text)
 }
--- a/internal/carobeventlog/log_test.go
+++ b/internal/carobeventlog/log_test.go
@@ -16,9 +16,11 @@
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
 )
 
-func TestVolumeIsBoundedAndWhatIsLeftOutIsCounted(t *testing.T) {
-	logger, lines := test.NewNullLogger()
-	l := carobeventlog.NewEventLog(carobeventlog.Config{
+// Guards against a log that grows with the traffic: of 10 successes and 3 failures
+// within a second, the limits allow 2 and 3, and the next line reports the 8 dropped.
+func TestLinesAreLimitedAndDroppedOnesAreCounted(t *testing.T) {
+	logger, logged := test.NewNullLogger()
+	eventLog := carobeventlog.NewEventLog(carobeventlog.Config{
 		Logger: logger, Timer: carobtimer.NewTimer(), Usual: 2, Failures: 5,
 	})
 	out := &caroboutbox.Outbox{}
@@ -31,14 +33,14 @@
 			Inputs: []carobinput.Input{{Name: "agems", Value: 12.5}},
 		})
 	}
-	// Nobody writes yet: taking lines in blocks on nothing.
-	l.Carry(out)
-	require.EqualValues(t, 8, l.Dropped())
-	cx, cancel := context.WithCancel(t.Context())
+	// Run has not started yet; Carry must not block on it.
+	eventLog.Carry(out)
+	require.EqualValues(t, 8, eventLog.Dropped())
+	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go l.Run(cx)
-	require.Eventually(t, func() bool { return len(lines.AllEntries()) == 5 }, 10*time.Second, time.Millisecond)
-	first, last := lines.AllEntries()[0], lines.AllEntries()[4]
+	go eventLog.Run(ctx)
+	require.Eventually(t, func() bool { return len(logged.AllEntries()) == 5 }, 10*time.Second, time.Millisecond)
+	first, last := logged.AllEntries()[0], logged.AllEntries()[4]
 	require.Equal(t, "route: attempt sent", first.Message)
 	require.EqualValues(t, 8, first.Data["dropped"])
 	require.Equal(t, "done", first.Data["outcome"])
@@ -46,5 +48,5 @@
 	require.Equal(t, "busy", last.Data["outcome"])
 	require.Equal(t, "r2", last.Data["id"])
 	require.InDelta(t, 12.5, last.Data["agems"], 0.001)
-	require.Zero(t, l.Dropped())
+	require.Zero(t, eventLog.Dropped())
 }
