--- a/internal/carobadmin/admin.go
+++ b/internal/carobadmin/admin.go
@@ -1,5 +1,5 @@
-// Package carobadmin is the VM's own side of a node: targets announce
-// themselves here, and operators look.
+// Package carobadmin is the HTTP server of a node for its own VM: targets announce
+// themselves here, and operators read status, health and metrics.
 package carobadmin
 
 import (
@@ -23,29 +23,29 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// asker runs a question on the control goroutine.
-type asker interface {
-	Ask(cx context.Context, question func(w *carobworld.World)) error
+// querier runs a function on the control goroutine, which may read the world.
+type querier interface {
+	Ask(ctx context.Context, query func(w *carobworld.World)) error
 }
 
-// Config is how an admin side is made.
+// Config holds the parameters of NewAdmin.
 type Config struct {
 	Mailbox *carobmailbox.Mailbox
-	Control asker
+	Control querier
 	Timer   *carobtimer.Timer
-	// Metrics answers with the counts.
+	// Metrics serves /metrics.
 	Metrics http.Handler
 }
 
-// Admin answers at the admin address.
+// Admin serves the admin address.
 type Admin struct {
 	config Config
 	app    *fiber.App
 }
 
-// NewAdmin returns an admin side that does not listen yet.
+// NewAdmin returns a server that does not listen until Serve is called.
 func NewAdmin(c Config) *Admin {
-	a := &Admin{config: c, app: fiber.New(fiber.Config{ErrorHandler: fail, Immutable: true})}
+	a := &Admin{config: c, app: fiber.New(fiber.Config{ErrorHandler: writeError, Immutable: true})}
 	a.app.Put("/targets/:service/:name", a.announce)
 	a.app.Delete("/targets/:service/:name", a.withdraw)
 	a.app.Get("/health", a.health)
@@ -54,44 +54,46 @@
 	return a
 }
 
-// Serve answers until Shutdown.
-func (a *Admin) Serve(ls net.Listener) error {
-	return a.app.Listener(ls, fiber.ListenConfig{DisableStartupMessage: true})
+// Serve accepts connections until Shutdown is called.
+func (a *Admin) Serve(listener net.Listener) error {
+	return a.app.Listener(listener, fiber.ListenConfig{DisableStartupMessage: true})
 }
 
-// Shutdown stops answering.
-func (a *Admin) Shutdown(cx context.Context) error {
-	return a.app.ShutdownWithContext(cx)
+// Shutdown stops accepting connections and waits for the requests in progress, until
+// ctx is done at the latest.
+func (a *Admin) Shutdown(ctx context.Context) error {
+	return a.app.ShutdownWithContext(ctx)
 }
 
 func (a *Admin) announce(c fiber.Ctx) error {
-	id, err := targetOf(c)
+	id, err := parseTarget(c)
 	if err != nil {
 		return err
 	}
-	var an carobannouncement.Announcement
-	if err := json.Unmarshal(c.Body(), &an); err != nil {
+	var announcement carobannouncement.Announcement
+	if err := json.Unmarshal(c.Body(), &announcement); err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "announcement")
 	}
-	an.Target = id
-	a.post(an)
+	announcement.Target = id
+	a.postAnnouncement(announcement)
 	return c.SendStatus(http.StatusNoContent)
 }
 
 func (a *Admin) withdraw(c fiber.Ctx) error {
-	id, err := targetOf(c)
+	id, err := parseTarget(c)
 	if err != nil {
 		return err
 	}
-	a.post(carobannouncement.Announcement{Target: id, Withdrawn: true})
+	a.postAnnouncement(carobannouncement.Announcement{Target: id, Withdrawn: true})
 	return c.SendStatus(http.StatusNoContent)
 }
 
-func (a *Admin) post(an carobannouncement.Announcement) {
-	a.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Announcements = append(in.Announcements, an) })
+func (a *Admin) postAnnouncement(announcement carobannouncement.Announcement) {
+	a.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Announcements = append(in.Announcements, announcement) })
 }
 
-// health says whether the node can route: it knows profiles and is not leaving.
+// health answers 200 if the node can route calls: it has profiles and is not
+// shutting down. Otherwise it answers with the status of Leaving or NotReady.
 func (a *Admin) health(c fiber.Ctx) error {
 	kind := carobkind.None
 	err := a.config.Control.Ask(c.Context(), func(w *carobworld.World) {
@@ -103,7 +105,7 @@
 		}
 	})
 	if err != nil {
-		return carobkind.Wrap(carobkind.Internal, err, "ask control")
+		return carobkind.Wrap(carobkind.Internal, err, "query the control goroutine")
 	}
 	if kind != carobkind.None {
 		return kind
@@ -111,32 +113,35 @@
 	return c.SendString("ready\n")
 }
 
-// status shows what the node knows.
+// status answers with the node's status as JSON.
 func (a *Admin) status(c fiber.Ctx) error {
-	var st carobstatus.Status
+	var status carobstatus.Status
 	err := a.config.Control.Ask(c.Context(), func(w *carobworld.World) {
-		st = carobstatus.Describe(w, a.config.Timer.Now())
+		status = carobstatus.Describe(w, a.config.Timer.Now())
 	})
 	if err != nil {
-		return carobkind.Wrap(carobkind.Internal, err, "ask control")
+		return carobkind.Wrap(carobkind.Internal, err, "query the control goroutine")
 	}
-	return c.JSON(st)
+	return c.JSON(status)
 }
 
-func targetOf(c fiber.Ctx) (carobtargetid.ID, error) {
+// parseTarget returns the target that the path of a request names. The error is of
+// kind Invalid if the names are malformed.
+func parseTarget(c fiber.Ctx) (carobtargetid.ID, error) {
 	id := carobtargetid.ID{
 		Service: carobservice.Service(c.Params("service")), Name: carobword.Word(c.Params("name")),
 	}
-	var checked carobtargetid.ID
-	err := checked.UnmarshalText([]byte(id.String()))
-	return checked, err
+	var target carobtargetid.ID
+	err := target.UnmarshalText([]byte(id.String()))
+	return target, err
 }
 
-// fail answers an error as its kind.
-func fail(c fiber.Ctx, err error) error {
+// writeError answers with the HTTP status of the kind of an error, and with the kind
+// and the error as text.
+func writeError(c fiber.Ctx, err error) error {
 	kind := carobkind.Of(err)
-	if fe, ok := err.(*fiber.Error); ok { //nolint:errorlint // the router's own errors come unwrapped
-		return c.Status(fe.Code).SendString(fe.Message + "\n")
+	if routerErr, ok := err.(*fiber.Error); ok { //nolint:errorlint // the router returns its own errors unwrapped
+		return c.Status(routerErr.Code).SendString(routerErr.Message + "\n")
 	}
 	return c.Status(kind.Status()).SendString(string(kind) + ": " + err.Error() + "\n")
 }
--- a/internal/carobstatus/status.go
+++ b/internal/carobstatus/status.go
@@ -1,4 +1,5 @@
-// Package carobstatus holds one node's view of the system, for operators.
+// Package carobstatus holds the state of the system as one node sees it, for
+// operators.
 package carobstatus
 
 import (
@@ -20,37 +21,38 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// Status is what a node knows at one instant.
+// Status is the state of a node's tables at one instant.
 type Status struct {
 	Node        carobnodeid.ID               `json:"node"`
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
 	Region      carobregion.Region           `json:"region"`
 	Centre      carobcentre.Centre           `json:"centre"`
-	// Stopping says that the node is shutting down.
+	// Stopping is true while the node is shutting down.
 	Stopping bool `json:"stopping"`
-	// Calls and Jobs are how many are in flight.
+	// Calls and Jobs count those in flight.
 	Calls int `json:"calls"`
 	Jobs  int `json:"jobs"`
-	// Targets, Peers and Profiles are in the order of their names.
+	// Targets, Peers and Profiles are sorted by name.
 	Targets  []target  `json:"targets"`
 	Peers    []peer    `json:"peers"`
 	Profiles []profile `json:"profiles"`
-	// Measured is what measuring and hedging have cost since the start.
-	Measured measured `json:"measured"`
+	// Measured is the cost of probes, reports and hedges since the start.
+	Measured overhead `json:"measured"`
 }
 
-// measured is what the node spent of its budgets.
-type measured struct {
+// overhead is what the node has spent of its probe limits and retry budgets.
+type overhead struct {
+	// Hedges is the total spent of all retry budgets, so it includes resent attempts.
 	Hedges uint64 `json:"hedges"`
-	// Bytes is what was sent for measuring, Seconds the processor time; Denied
-	// counts what the budget did not allow.
+	// Bytes and Seconds are the bytes and the processor time that were charged to the
+	// probe limits; Denied counts the messages that the limits did not allow.
 	Bytes   float64 `json:"bytes"`
 	Seconds float64 `json:"seconds"`
 	Denied  uint64  `json:"denied"`
 }
 
-// target is a target as this node sees it. Of its own targets it knows the
-// load now; of others the newest report.
+// target is a target as this node sees it. The load of the node's own targets is the
+// present one; that of others is from their newest report.
 type target struct {
 	ID      carobtargetid.ID         `json:"id"`
 	Node    carobnodeid.ID           `json:"node"`
@@ -60,74 +62,78 @@
 	Running int                      `json:"running"`
 	Queued  int                      `json:"queued"`
 	Latency carobspan.Span           `json:"latency"`
-	// Age is that of the report; 0 for own targets.
+	// Age is the age of the report; 0 for own targets and without a report.
 	Age carobspan.Span `json:"age"`
-	// Known is false while there is no report.
+	// Known is false if the load is unknown because there is no report.
 	Known   bool `json:"known"`
 	Ejected bool `json:"ejected"`
 }
 
+// peer is another node.
 type peer struct {
 	Node        carobnodeid.ID               `json:"node"`
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
 	Centre      carobcentre.Centre           `json:"centre"`
 	Leaving     bool                         `json:"leaving"`
-	// Age is the time since the node's newest word came.
+	// Age is the time since the last message from the peer; before the first one, since
+	// this node learned of the peer.
 	Age carobspan.Span `json:"age"`
 }
 
+// profile is the revision of a profile that is in force.
 type profile struct {
 	Name   carobword.Word     `json:"name"`
 	Offset caroboffset.Offset `json:"offset"`
-	Who    string             `json:"who"`
+	// Who is the operator who published the revision.
+	Who string `json:"who"`
 }
 
-// Describe returns the status of a world. It runs on the control goroutine.
+// Describe returns the status of a world. It has to run on the control goroutine.
 func Describe(w *carobworld.World, now carobinstant.Instant) Status {
-	st := Status{
+	status := Status{
 		Node: w.Self.Node, Incarnation: w.Self.Incarnation, Region: w.Self.Region, Centre: w.Self.Centre,
 		Stopping: w.Stopping, Calls: w.Calls.Len(), Jobs: w.Jobs.Len(),
 		Targets: []target{}, Peers: []peer{}, Profiles: []profile{},
 	}
 	for id, tg := range w.Targets.All() {
-		st.Targets = append(st.Targets, describeTarget(w, now, id, tg))
+		status.Targets = append(status.Targets, describeTarget(w, now, id, tg))
 	}
 	for id, pr := range w.Peers.All() {
-		st.Peers = append(st.Peers, peer{
+		status.Peers = append(status.Peers, peer{
 			Node: id, Incarnation: pr.Member.Incarnation, Centre: pr.Member.Centre,
 			Leaving: pr.Member.Leaving, Age: carobspan.Span(now.Sub(pr.Heard)),
 		})
 	}
-	for name, rv := range w.Profiles.All() {
-		st.Profiles = append(st.Profiles, profile{Name: name, Offset: rv.Offset, Who: rv.Change.Who})
+	for name, revision := range w.Profiles.All() {
+		status.Profiles = append(status.Profiles, profile{Name: name, Offset: revision.Offset, Who: revision.Change.Who})
 	}
-	if bk := w.Buckets.Get(carobprobing.Bytes); bk != nil {
-		st.Measured.Bytes, st.Measured.Denied = bk.Spent, bk.Denied
+	if bucket := w.Buckets.Get(carobprobing.Bytes); bucket != nil {
+		status.Measured.Bytes, status.Measured.Denied = bucket.Spent, bucket.Denied
 	}
-	if bk := w.Buckets.Get(carobprobing.Time); bk != nil {
-		st.Measured.Seconds = bk.Spent
+	if bucket := w.Buckets.Get(carobprobing.Time); bucket != nil {
+		status.Measured.Seconds = bucket.Spent
 	}
-	for _, bg := range w.Budgets.All() {
-		st.Measured.Hedges += bg.Spent
+	for _, budget := range w.Budgets.All() {
+		status.Measured.Hedges += budget.Spent
 	}
-	slices.SortFunc(st.Targets, func(a, b target) int { return cmp.Compare(a.ID.String(), b.ID.String()) })
-	slices.SortFunc(st.Peers, func(a, b peer) int { return cmp.Compare(a.Node, b.Node) })
-	slices.SortFunc(st.Profiles, func(a, b profile) int { return cmp.Compare(a.Name, b.Name) })
-	return st
+	slices.SortFunc(status.Targets, func(a, b target) int { return cmp.Compare(a.ID.String(), b.ID.String()) })
+	slices.SortFunc(status.Peers, func(a, b peer) int { return cmp.Compare(a.Node, b.Node) })
+	slices.SortFunc(status.Profiles, func(a, b profile) int { return cmp.Compare(a.Name, b.Name) })
+	return status
 }
 
 func describeTarget(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, tg *carobtarget.Target) target {
-	ds := target{ID: id, Node: tg.Node, Profile: tg.Profile, State: tg.State, Slots: tg.Slots}
-	ld := w.Loads.Get(id)
-	ds.Ejected = ld != nil && ld.Ejected != carobinstant.Never
-	if gt := w.Gates.Get(id); gt != nil && w.Owns(tg) {
-		ds.Running, ds.Queued, ds.Latency, ds.Known = gt.Running, gt.Queued, carobspan.Span(gt.Latency), true
-		return ds
+	result := target{ID: id, Node: tg.Node, Profile: tg.Profile, State: tg.State, Slots: tg.Slots}
+	load := w.Loads.Get(id)
+	result.Ejected = load != nil && load.Ejected != carobinstant.Never
+	if admission := w.Gates.Get(id); admission != nil && w.Owns(tg) {
+		result.Running, result.Queued, result.Latency, result.Known = admission.Running, admission.Queued, carobspan.Span(admission.Latency), true
+		return result
 	}
-	if ld == nil || ld.At == carobinstant.Never {
-		return ds
+	if load == nil || load.At == carobinstant.Never {
+		return result
 	}
-	ds.Running, ds.Queued, ds.Latency = ld.Report.Running, ld.Report.Queued, ld.Report.Latency
-	ds.Age, ds.Known = carobspan.Span(now.Sub(ld.At)), true
-	return ds
+	result.Running, result.Queued, result.Latency = load.Report.Running, load.Report.Queued, load.Report.Latency
+	result.Age, result.Known = carobspan.Span(now.Sub(load.At)), true
+	return result
 }
