--- a/internal/carobmeter/meter.go
+++ b/internal/carobmeter/meter.go
@@ -1,4 +1,5 @@
-// Package carobmeter counts what the control goroutine orders.
+// Package carobmeter keeps the metrics of a node: it counts the effects of the control
+// goroutine.
 package carobmeter
 
 import (
@@ -15,48 +16,48 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// interval is how often counts move on to the reporter.
-const interval = time.Second
+// flushInterval is how often counts are passed on to the reporter.
+const flushInterval = time.Second
 
-// Meter counts effects. What it counts into is looked up once and kept, since to
-// look a tagged scope up costs more than to count.
+// Meter counts effects. Each counter, gauge and histogram is looked up once and then
+// kept, because the look-up of a tagged scope takes longer than the counting.
 type Meter struct {
 	reporter prometheus.Reporter
 	scope    tally.Scope
 	closer   io.Closer
-	// The maps belong to the goroutine that calls Carry.
-	calls    map[carobkind.Kind]tally.Counter
-	refusals map[carobkind.Kind]tally.Counter
-	loads    map[carobtargetid.ID]load
-	took     map[string]tally.Histogram
+	// Only the goroutine that calls Carry uses the maps.
+	calls     map[carobkind.Kind]tally.Counter
+	refusals  map[carobkind.Kind]tally.Counter
+	byTarget  map[carobtargetid.ID]targetGauges
+	durations map[string]tally.Histogram
 }
 
-// load has the gauges of one target.
-type load struct {
+// targetGauges are the gauges of one target.
+type targetGauges struct {
 	running, queued, slots tally.Gauge
 }
 
-// NewMeter returns a meter whose counts are all zero.
+// NewMeter returns a meter whose metrics are all zero.
 func NewMeter() *Meter {
 	registry := client.NewRegistry()
 	m := &Meter{
 		reporter: prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry}),
 		calls:    map[carobkind.Kind]tally.Counter{}, refusals: map[carobkind.Kind]tally.Counter{},
-		loads: map[carobtargetid.ID]load{}, took: map[string]tally.Histogram{},
+		byTarget: map[carobtargetid.ID]targetGauges{}, durations: map[string]tally.Histogram{},
 	}
 	m.scope, m.closer = tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "carobknot", CachedReporter: m.reporter, Separator: prometheus.DefaultSeparator,
 		SanitizeOptions: &prometheus.DefaultSanitizerOpts, OmitCardinalityMetrics: true,
-	}, interval)
+	}, flushInterval)
 	return m
 }
 
-// Handler gives the counts as Prometheus text.
+// Handler serves the metrics in the text format of Prometheus.
 func (m *Meter) Handler() http.Handler {
 	return m.reporter.HTTPHandler()
 }
 
-// Close stops counting.
+// Close passes the last counts on to the reporter and stops.
 func (m *Meter) Close() error {
 	return m.closer.Close()
 }
@@ -70,11 +71,11 @@
 		m.counter(m.refusals, "refusals", out.Refusals[i].Kind).Inc(1)
 	}
 	for i := range out.Reports {
-		rp := &out.Reports[i]
-		ld := m.load(rp.Target)
-		ld.running.Update(float64(rp.Running))
-		ld.queued.Update(float64(rp.Queued))
-		ld.slots.Update(float64(rp.Slots))
+		report := &out.Reports[i]
+		gauges := m.gauges(report.Target)
+		gauges.running.Update(float64(report.Running))
+		gauges.queued.Update(float64(report.Queued))
+		gauges.slots.Update(float64(report.Slots))
 	}
 	for i := range out.Hops {
 		m.histogram(out.Hops[i].Role).RecordDuration(out.Hops[i].Took.Duration())
@@ -87,50 +88,57 @@
 	m.add("audits", len(out.Audits))
 }
 
+// add adds n to a counter without labels. The counter first appears with a count above
+// zero.
 func (m *Meter) add(name string, n int) {
 	if n > 0 {
 		m.scope.Counter(name).Inc(int64(n))
 	}
 }
 
-// counter returns the counter of a kind.
+// counter returns the counter of a kind from counters, and creates it if needed.
 func (m *Meter) counter(counters map[carobkind.Kind]tally.Counter, name string, kind carobkind.Kind) tally.Counter {
-	ct, ok := counters[kind]
+	counter, ok := counters[kind]
 	if !ok {
-		ct = m.scope.Tagged(map[string]string{"kind": nameOf(kind)}).Counter(name)
-		counters[kind] = ct
+		counter = m.scope.Tagged(map[string]string{"kind": labelOf(kind)}).Counter(name)
+		counters[kind] = counter
 	}
-	return ct
+	return counter
 }
 
-func (m *Meter) load(target carobtargetid.ID) load {
-	ld, ok := m.loads[target]
+// gauges returns the gauges of a target, and creates them if needed.
+func (m *Meter) gauges(target carobtargetid.ID) targetGauges {
+	gauges, ok := m.byTarget[target]
 	if !ok {
 		scope := m.scope.Tagged(map[string]string{"service": string(target.Service), "target": string(target.Name)})
-		ld = load{running: scope.Gauge("running"), queued: scope.Gauge("queued"), slots: scope.Gauge("slots")}
-		m.loads[target] = ld
+		gauges = targetGauges{running: scope.Gauge("running"), queued: scope.Gauge("queued"), slots: scope.Gauge("slots")}
+		m.byTarget[target] = gauges
 	}
-	return ld
+	return gauges
 }
 
+// histogram returns the histogram of the durations of a role's hops, and creates it
+// if needed.
 func (m *Meter) histogram(role string) tally.Histogram {
-	hg, ok := m.took[role]
+	histogram, ok := m.durations[role]
 	if !ok {
-		hg = m.scope.Tagged(map[string]string{"role": role}).Histogram("took", buckets())
-		m.took[role] = hg
+		histogram = m.scope.Tagged(map[string]string{"role": role}).Histogram("took", durationBuckets())
+		m.durations[role] = histogram
 	}
-	return hg
+	return histogram
 }
 
-func nameOf(kind carobkind.Kind) string {
+// labelOf returns the value of the label "kind": a kind, or "none" for success.
+func labelOf(kind carobkind.Kind) string {
 	if kind == carobkind.None {
 		return "none"
 	}
 	return string(kind)
 }
 
-// buckets are the bounds of the histograms of time.
-func buckets() tally.DurationBuckets {
+// durationBuckets are the bounds of the histograms: 18 from 100 µs on, each twice the one
+// before.
+func durationBuckets() tally.DurationBuckets {
 	const first, factor, count = 100 * time.Microsecond, 2, 18
 	return tally.MustMakeExponentialDurationBuckets(first, factor, count)
 }
--- a/internal/carobmeter/meter_test.go
+++ b/internal/carobmeter/meter_test.go
@@ -14,20 +14,22 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-func TestCountsAreShown(t *testing.T) {
-	m := NewMeter()
+// Guards against metrics that are counted and not served, or served under another name
+// or label.
+func TestHandlerServesMetrics(t *testing.T) {
+	meter := NewMeter()
 	for range 2 {
-		m.Carry(&caroboutbox.Outbox{
+		meter.Carry(&caroboutbox.Outbox{
 			Conclusions: []carobconclusion.Conclusion{{Kind: carobkind.Busy}, {}},
 			Reports:     []carobreport.Report{{Target: carobtargetid.ID{Service: "lookups", Name: "a"}, Running: 7}},
 		})
 	}
-	require.NoError(t, m.Close())
-	rw := httptest.NewRecorder()
-	m.Handler().ServeHTTP(rw, httptest.NewRequest(http.MethodGet, "/metrics", http.NoBody))
+	require.NoError(t, meter.Close())
+	recorder := httptest.NewRecorder()
+	meter.Handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", http.NoBody))
 	for _, line := range []string{
 		`carobknot_calls{kind="busy"} 2`, `carobknot_calls{kind="none"} 2`, `carobknot_running{service="lookups",target="a"} 7`,
 	} {
-		require.Contains(t, rw.Body.String(), line+"\n")
+		require.Contains(t, recorder.Body.String(), line+"\n")
 	}
 }
