--- a/internal/carobsettings/settings.go
+++ b/internal/carobsettings/settings.go
@@ -20,41 +20,44 @@
 	"github.com/carobknot/carobknot/pkg/carobspan"
 )
 
-// Settings is what a node is told about itself.
+// Settings are the settings of one node, read when it starts.
 type Settings struct {
-	// Name is the node's; no two nodes share one.
+	// Name identifies the node; no two nodes have the same one.
 	Name   carobnodeid.ID     `json:"name"`
 	Region carobregion.Region `json:"region"`
 	Centre carobcentre.Centre `json:"centre"`
-	// Call is where callers reach the node.
+	// Call is the address at which the node accepts calls.
 	Call carobaddress.Address `json:"call"`
-	// Peer is where the node listens for other nodes.
+	// Peer is the address at which the node listens for other nodes.
 	Peer carobaddress.Address `json:"peer"`
-	// Public is where other nodes reach the node, if that is not Peer.
+	// Public is the address at which other nodes reach the node. Empty if it is Peer.
 	Public carobaddress.Address `json:"public,omitempty"`
-	// Admin is where the VM's own targets and operators reach the node.
+	// Admin is the address for the targets of the node's VM and for operators.
 	Admin carobaddress.Address `json:"admin"`
-	// Log is the URL of the platform's log.
+	// Log is the base URL of the platform's log.
 	Log string `json:"log"`
-	// Seeds are peer addresses of other nodes to begin with. May be empty.
-	Seeds   []carobaddress.Address `json:"seeds"`
-	Measure carobmeasure.Measure   `json:"measure"`
-	// Retries bounds what is sent again.
+	// Seeds are peer addresses of nodes to which this node sends its first messages.
+	// May be empty.
+	Seeds []carobaddress.Address `json:"seeds"`
+	// Measure limits probes, reports and health checks.
+	Measure carobmeasure.Measure `json:"measure"`
+	// Retries limits how many attempts are sent beyond one for each call.
 	Retries carobretries.Retries `json:"retries"`
-	// Silence is how long a target may go without an announcement.
+	// Silence is the time without an announcement after which a target expires.
 	Silence carobspan.Span `json:"silence"`
-	// Grace is how long a graceful shutdown waits for what is in flight, and Stay
-	// how long it goes on taking calls at least: callers may not know yet.
+	// Grace is the timeout of a graceful shutdown, after which the calls in flight are
+	// ended. Stay is the least time for which the node keeps accepting calls meanwhile,
+	// because callers may not have noticed the shutdown yet.
 	Grace carobspan.Span `json:"grace"`
 	Stay  carobspan.Span `json:"stay"`
-	// Lines is how many lines a second are logged of decisions that went well.
+	// Lines limits the log lines a second about successful decisions.
 	Lines int `json:"lines"`
-	// Profiles are in force without having been published. May be empty.
+	// Profiles are in force on this node without having been published. May be empty.
 	Profiles []carobprofile.Profile `json:"profiles"`
 	Limits   caroblimits.Limits     `json:"limits"`
 }
 
-// NewSettings returns the defaults.
+// NewSettings returns the default settings. Names and addresses have no defaults.
 func NewSettings() Settings {
 	return Settings{
 		Measure: carobmeasure.NewMeasure(), Retries: carobretries.NewRetries(), Limits: caroblimits.NewLimits(),
@@ -62,7 +65,7 @@
 	}
 }
 
-// Load reads and checks a file of settings.
+// Load reads and checks a settings file. Errors are of kind Invalid.
 func Load(file string) (Settings, error) {
 	data, err := os.ReadFile(file) //nolint:gosec // the operator names the file
 	if err != nil {
@@ -71,27 +74,29 @@
 	return Parse(file, data)
 }
 
-// Parse checks settings; the file's name is for errors.
+// Parse decodes and checks the contents of a settings file. Keys that are left out
+// have their defaults. Errors are of kind Invalid and name the file, and the line and
+// column where these are known.
 func Parse(file string, data []byte) (Settings, error) {
-	st := NewSettings()
-	dc := carobdocument.NewDocument(carobdocument.Config{Name: file, Data: data})
-	if err := dc.Decode(&st); err != nil {
+	settings := NewSettings()
+	document := carobdocument.NewDocument(carobdocument.Config{Name: file, Data: data})
+	if err := document.Decode(&settings); err != nil {
 		return Settings{}, err
 	}
-	if err := missing(dc); err != nil {
-		return Settings{}, dc.Refuse(err)
+	if err := checkRequired(document); err != nil {
+		return Settings{}, document.Refuse(err)
 	}
-	if err := st.check(); err != nil {
-		return Settings{}, dc.Refuse(err)
+	if err := settings.check(); err != nil {
+		return Settings{}, document.Refuse(err)
 	}
-	return st, nil
+	return settings, nil
 }
 
-// missing names all required keys that the document does not have.
-func missing(dc *carobdocument.Document) error {
+// checkRequired returns an error that names all required keys that the document lacks.
+func checkRequired(document *carobdocument.Document) error {
 	var keys []string
 	for _, key := range []string{"name", "region", "centre", "call", "peer", "admin", "log"} {
-		if !dc.Has(key) {
+		if !document.Has(key) {
 			keys = append(keys, key)
 		}
 	}
@@ -101,8 +106,9 @@
 	return nil
 }
 
+// check checks the values that their own types do not check.
 func (s Settings) check() error {
-	if at, err := url.Parse(s.Log); err != nil || at.Scheme != "http" && at.Scheme != "https" || at.Host == "" {
+	if base, err := url.Parse(s.Log); err != nil || base.Scheme != "http" && base.Scheme != "https" || base.Host == "" {
 		return carobkind.New(carobkind.Invalid, "log: %q is not a URL such as \"http://127.0.0.1:7100\"", s.Log)
 	}
 	if s.Measure.Checks < 0 {
--- a/internal/carobsettings/settings_test.go
+++ b/internal/carobsettings/settings_test.go
@@ -10,7 +10,8 @@
 	"github.com/carobknot/carobknot/internal/carobsettings"
 )
 
-const good = `{
+// valid holds valid settings, from which the tests derive others.
+const valid = `{
   // the first node
   "name": "first",
   "region": "bavaria",
@@ -24,37 +25,43 @@
   "limits": {"calls": 10},
 }`
 
-func TestParse(t *testing.T) {
-	st, err := carobsettings.Parse("node.json", []byte(good))
+// Guards against settings that are not decoded, and against keys left out that lose
+// their defaults when a neighbouring key is set.
+func TestParseKeepsDefaults(t *testing.T) {
+	settings, err := carobsettings.Parse("node.json", []byte(valid))
 	require.NoError(t, err)
-	require.EqualValues(t, "first", st.Name)
-	require.InDelta(t, 1024, float64(st.Measure.Rate), 0)
-	require.InDelta(t, 0.01, float64(st.Measure.Share), 1e-9, "keys that are left out have their defaults")
-	require.Equal(t, 10, st.Limits.Calls)
-	require.Equal(t, 4000, st.Limits.Peers)
+	require.EqualValues(t, "first", settings.Name)
+	require.InDelta(t, 1024, float64(settings.Measure.Rate), 0)
+	require.InDelta(t, 0.01, float64(settings.Measure.Share), 1e-9, "a key that is left out must keep its default")
+	require.Equal(t, 10, settings.Limits.Calls)
+	require.Equal(t, 4000, settings.Limits.Peers)
 }
 
-func TestParseExample(t *testing.T) {
+// Guards against an example file that nodes no longer accept.
+func TestParseAcceptsExample(t *testing.T) {
 	data, err := os.ReadFile("../../examples/node.json")
 	require.NoError(t, err)
 	_, err = carobsettings.Parse("node.json", data)
 	require.NoError(t, err)
 }
 
-func TestParseTakesSeveralProfiles(t *testing.T) {
+// Guards against keys of one element of a list that count as repeated in the next one.
+func TestParseAcceptsSeveralProfiles(t *testing.T) {
 	const two = `"centre": "west", "profiles": [{"name": "one"}, {"name": "two"}],`
-	st, err := carobsettings.Parse("node.json", []byte(strings.Replace(good, `"centre": "west",`, two, 1)))
+	settings, err := carobsettings.Parse("node.json", []byte(strings.Replace(valid, `"centre": "west",`, two, 1)))
 	require.NoError(t, err)
-	require.Len(t, st.Profiles, 2)
+	require.Len(t, settings.Profiles, 2)
 }
 
-func TestParseRefuses(t *testing.T) {
-	for _, c := range []struct{ name, old, new, want string }{
+// Guards against malformed settings that are accepted or ignored, and against errors
+// without the place and the key.
+func TestParseRejectsMalformedSettings(t *testing.T) {
+	for _, tc := range []struct{ name, old, new, want string }{
 		{"unknown key", `"centre"`, `"center"`, `node.json:5:3: center: there is no such key`},
 		{"unknown inner key", `"rate"`, `"speed"`, `node.json:11:15: measure.speed: there is no such key`},
 		{"name", `"first"`, `"First"`, `node.json:3:11: name: node: name "First" has a character other than a-z, 0-9, '-' and '.'`},
-		{"null", `"first"`, `null`, `node.json:3:11: name: a null does not fit`},
-		{"type", `"first"`, `1`, `node.json:3:11: name: a number does not fit`},
+		{"null", `"first"`, `null`, `node.json:3:11: name: a null is not allowed here`},
+		{"type", `"first"`, `1`, `node.json:3:11: name: a number is not allowed here`},
 		{"address", `127.0.0.1:7002`, `localhost:7002`, `node.json:7:11: peer: address "localhost:7002" is not an IP number and a port`},
 		{"element of a list", `["127.0.0.1:7012"]`, "[\n\"nowhere\"]", `node.json:11:1: seeds: address "nowhere" is not an IP number and a port`},
 		{"not a list", `["127.0.0.1:7012"]`, `"127.0.0.1:7012"`, `node.json:10:12: seeds: a list is needed`},
@@ -67,15 +74,15 @@
 		{"second profile", `"centre": "west",`, `"centre": "west", "profiles": [{"name": "one"}, {"nam": "two"}],`, `node.json:5:52: profiles[1].nam: there is no such key`},
 		{"cut", `"limits": {"calls": 10},`, ``, ``},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			text := strings.Replace(good, c.old, c.new, 1)
-			require.NotEqual(t, good, text)
+		t.Run(tc.name, func(t *testing.T) {
+			text := strings.Replace(valid, tc.old, tc.new, 1)
+			require.NotEqual(t, valid, text)
 			_, err := carobsettings.Parse("node.json", []byte(text))
-			if c.want == "" {
+			if tc.want == "" {
 				require.NoError(t, err)
 				return
 			}
-			require.EqualError(t, err, c.want)
+			require.EqualError(t, err, tc.want)
 		})
 	}
 }
