--- a/cmd/carobknot/main.go
+++ b/cmd/carobknot/main.go
@@ -1,4 +1,5 @@
-// Command carobknot is the load balancer's one program.
+// Command carobknot runs the nodes of the load balancer, publishes and shows profiles,
+// and provides stand-ins and load for tests.
 package main
 
 import (
--- a/cmd/carobplatform/main.go
+++ b/cmd/carobplatform/main.go
@@ -1,4 +1,5 @@
-// Command carobplatform runs a node on the users' platform.
+// Command carobplatform runs a node on the users' platform, as its deployment file
+// describes.
 package main
 
 import (
--- a/internal/carobcommand/bench.go
+++ b/internal/carobcommand/bench.go
@@ -25,54 +25,57 @@
 
 func parseBench(flags *flag.FlagSet) runner {
 	c := carobbench.Config{Measure: carobmeasure.NewMeasure().Rate}
-	flags.Func("deployments", "`NAMES` of the deployments to measure, with commas between; all if none", names(&c.Deployments))
-	flags.Func("cases", "`NAMES` of the cases to measure; the deciding ones if none", names(&c.Cases))
-	flags.Func("variants", "`NAMES` of the variants to compare; the usual ones if none", names(&c.Variants))
+	flags.Func("deployments", "`NAMES` of the deployments to measure, separated by commas; all if none", parseNames(&c.Deployments))
+	flags.Func("cases", "`NAMES` of the cases to measure, separated by commas; the default ones if none", parseNames(&c.Cases))
+	flags.Func("variants", "`NAMES` of the variants to compare, separated by commas; the default ones if none", parseNames(&c.Variants))
 	flags.IntVar(&c.Rounds, "rounds", 2, "how often each cell is measured")
-	flags.DurationVar(&c.Duration, "duration", 1500*time.Millisecond, "`TIME` that is counted in each cell")
+	flags.DurationVar(&c.Duration, "duration", 1500*time.Millisecond, "`TIME` of each cell whose calls are counted")
 	flags.DurationVar(&c.Mean, "mean", 25*time.Millisecond, "mean `TIME` of a call on its target")
-	flags.TextVar(&c.Measure, "measure", c.Measure, "most `BYTES` a second that a node sends for measuring")
-	flags.DurationVar(&c.Limit, "limit", 9*time.Minute, "`TIME` after which no cell is begun")
+	flags.TextVar(&c.Measure, "measure", c.Measure, "maximum `BYTES` a second that a node sends for probes and reports")
+	flags.DurationVar(&c.Limit, "limit", 9*time.Minute, "`TIME` after which no further cell is started")
 	flags.Uint64Var(&c.Seed, "seed", 1, "`SEED` of load and faults")
 	report := flags.String("report", "", "`FILE` for a report as JSON")
-	return func(cx context.Context, sd *streams, args []string) error {
+	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if c.Rounds < 1 || c.Duration <= 0 || c.Mean <= 0 || len(args) > 0 {
-			return errUsage("-rounds, -duration and -mean must be above 0, and no operands")
+			return errUsage("-rounds, -duration and -mean must be above 0, and no operands are taken")
 		}
-		c.Out = sd.out
-		return runBench(cx, c, *report)
+		c.Out = std.out
+		return runBench(ctx, c, *report)
 	}
 }
 
-func names(into *[]string) func(text string) error {
+// parseNames returns a flag function that splits a list at its commas into result.
+func parseNames(result *[]string) func(text string) error {
 	return func(text string) error {
-		*into = strings.Split(text, ",")
+		*result = strings.Split(text, ",")
 		return nil
 	}
 }
 
-func runBench(cx context.Context, c carobbench.Config, report string) error {
+// runBench runs the bench in a temporary folder. It uses the executable of this process
+// for the nodes and targets. The report goes to a file, if one is named.
+func runBench(ctx context.Context, c carobbench.Config, report string) error {
 	var err error
 	if c.Program, err = os.Executable(); err != nil {
-		return carobkind.Wrap(carobkind.Internal, err, "find own program")
+		return carobkind.Wrap(carobkind.Internal, err, "find the executable")
 	}
 	if c.Folder, err = os.MkdirTemp("", "carobknot-bench"); err != nil {
-		return carobkind.Wrap(carobkind.Internal, err, "make folder")
+		return carobkind.Wrap(carobkind.Internal, err, "create temporary folder")
 	}
 	defer func() { _ = os.RemoveAll(c.Folder) }()
 	c.Timer = carobtimer.NewTimer()
-	inner, cancel := context.WithCancel(context.WithoutCancel(cx))
+	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	go c.Timer.Run(inner)
-	bn := carobbench.NewBench(c)
-	if err := bn.Run(cx); err != nil {
+	bench := carobbench.NewBench(c)
+	if err := bench.Run(ctx); err != nil {
 		return err
 	}
 	if report != "" {
 		const mode = 0o750
 		if err := os.MkdirAll(filepath.Dir(report), mode); err != nil {
-			return carobkind.Wrap(carobkind.Invalid, err, "make folder of report")
+			return carobkind.Wrap(carobkind.Invalid, err, "create folder of the report")
 		}
 	}
-	return writeReport(report, bn.Report())
+	return writeReport(report, bench.Report())
 }
--- a/internal/carobcommand/check.go
+++ b/internal/carobcommand/check.go
@@ -23,31 +23,32 @@
 }
 
 func parseCheck(*flag.FlagSet) runner {
-	return func(_ context.Context, sd *streams, args []string) error {
+	return func(_ context.Context, std *stdStreams, args []string) error {
 		if len(args) != 1 {
 			return errUsage("one FILE is needed")
 		}
-		pf, _, err := readProfile(args[0])
+		profile, _, err := readProfile(args[0])
 		if err != nil {
 			return err
 		}
-		_, _ = fmt.Fprintf(sd.out, "%s: profile %s is good\n", args[0], pf.Name)
+		_, _ = fmt.Fprintf(std.out, "%s: profile %s is good\n", args[0], profile.Name)
 		return nil
 	}
 }
 
-// readProfile reads a file, and reports whether it names the base.
-func readProfile(file string) (pf carobprofile.Profile, based bool, err error) {
+// readProfile reads and checks the file of a profile. hasBase reports whether the file
+// sets the base, the offset of the revision that the profile replaces.
+func readProfile(file string) (profile carobprofile.Profile, hasBase bool, err error) {
 	data, err := os.ReadFile(file) //nolint:gosec // the operator names the file
 	if err != nil {
-		return pf, false, carobkind.Wrap(carobkind.Invalid, err, "read profile")
+		return profile, false, carobkind.Wrap(carobkind.Invalid, err, "read profile")
 	}
-	dc := carobdocument.NewDocument(carobdocument.Config{Name: file, Data: data})
-	if err := dc.Decode(&pf); err != nil {
-		return pf, false, err
+	document := carobdocument.NewDocument(carobdocument.Config{Name: file, Data: data})
+	if err := document.Decode(&profile); err != nil {
+		return profile, false, err
 	}
-	if !carobrouting.Known(pf.Policy) {
-		return pf, false, dc.Refuse(carobkind.New(carobkind.Invalid, "policy: there is no policy %q", string(pf.Policy)))
+	if !carobrouting.Known(profile.Policy) {
+		return profile, false, document.Refuse(carobkind.New(carobkind.Invalid, "policy: there is no policy %q", string(profile.Policy)))
 	}
-	return pf, dc.Has("base"), nil
+	return profile, document.Has("base"), nil
 }
--- a/internal/carobcommand/command.go
+++ b/internal/carobcommand/command.go
@@ -1,4 +1,5 @@
-// Package carobcommand is the command line.
+// Package carobcommand implements the command line: the subcommands, their flags and
+// the exit codes.
 package carobcommand
 
 import (
@@ -15,36 +16,41 @@
 
 // Exit codes.
 const (
-	exitDone     = 0
-	exitFailed   = 1
-	exitUsage    = 2
+	exitSuccess = 0
+	exitFailed  = 1
+	exitUsage   = 2
+	// exitConflict: another change of the profile came first.
 	exitConflict = 3
-	exitLogOut   = 4
-	exitUnsure   = 5
+	// exitLogUnavailable: the log could not be used, so that nothing was changed.
+	exitLogUnavailable = 4
+	// exitUncertain: it is not known whether the change was appended.
+	exitUncertain = 5
 )
 
-// Command is one subcommand.
+// Command describes a subcommand.
 type Command struct {
-	name    string
+	name string
+	// summary is one sentence without a full stop, for the help.
 	summary string
-	// operands names what follows the flags, for the usage.
+	// operands names the arguments after the flags, for the help. Empty if there are
+	// none.
 	operands string
 	examples string
-	// parse declares the flags and returns what runs once they are read.
+	// parse declares the flags and returns the function to call once they are parsed.
 	parse func(flags *flag.FlagSet) runner
 }
 
-// runner does the work of a command.
-type runner func(cx context.Context, sd *streams, args []string) error
+// runner runs a subcommand. args are the arguments after the flags.
+type runner func(ctx context.Context, std *stdStreams, args []string) error
 
-// streams are where a command writes.
-type streams struct {
+// stdStreams are the standard output and error of the process.
+type stdStreams struct {
 	out io.Writer
 	err io.Writer
 }
 
-// commands is the look-up table of all subcommands. To add one, add a file and
-// a row.
+// commands returns all subcommands in the order of the help. To add one, add a file
+// and a row here.
 func commands() []Command {
 	return []Command{
 		nodeCommand(),
@@ -61,53 +67,57 @@
 	}
 }
 
-// Main runs the command line and returns the exit code.
+// Main runs the subcommand that args name and returns the exit code of the process.
 func Main(args []string, out, err io.Writer) int {
-	sd := &streams{out: out, err: err}
+	std := &stdStreams{out: out, err: err}
 	if len(args) == 0 {
-		usage(sd.err)
+		usage(std.err)
 		return exitUsage
 	}
 	if args[0] == "help" || args[0] == "-h" || args[0] == "-help" || args[0] == "--help" {
-		usage(sd.out)
-		return exitDone
+		usage(std.out)
+		return exitSuccess
 	}
-	for _, cm := range commands() {
-		if cm.name == args[0] {
-			return run(cm, sd, args[1:])
+	for _, command := range commands() {
+		if command.name == args[0] {
+			return run(command, std, args[1:])
 		}
 	}
-	_, _ = fmt.Fprintf(sd.err, "carobknot: no command %q; see 'carobknot help'\n", args[0])
+	_, _ = fmt.Fprintf(std.err, "carobknot: no command %q; see 'carobknot help'\n", args[0])
 	return exitUsage
 }
 
-func run(cm Command, sd *streams, args []string) int {
-	flags := flag.NewFlagSet(cm.name, flag.ContinueOnError)
+// run parses the flags of a subcommand, runs it until it ends or a signal cancels it,
+// and returns the exit code.
+func run(command Command, std *stdStreams, args []string) int {
+	flags := flag.NewFlagSet(command.name, flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
-	work := cm.parse(flags)
+	runCommand := command.parse(flags)
 	if err := flags.Parse(args); err != nil {
 		if err == flag.ErrHelp { //nolint:errorlint // the flag package returns it unwrapped
-			help(cm, flags, sd.out)
-			return exitDone
+			help(command, flags, std.out)
+			return exitSuccess
 		}
-		_, _ = fmt.Fprintf(sd.err, "carobknot %s: %s; see 'carobknot %s -help'\n", cm.name, err, cm.name)
+		_, _ = fmt.Fprintf(std.err, "carobknot %s: %s; see 'carobknot %s -help'\n", command.name, err, command.name)
 		return exitUsage
 	}
-	cx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	if err := work(cx, sd, flags.Args()); err != nil {
-		_, _ = fmt.Fprintf(sd.err, "carobknot %s: %s\n", cm.name, err)
-		return exitOf(err)
+	if err := runCommand(ctx, std, flags.Args()); err != nil {
+		_, _ = fmt.Fprintf(std.err, "carobknot %s: %s\n", command.name, err)
+		return exitCode(err)
 	}
-	return exitDone
+	return exitSuccess
 }
 
-// errUsage marks errors in how a command was called.
+// errUsage is an error in the arguments of a command.
 type errUsage string
 
 func (e errUsage) Error() string { return string(e) }
 
-func exitOf(err error) int {
+// exitCode returns the exit code of a failed command. The help of publish and profiles
+// documents the codes.
+func exitCode(err error) int {
 	if _, ok := err.(errUsage); ok { //nolint:errorlint // returned unwrapped
 		return exitUsage
 	}
@@ -115,28 +125,30 @@
 	case carobkind.Conflict:
 		return exitConflict
 	case carobkind.LogOut:
-		return exitLogOut
+		return exitLogUnavailable
 	case carobkind.Unsure:
-		return exitUnsure
+		return exitUncertain
 	default:
 		return exitFailed
 	}
 }
 
-func usage(to io.Writer) {
-	var b strings.Builder
-	b.WriteString("Usage: carobknot COMMAND [flags]\n\nCommands:\n")
-	for _, cm := range commands() {
-		fmt.Fprintf(&b, "  %-9s %s\n", cm.name, cm.summary)
+// usage prints the list of subcommands.
+func usage(output io.Writer) {
+	var text strings.Builder
+	text.WriteString("Usage: carobknot COMMAND [flags]\n\nCommands:\n")
+	for _, command := range commands() {
+		fmt.Fprintf(&text, "  %-9s %s\n", command.name, command.summary)
 	}
-	b.WriteString("\nFor one of them: carobknot COMMAND -help\n")
-	_, _ = io.WriteString(to, b.String())
+	text.WriteString("\nFor one of them: carobknot COMMAND -help\n")
+	_, _ = io.WriteString(output, text.String())
 }
 
-func help(cm Command, flags *flag.FlagSet, to io.Writer) {
-	_, _ = fmt.Fprintf(to, "Usage: carobknot %s\n\n%s.\n", strings.TrimSpace(cm.name+" [flags] "+cm.operands), cm.summary)
-	_, _ = io.WriteString(to, "\nFlags:\n")
-	flags.SetOutput(to)
+// help prints the help of one subcommand.
+func help(command Command, flags *flag.FlagSet, output io.Writer) {
+	_, _ = fmt.Fprintf(output, "Usage: carobknot %s\n\n%s.\n", strings.TrimSpace(command.name+" [flags] "+command.operands), command.summary)
+	_, _ = io.WriteString(output, "\nFlags:\n")
+	flags.SetOutput(output)
 	flags.PrintDefaults()
-	_, _ = fmt.Fprintf(to, "\nExamples:\n%s", cm.examples)
+	_, _ = fmt.Fprintf(output, "\nExamples:\n%s", command.examples)
 }
--- a/internal/carobcommand/emulate.go
+++ b/internal/carobcommand/emulate.go
@@ -28,31 +28,31 @@
 	policy := flags.String("policy", "", "`NAME` of the routing policy, in place of the scenario's")
 	checks := flags.Int("checks", -1, "health checks a second, in place of the scenario's")
 	queue := flags.Int("queue", -1, "length of targets' queues, in place of the scenario's")
-	return func(_ context.Context, sd *streams, args []string) error {
+	return func(_ context.Context, std *stdStreams, args []string) error {
 		if *file == "" || *duration <= 0 || len(args) > 0 {
 			return errUsage("-scenario FILE and a -duration above 0 are needed, and no operands")
 		}
-		sc, err := carobscenario.Load(*file)
+		scenario, err := carobscenario.Load(*file)
 		if err != nil {
 			return err
 		}
 		if *policy != "" {
-			sc.Profile.Policy = carobword.Word(*policy)
+			scenario.Profile.Policy = carobword.Word(*policy)
 		}
 		if *checks >= 0 {
-			sc.Measure.Checks = *checks
+			scenario.Measure.Checks = *checks
 		}
 		if *queue >= 0 {
-			sc.Profile.Queue = *queue
+			scenario.Profile.Queue = *queue
 		}
-		if err := sc.Check(); err != nil {
+		if err := scenario.Check(); err != nil {
 			return err
 		}
-		em, err := carobemulator.NewEmulator(carobemulator.Config{Scenario: sc, Seed: *seed})
+		emulator, err := carobemulator.NewEmulator(carobemulator.Config{Scenario: scenario, Seed: *seed})
 		if err != nil {
 			return err
 		}
-		carobsummary.Table(sd.out, em.Run(*duration)...)
+		carobsummary.Table(std.out, emulator.Run(*duration)...)
 		return nil
 	}
 }
--- a/internal/carobcommand/load.go
+++ b/internal/carobcommand/load.go
@@ -29,79 +29,83 @@
 func parseLoad(flags *flag.FlagSet) runner {
 	c := carobloader.Config{}
 	var direct []carobaddress.Address
-	flags.Func("nodes", "`ADDRS` that nodes take calls at, with commas between", addresses(&c.Nodes))
-	flags.Func("direct", "`ADDRS` of targets for a second load beside the first, to compare with", addresses(&direct))
+	flags.Func("nodes", "`ADDRS` at which nodes accept calls, separated by commas", parseAddresses(&c.Nodes))
+	flags.Func("direct", "`ADDRS` of targets that get the same load directly, for comparison", parseAddresses(&direct))
 	flags.Func("service", "`NAME` of the service that is called", func(text string) error {
 		c.Service = carobservice.Service(text)
 		return c.Service.Check()
 	})
 	flags.Float64Var(&c.Rate, "rate", 100, "mean `CALLS` a second")
-	flags.IntVar(&c.Count, "count", 0, "most `CALLS` that are sent; 0 is no bound")
+	flags.IntVar(&c.Count, "count", 0, "maximum number of `CALLS`; 0 is no limit")
 	flags.DurationVar(&c.Duration, "duration", 10*time.Second, "`TIME` for which calls are sent")
-	flags.DurationVar(&c.Skip, "skip", 0, "`TIME` at the beginning in which calls are not counted")
+	flags.DurationVar(&c.Skip, "skip", 0, "`TIME` at the start whose calls are not counted")
 	flags.Uint64Var(&c.Seed, "seed", 1, "`SEED` of arrivals and bodies")
 	flags.TextVar(&c.Size, "size", c.Size, "`SIZE` of each body")
-	flags.TextVar(&c.Answer, "answer", c.Answer, "`SIZE` of each answer; 0B has the body sent back")
+	flags.TextVar(&c.Answer, "answer", c.Answer, "`SIZE` of each answer; 0B makes the target send the body back")
 	flags.TextVar(&c.Keys, "keys", c.Keys, "`SHARE` of calls with an idempotency key")
-	flags.DurationVar(&c.Deadline, "deadline", 2*time.Second, "`TIME` that callers wait")
+	flags.DurationVar(&c.Deadline, "deadline", 2*time.Second, "`TIME` until the deadline of a call")
 	report := flags.String("report", "", "`FILE` for a report as JSON")
-	return func(cx context.Context, sd *streams, args []string) error {
+	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if len(c.Nodes) == 0 || c.Service == "" || c.Rate <= 0 || c.Deadline <= 0 || len(args) > 0 {
-			return errUsage("-nodes and -service are needed, -rate and -deadline above 0, and no operands")
+			return errUsage("-nodes and -service are needed, -rate and -deadline must be above 0, and no operands are taken")
 		}
-		return runLoad(cx, sd, c, direct, *report)
+		return runLoad(ctx, std, c, direct, *report)
 	}
 }
 
-// addresses returns what reads a list of addresses.
-func addresses(into *[]carobaddress.Address) func(text string) error {
+// parseAddresses returns a flag function that appends a list of addresses, separated
+// by commas, to result.
+func parseAddresses(result *[]carobaddress.Address) func(text string) error {
 	return func(text string) error {
 		for part := range strings.SplitSeq(text, ",") {
-			ad := carobaddress.Address(part)
-			if err := ad.Check(); err != nil {
+			address := carobaddress.Address(part)
+			if err := address.Check(); err != nil {
 				return err
 			}
-			*into = append(*into, ad)
+			*result = append(*result, address)
 		}
 		return nil
 	}
 }
 
-func runLoad(cx context.Context, sd *streams, c carobloader.Config, direct []carobaddress.Address, file string) error {
+// runLoad sends the load to the nodes and, at the same time, the same load directly to
+// the targets of direct, if there are any. It prints the summaries and writes them to a
+// file, if one is named.
+func runLoad(ctx context.Context, std *stdStreams, c carobloader.Config, direct []carobaddress.Address, file string) error {
 	c.Timer = carobtimer.NewTimer()
-	inner, cancel := context.WithCancel(context.WithoutCancel(cx))
+	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	go c.Timer.Run(inner)
 	c.Name = "nodes"
-	loads := []carobloader.Config{c}
+	configs := []carobloader.Config{c}
 	if len(direct) > 0 {
 		c.Name, c.Nodes, c.Direct = "direct", direct, true
-		loads = append(loads, c)
+		configs = append(configs, c)
 	}
-	summaries := make([]*carobsummary.Summary, len(loads))
+	summaries := make([]*carobsummary.Summary, len(configs))
 	var running sync.WaitGroup
-	for i, ld := range loads {
-		running.Go(func() { summaries[i] = carobloader.NewLoader(ld).Run(cx) })
+	for i, config := range configs {
+		running.Go(func() { summaries[i] = carobloader.NewLoader(config).Run(ctx) })
 	}
 	running.Wait()
-	carobsummary.Table(sd.out, summaries...)
+	carobsummary.Table(std.out, summaries...)
 	if err := writeReport(file, summaries); err != nil {
 		return err
 	}
 	return checkAnswers(summaries)
 }
 
-// checkAnswers is an error if an answer was cut or not the call's own.
+// checkAnswers returns an error if an answer was truncated or belongs to another call.
 func checkAnswers(summaries []*carobsummary.Summary) error {
-	for _, sm := range summaries {
-		if sm.Wrong > 0 {
-			return carobkind.New(carobkind.Internal, "%d answers are cut or belong to other calls", sm.Wrong)
+	for _, summary := range summaries {
+		if summary.Wrong > 0 {
+			return carobkind.New(carobkind.Internal, "%d answers are truncated or belong to other calls", summary.Wrong)
 		}
 	}
 	return nil
 }
 
-// writeReport writes a value as JSON, if a file is named.
+// writeReport writes a report as JSON to a file. It does nothing if file is empty.
 func writeReport(file string, report any) error {
 	if file == "" {
 		return nil
--- a/internal/carobcommand/log.go
+++ b/internal/carobcommand/log.go
@@ -37,30 +37,31 @@
 func parseLog(flags *flag.FlagSet) runner {
 	listen := flags.String("listen", "127.0.0.1:7100", "`ADDR` to listen at")
 	retention := flags.Int("retention", 0, "records kept of each stream; 0 keeps all")
-	return func(cx context.Context, sd *streams, args []string) error {
+	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if len(args) > 0 {
 			return errUsage("no operands are taken")
 		}
-		return runLog(cx, sd, *listen, *retention)
+		return runLog(ctx, std, *listen, *retention)
 	}
 }
 
-func runLog(cx context.Context, sd *streams, listen string, retention int) error {
+// runLog serves the stand-in for the log until ctx is done.
+func runLog(ctx context.Context, std *stdStreams, listen string, retention int) error {
 	var config net.ListenConfig
-	ls, err := config.Listen(cx, "tcp", listen)
+	listener, err := config.Listen(ctx, "tcp", listen)
 	if err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "listen")
 	}
 	timer := carobtimer.NewTimer()
-	go timer.Run(cx)
-	lg := carobstandlog.NewLog(carobstandlog.Config{Timer: timer, Retention: retention})
-	_, _ = fmt.Fprintf(sd.out, "log=http://%s\n", ls.Addr())
+	go timer.Run(ctx)
+	server := carobstandlog.NewLog(carobstandlog.Config{Timer: timer, Retention: retention})
+	_, _ = fmt.Fprintf(std.out, "log=http://%s\n", listener.Addr())
 	failed := make(chan error, 1)
-	go func() { failed <- lg.Serve(ls) }()
+	go func() { failed <- server.Serve(listener) }()
 	select {
 	case err := <-failed:
 		return err
-	case <-cx.Done():
-		return ls.Close()
+	case <-ctx.Done():
+		return listener.Close()
 	}
 }
--- a/internal/carobcommand/node.go
+++ b/internal/carobcommand/node.go
@@ -23,31 +23,34 @@
 
 func parseNode(flags *flag.FlagSet) runner {
 	file := flags.String("settings", "", "`FILE` of settings, JSON with comments")
-	return func(cx context.Context, sd *streams, args []string) error {
+	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if *file == "" || len(args) > 0 {
 			return errUsage("-settings FILE is needed, and nothing else")
 		}
-		return runNode(cx, sd, *file)
+		return runNode(ctx, std, *file)
 	}
 }
 
-func runNode(cx context.Context, sd *streams, file string) error {
-	st, err := carobsettings.Load(file)
+// runNode runs a node until ctx is done and it has shut down. It prints the addresses
+// at which the node listens.
+func runNode(ctx context.Context, std *stdStreams, file string) error {
+	settings, err := carobsettings.Load(file)
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(st.Limits.Cores)
-	nd, err := carobnode.NewNode(cx, carobnode.Config{Settings: st, Logger: newLogger(sd)})
+	runtime.GOMAXPROCS(settings.Limits.Cores)
+	node, err := carobnode.NewNode(ctx, carobnode.Config{Settings: settings, Logger: newLogger(std)})
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(sd.out, "call=%s peer=%s admin=%s\n", nd.Call(), nd.Peer(), nd.Admin())
-	return nd.Run(cx)
+	_, _ = fmt.Fprintf(std.out, "call=%s peer=%s admin=%s\n", node.Call(), node.Peer(), node.Admin())
+	return node.Run(ctx)
 }
 
-func newLogger(sd *streams) *logrus.Logger {
-	lg := logrus.New()
-	lg.SetOutput(sd.err)
-	lg.SetFormatter(&logrus.TextFormatter{FullTimestamp: true, DisableColors: true})
-	return lg
+// newLogger returns a logger that writes text lines to standard error.
+func newLogger(std *stdStreams) *logrus.Logger {
+	logger := logrus.New()
+	logger.SetOutput(std.err)
+	logger.SetFormatter(&logrus.TextFormatter{FullTimestamp: true, DisableColors: true})
+	return logger
 }
--- a/internal/carobcommand/profiles.go
+++ b/internal/carobcommand/profiles.go
@@ -39,84 +39,90 @@
 	url := flags.String("log", "", "`URL` of the platform's log")
 	settle := flags.String("settle", "", "say what became of the change with this `ID`")
 	asJSON := flags.Bool("json", false, "print the profiles in force as JSON, whole")
-	patience := flags.Duration("patience", logPatience, "longest `TIME` that one request to the log may take")
-	return func(cx context.Context, sd *streams, args []string) error {
+	timeout := flags.Duration("patience", logTimeout, "longest `TIME` that one request to the log may take")
+	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if *url == "" || len(args) > 0 {
 			return errUsage("-log URL is needed, and no operands")
 		}
-		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Patience: *patience})
-		lg := carobledger.NewLedger(carobledger.Config{Log: client})
-		if err := lg.Read(cx); err != nil {
+		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Patience: *timeout})
+		ledger := carobledger.NewLedger(carobledger.Config{Log: client})
+		if err := ledger.Read(ctx); err != nil {
 			return carobkind.Wrap(carobkind.Unsure, err, "the log cannot be read")
 		}
 		switch {
 		case *settle != "":
-			return settleChange(sd, lg, *settle)
+			return settleChange(std, ledger, *settle)
 		case *asJSON:
-			return printJSON(sd.out, lg)
+			return printJSON(std.out, ledger)
 		default:
-			return printLedger(sd, lg)
+			return printLedger(std, ledger)
 		}
 	}
 }
 
-func settleChange(sd *streams, lg *carobledger.Ledger, id string) error {
-	cr, ok := lg.Find(id)
+// settleChange prints the result of the change with an ID.
+func settleChange(std *stdStreams, ledger *carobledger.Ledger, id string) error {
+	result, ok := ledger.Find(id)
 	if ok {
-		return tell(sd, cr)
+		return reportResult(std, result)
 	}
-	if !lg.Whole() {
-		return carobkind.New(carobkind.Unsure, "unknown: the log does not keep the first changes any more")
+	if !ledger.Whole() {
+		return carobkind.New(carobkind.Unsure, "unknown: the log no longer keeps the first changes")
 	}
-	return carobkind.New(carobkind.LogOut, "not accepted: the log has no change %s up to offset %d; publish it again", id, lg.Next()-1)
+	return carobkind.New(carobkind.LogOut, "not accepted: the log has no change %s up to offset %d; publish it again", id, ledger.Next()-1)
 }
 
-func printJSON(out io.Writer, lg *carobledger.Ledger) error {
+// printJSON prints the revisions in force as a JSON list.
+func printJSON(out io.Writer, ledger *carobledger.Ledger) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
-	if err := encoder.Encode(inForce(lg)); err != nil {
+	if err := encoder.Encode(sortedRevisions(ledger)); err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "print profiles")
 	}
 	return nil
 }
 
-func printLedger(sd *streams, lg *carobledger.Ledger) error {
-	if !lg.Whole() {
-		_, _ = fmt.Fprintln(sd.err, "carobknot profiles: the log keeps neither the first changes nor a snapshot; what follows is not whole")
+// printLedger prints the profiles in force and the history of changes as tables.
+func printLedger(std *stdStreams, ledger *carobledger.Ledger) error {
+	if !ledger.Whole() {
+		_, _ = fmt.Fprintln(std.err, "carobknot profiles: the log keeps neither the first changes nor a snapshot of them; the output is incomplete")
 	}
-	table := tabwriter.NewWriter(sd.out, 0, 0, 2, ' ', 0)
+	table := tabwriter.NewWriter(std.out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "PROFILE\tREVISION\tONCE\tDEADLINE\tTRIES\tWHO\tWHEN")
-	for _, rv := range inForce(lg) {
-		pf := rv.Change.Profile
-		_, _ = fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%d\t%s\t%s\n", pf.Name, rv.Offset, pf.Once, pf.Deadline, pf.Tries,
-			rv.Change.Who, rv.Change.When.Format(time.RFC3339))
+	for _, revision := range sortedRevisions(ledger) {
+		profile := revision.Change.Profile
+		_, _ = fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%d\t%s\t%s\n", profile.Name, revision.Offset, profile.Once, profile.Deadline, profile.Tries,
+			revision.Change.Who, revision.Change.When.Format(time.RFC3339))
 	}
 	_, _ = fmt.Fprintln(table, "\nCHANGE\tPROFILE\tBASE\tEND\tWHO\tWHEN")
-	for _, cr := range lg.History {
-		_, _ = fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", cr.Offset, cr.Change.Profile.Name, base(cr.Change.Profile.Base),
-			end(cr), cr.Change.Who, cr.Change.When.Format(time.RFC3339))
+	for _, result := range ledger.History {
+		_, _ = fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", result.Offset, result.Change.Profile.Name, formatBase(result.Change.Profile.Base),
+			formatResult(result), result.Change.Who, result.Change.When.Format(time.RFC3339))
 	}
 	return table.Flush()
 }
 
-func inForce(lg *carobledger.Ledger) []carobrevision.Revision {
-	all := lg.InForce()
-	slices.SortFunc(all, func(a, b carobrevision.Revision) int {
+// sortedRevisions returns the revisions in force, sorted by the names of the profiles.
+func sortedRevisions(ledger *carobledger.Ledger) []carobrevision.Revision {
+	revisions := ledger.InForce()
+	slices.SortFunc(revisions, func(a, b carobrevision.Revision) int {
 		return cmp.Compare(a.Change.Profile.Name, b.Change.Profile.Name)
 	})
-	return all
+	return revisions
 }
 
-func base(offset caroboffset.Offset) string {
+// formatBase formats the offset of a base.
+func formatBase(offset caroboffset.Offset) string {
 	if offset == caroboffset.None {
 		return "none"
 	}
 	return fmt.Sprint(offset)
 }
 
-func end(cr carobchangeresult.ChangeResult) string {
-	if cr.Won {
+// formatResult formats the result of a change for the history.
+func formatResult(result carobchangeresult.ChangeResult) string {
+	if result.Won {
 		return "accepted"
 	}
-	return fmt.Sprintf("conflict with %s", base(cr.Before.Offset))
+	return fmt.Sprintf("conflict with %s", formatBase(result.Before.Offset))
 }
--- a/internal/carobcommand/publish.go
+++ b/internal/carobcommand/publish.go
@@ -19,10 +19,11 @@
 )
 
 const (
-	// logPatience is how long one request to the log may take.
-	logPatience = 5 * time.Second
-	// appends is how often a change is appended while its end is not known.
-	appends = 3
+	// logTimeout is the default timeout of a request to the log.
+	logTimeout = 5 * time.Second
+	// maxAppends is how often a change is appended at most while it is not known whether
+	// it is in the log.
+	maxAppends = 3
 )
 
 func publishCommand() Command {
@@ -42,93 +43,98 @@
 
 func parsePublish(flags *flag.FlagSet) runner {
 	url := flags.String("log", "", "`URL` of the platform's log")
-	patience := flags.Duration("patience", logPatience, "longest `TIME` that one request to the log may take")
-	return func(cx context.Context, sd *streams, args []string) error {
+	timeout := flags.Duration("patience", logTimeout, "longest `TIME` that one request to the log may take")
+	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if *url == "" || len(args) != 1 {
 			return errUsage("-log URL and one FILE are needed")
 		}
-		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Patience: *patience})
+		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Patience: *timeout})
 		p := &publisher{
-			streams: sd, url: *url, log: client,
+			std: std, url: *url, log: client,
 			ledger: carobledger.NewLedger(carobledger.Config{Log: client}),
 		}
-		return p.publish(cx, args[0])
+		return p.publish(ctx, args[0])
 	}
 }
 
-// publisher publishes one change.
+// publisher publishes one change of a profile.
 type publisher struct {
-	streams *streams
-	url     string
-	log     *carobplatform.Client
-	ledger  *carobledger.Ledger
-	change  carobchange.Change
+	std    *stdStreams
+	url    string
+	log    *carobplatform.Client
+	ledger *carobledger.Ledger
+	// change is empty until publish has read the file.
+	change carobchange.Change
 }
 
-func (p *publisher) publish(cx context.Context, file string) error {
-	pf, based, err := readProfile(file)
+// publish publishes the profile of a file. Without a base in the file, the base is the
+// revision in force.
+func (p *publisher) publish(ctx context.Context, file string) error {
+	profile, hasBase, err := readProfile(file)
 	if err != nil {
 		return err
 	}
-	if err := p.ledger.Read(cx); err != nil {
+	if err := p.ledger.Read(ctx); err != nil {
 		return carobkind.New(carobkind.LogOut, "not accepted: the log cannot be read: %s", err)
 	}
 	if !p.ledger.Whole() {
 		return carobkind.New(carobkind.LogOut, "not accepted: the log keeps neither the first changes nor a snapshot of them; "+
 			"nodes that run append one within seconds, so try again")
 	}
-	if !based {
-		pf.Base = p.ledger.Of(pf.Name)
+	if !hasBase {
+		profile.Base = p.ledger.Of(profile.Name)
 	}
-	p.change = carobchange.Change{ID: rand.Text(), Profile: pf, Who: operator(), When: carobtimer.NewTimer().Wall().UTC()}
+	p.change = carobchange.Change{ID: rand.Text(), Profile: profile, Who: operator(), When: carobtimer.NewTimer().Wall().UTC()}
 	data, err := json.Marshal(p.change)
 	if err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "encode change")
 	}
-	return p.settle(cx, data)
+	return p.appendChange(ctx, data)
 }
 
-// settle appends the change and reads back what became of it. If the answer to
-// the append is lost and the change is not in the log, it is appended again: both
-// have the same base, so at most one can win, also if the first comes late.
-func (p *publisher) settle(cx context.Context, data []byte) error {
-	unsure := false
-	for range appends {
-		_, err := p.log.Append(cx, carobstream.Profiles, data)
-		if carobkind.Of(err) == carobkind.LogOut && !unsure {
+// appendChange appends the change and reads its result from the log. If the response to
+// the append is lost and the change is not in the log, it is appended again. Both
+// records have the same base, so at most one of them is accepted, even if the first one
+// reaches the log late.
+func (p *publisher) appendChange(ctx context.Context, data []byte) error {
+	uncertain := false
+	for range maxAppends {
+		_, err := p.log.Append(ctx, carobstream.Profiles, data)
+		if carobkind.Of(err) == carobkind.LogOut && !uncertain {
 			return carobkind.New(carobkind.LogOut, "not accepted: the log is out: %s", err)
 		}
-		unsure = unsure || err != nil
-		if err := p.ledger.Read(cx); err != nil {
+		uncertain = uncertain || err != nil
+		if err := p.ledger.Read(ctx); err != nil {
 			break
 		}
-		if cr, ok := p.ledger.Find(p.change.ID); ok {
-			return tell(p.streams, cr)
+		if result, ok := p.ledger.Find(p.change.ID); ok {
+			return reportResult(p.std, result)
 		}
 	}
 	return carobkind.New(carobkind.Unsure, "unknown: the log's answer is lost; settle it with:\n  carobknot profiles -log %s -settle %s",
 		p.url, p.change.ID)
 }
 
-// tell says what became of a change.
-func tell(sd *streams, cr carobchangeresult.ChangeResult) error {
-	name := cr.Change.Profile.Name
-	if cr.Won {
-		_, _ = fmt.Fprintf(sd.out, "accepted: profile %s at offset %d\n", name, cr.Offset)
+// reportResult prints that a change was accepted, or returns an error of kind Conflict.
+func reportResult(std *stdStreams, result carobchangeresult.ChangeResult) error {
+	name := result.Change.Profile.Name
+	if result.Won {
+		_, _ = fmt.Fprintf(std.out, "accepted: profile %s at offset %d\n", name, result.Offset)
 		return nil
 	}
-	if cr.Before.Offset < 0 {
-		return carobkind.New(carobkind.Conflict, "conflict: profile %s has no revision %d", name, cr.Change.Profile.Base)
+	if result.Before.Offset < 0 {
+		return carobkind.New(carobkind.Conflict, "conflict: profile %s has no revision %d", name, result.Change.Profile.Base)
 	}
-	winner := cr.Before.Change
+	winner := result.Before.Change
 	return carobkind.New(carobkind.Conflict, "conflict: profile %s is at offset %d, published by %s at %s, and not at %d",
-		name, cr.Before.Offset, winner.Who, winner.When.Format(time.RFC3339), cr.Change.Profile.Base)
+		name, result.Before.Offset, winner.Who, winner.When.Format(time.RFC3339), result.Change.Profile.Base)
 }
 
+// operator returns the name of the user who runs the command, or "unknown".
 func operator() string {
-	us, err := user.Current()
+	current, err := user.Current()
 	if err != nil {
 		return "unknown"
 	}
-	return us.Username
+	return current.Username
 }
--- a/internal/carobcommand/status.go
+++ b/internal/carobcommand/status.go
@@ -13,8 +13,8 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// statusPatience is how long a node may take to answer.
-const statusPatience = 5 * time.Second
+// statusTimeout is the timeout of the request to a node.
+const statusTimeout = 5 * time.Second
 
 func statusCommand() Command {
 	return Command{
@@ -27,53 +27,57 @@
 
 func parseStatus(flags *flag.FlagSet) runner {
 	var admin carobaddress.Address
-	flags.Func("admin", "`ADDR` of the node's admin side", func(text string) error {
+	flags.Func("admin", "`ADDR` of the node's admin server", func(text string) error {
 		admin = carobaddress.Address(text)
 		return admin.Check()
 	})
-	plain := flags.Bool("json", false, "print JSON")
-	return func(cx context.Context, sd *streams, args []string) error {
+	asJSON := flags.Bool("json", false, "print JSON")
+	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if admin == "" || len(args) > 0 {
 			return errUsage("-admin ADDR is needed, and no operands")
 		}
-		return runStatus(cx, sd, admin, *plain)
+		return runStatus(ctx, std, admin, *asJSON)
 	}
 }
 
-func runStatus(cx context.Context, sd *streams, admin carobaddress.Address, plain bool) error {
-	data, err := fetchStatus(cx, admin)
+// runStatus prints the status of a node as tables, or as the JSON that the node sent.
+func runStatus(ctx context.Context, std *stdStreams, admin carobaddress.Address, asJSON bool) error {
+	data, err := fetchStatus(ctx, admin)
 	if err != nil {
 		return err
 	}
-	if plain {
-		_, err := sd.out.Write(append(data, '\n'))
+	if asJSON {
+		_, err := std.out.Write(append(data, '\n'))
 		return err
 	}
-	var st carobstatus.Status
-	if err := json.Unmarshal(data, &st); err != nil {
-		return carobkind.Wrap(carobkind.Invalid, err, "decode the node's answer")
+	var status carobstatus.Status
+	if err := json.Unmarshal(data, &status); err != nil {
+		return carobkind.Wrap(carobkind.Invalid, err, "decode the node's response")
 	}
-	return st.Write(sd.out)
+	return status.Write(std.out)
 }
 
-func fetchStatus(cx context.Context, admin carobaddress.Address) ([]byte, error) {
-	cx, cancel := context.WithTimeout(cx, statusPatience)
+// fetchStatus returns the body of the node's response. Errors are of kind Unreachable if
+// the request failed, Cut if the response was truncated, and Internal if its status is
+// not 200.
+func fetchStatus(ctx context.Context, admin carobaddress.Address) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	rq, err := http.NewRequestWithContext(cx, http.MethodGet, "http://"+string(admin)+"/status", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+string(admin)+"/status", nil)
 	if err != nil {
-		return nil, carobkind.Wrap(carobkind.Invalid, err, "make request")
+		return nil, carobkind.Wrap(carobkind.Invalid, err, "create request")
 	}
-	rs, err := http.DefaultClient.Do(rq)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, carobkind.Wrap(carobkind.Unreachable, err, "ask the node")
+		return nil, carobkind.Wrap(carobkind.Unreachable, err, "request status from the node")
 	}
-	defer func() { _ = rs.Body.Close() }()
-	data, err := io.ReadAll(rs.Body)
+	defer func() { _ = resp.Body.Close() }()
+	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, carobkind.Wrap(carobkind.Cut, err, "read the node's answer")
+		return nil, carobkind.Wrap(carobkind.Cut, err, "read the node's response")
 	}
-	if rs.StatusCode != http.StatusOK {
-		return nil, carobkind.New(carobkind.Internal, "the node answers status %d: %.200s", rs.StatusCode, data)
+	if resp.StatusCode != http.StatusOK {
+		return nil, carobkind.New(carobkind.Internal, "the node responded with status %d: %.200s", resp.StatusCode, data)
 	}
 	return data, nil
 }
