--- a/internal/carobadmin/admin.go
+++ b/internal/carobadmin/admin.go
@@ -28,7 +28,7 @@
 	Ask(ctx context.Context, query func(w *carobworld.World)) error
 }
 
-// Config holds the parameters of NewAdmin.
+// Config holds the parameters of an admin server.
 type Config struct {
 	Mailbox *carobmailbox.Mailbox
 	Control querier
--- a/internal/carobclaimlog/claimlog.go
+++ b/internal/carobclaimlog/claimlog.go
@@ -19,7 +19,7 @@
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
 
-// Config holds the parameters of NewClaimLog.
+// Config holds the parameters of a claim log.
 type Config struct {
 	Log     *carobplatform.Client
 	Mailbox *carobmailbox.Mailbox
--- a/internal/carobcommand/profiles.go
+++ b/internal/carobcommand/profiles.go
@@ -45,57 +45,57 @@
 			return errUsage("-log URL is needed, and no operands")
 		}
 		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Patience: *timeout})
-		ledger := carobledger.NewLedger(carobledger.Config{Log: client})
-		if err := ledger.Read(ctx); err != nil {
+		history := carobledger.NewLedger(carobledger.Config{Log: client})
+		if err := history.Read(ctx); err != nil {
 			return carobkind.Wrap(carobkind.Unsure, err, "the log cannot be read")
 		}
 		switch {
 		case *settle != "":
-			return settleChange(std, ledger, *settle)
+			return settleChange(std, history, *settle)
 		case *asJSON:
-			return printJSON(std.out, ledger)
+			return printJSON(std.out, history)
 		default:
-			return printLedger(std, ledger)
+			return printTables(std, history)
 		}
 	}
 }
 
 // settleChange prints the result of the change with an ID.
-func settleChange(std *stdStreams, ledger *carobledger.Ledger, id string) error {
-	result, ok := ledger.Find(id)
+func settleChange(std *stdStreams, history *carobledger.Ledger, id string) error {
+	result, ok := history.Find(id)
 	if ok {
 		return reportResult(std, result)
 	}
-	if !ledger.Whole() {
+	if !history.Whole() {
 		return carobkind.New(carobkind.Unsure, "unknown: the log no longer keeps the first changes")
 	}
-	return carobkind.New(carobkind.LogOut, "not accepted: the log has no change %s up to offset %d; publish it again", id, ledger.Next()-1)
+	return carobkind.New(carobkind.LogOut, "not accepted: the log has no change %s up to offset %d; publish it again", id, history.Next()-1)
 }
 
 // printJSON prints the revisions in force as a JSON list.
-func printJSON(out io.Writer, ledger *carobledger.Ledger) error {
+func printJSON(out io.Writer, history *carobledger.Ledger) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
-	if err := encoder.Encode(sortedRevisions(ledger)); err != nil {
+	if err := encoder.Encode(sortedRevisions(history)); err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "print profiles")
 	}
 	return nil
 }
 
-// printLedger prints the profiles in force and the history of changes as tables.
-func printLedger(std *stdStreams, ledger *carobledger.Ledger) error {
-	if !ledger.Whole() {
+// printTables prints the profiles in force and the history of changes as tables.
+func printTables(std *stdStreams, history *carobledger.Ledger) error {
+	if !history.Whole() {
 		_, _ = fmt.Fprintln(std.err, "carobknot profiles: the log keeps neither the first changes nor a snapshot of them; the output is incomplete")
 	}
 	table := tabwriter.NewWriter(std.out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "PROFILE\tREVISION\tONCE\tDEADLINE\tTRIES\tWHO\tWHEN")
-	for _, revision := range sortedRevisions(ledger) {
+	for _, revision := range sortedRevisions(history) {
 		profile := revision.Change.Profile
 		_, _ = fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%d\t%s\t%s\n", profile.Name, revision.Offset, profile.Once, profile.Deadline, profile.Tries,
 			revision.Change.Who, revision.Change.When.Format(time.RFC3339))
 	}
 	_, _ = fmt.Fprintln(table, "\nCHANGE\tPROFILE\tBASE\tEND\tWHO\tWHEN")
-	for _, result := range ledger.History {
+	for _, result := range history.History {
 		_, _ = fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", result.Offset, result.Change.Profile.Name, formatBase(result.Change.Profile.Base),
 			formatResult(result), result.Change.Who, result.Change.When.Format(time.RFC3339))
 	}
@@ -103,8 +103,8 @@
 }
 
 // sortedRevisions returns the revisions in force, sorted by the names of the profiles.
-func sortedRevisions(ledger *carobledger.Ledger) []carobrevision.Revision {
-	revisions := ledger.InForce()
+func sortedRevisions(history *carobledger.Ledger) []carobrevision.Revision {
+	revisions := history.InForce()
 	slices.SortFunc(revisions, func(a, b carobrevision.Revision) int {
 		return cmp.Compare(a.Change.Profile.Name, b.Change.Profile.Name)
 	})
--- a/internal/carobcommand/publish.go
+++ b/internal/carobcommand/publish.go
@@ -51,7 +51,7 @@
 		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Patience: *timeout})
 		p := &publisher{
 			std: std, url: *url, log: client,
-			ledger: carobledger.NewLedger(carobledger.Config{Log: client}),
+			history: carobledger.NewLedger(carobledger.Config{Log: client}),
 		}
 		return p.publish(ctx, args[0])
 	}
@@ -59,10 +59,10 @@
 
 // publisher publishes one change of a profile.
 type publisher struct {
-	std    *stdStreams
-	url    string
-	log    *carobplatform.Client
-	ledger *carobledger.Ledger
+	std     *stdStreams
+	url     string
+	log     *carobplatform.Client
+	history *carobledger.Ledger
 	// change is empty until publish has read the file.
 	change carobchange.Change
 }
@@ -74,15 +74,15 @@
 	if err != nil {
 		return err
 	}
-	if err := p.ledger.Read(ctx); err != nil {
+	if err := p.history.Read(ctx); err != nil {
 		return carobkind.New(carobkind.LogOut, "not accepted: the log cannot be read: %s", err)
 	}
-	if !p.ledger.Whole() {
+	if !p.history.Whole() {
 		return carobkind.New(carobkind.LogOut, "not accepted: the log keeps neither the first changes nor a snapshot of them; "+
 			"nodes that run append one within seconds, so try again")
 	}
 	if !hasBase {
-		profile.Base = p.ledger.Of(profile.Name)
+		profile.Base = p.history.Of(profile.Name)
 	}
 	p.change = carobchange.Change{ID: rand.Text(), Profile: profile, Who: operator(), When: carobtimer.NewTimer().Wall().UTC()}
 	data, err := json.Marshal(p.change)
@@ -104,10 +104,10 @@
 			return carobkind.New(carobkind.LogOut, "not accepted: the log is out: %s", err)
 		}
 		uncertain = uncertain || err != nil
-		if err := p.ledger.Read(ctx); err != nil {
+		if err := p.history.Read(ctx); err != nil {
 			break
 		}
-		if result, ok := p.ledger.Find(p.change.ID); ok {
+		if result, ok := p.history.Find(p.change.ID); ok {
 			return reportResult(p.std, result)
 		}
 	}
--- a/internal/carobdocument/document.go
+++ b/internal/carobdocument/document.go
@@ -19,7 +19,7 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Config holds the parameters of NewDocument.
+// Config holds the parameters of a document.
 type Config struct {
 	// Name is the name of the file, for errors.
 	Name string
--- a/internal/carobenroller/enroller.go
+++ b/internal/carobenroller/enroller.go
@@ -27,8 +27,9 @@
 	Words(ctx context.Context) ([][]byte, error)
 }
 
-// Config holds the parameters of NewEnroller.
+// Config holds the parameters of the constructor.
 type Config struct {
+	// Node is the node whose member is written.
 	Node      carobnodeid.ID
 	Directory directory
 	Mailbox   *carobmailbox.Mailbox
@@ -54,7 +55,7 @@
 	wake chan struct{}
 }
 
-// NewEnroller returns an enroller that does nothing until Run is called.
+// NewEnroller starts nothing; Run does.
 func NewEnroller(c Config) *Enroller {
 	return &Enroller{config: c, wake: make(chan struct{}, 1)}
 }
--- a/internal/carobeventlog/log.go
+++ b/internal/carobeventlog/log.go
@@ -22,7 +22,7 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Config holds the parameters of NewEventLog.
+// Config holds the parameters of an event log.
 type Config struct {
 	Logger *logrus.Logger
 	Timer  *carobtimer.Timer
--- a/internal/carobfollower/follower.go
+++ b/internal/carobfollower/follower.go
@@ -24,7 +24,7 @@
 	Routes(ctx context.Context, wait time.Duration) (*carobroutes.Routes, error)
 }
 
-// Config holds the parameters of NewFollower.
+// Config holds the parameters of a poller.
 type Config struct {
 	Source  source
 	Mailbox *carobmailbox.Mailbox
@@ -62,7 +62,7 @@
 	unreadable bool
 }
 
-// NewFollower returns a follower that reads nothing until Carry enables it and Run
+// NewFollower returns a poller that reads nothing until an outbox enables it and Run
 // is called.
 func NewFollower(c Config) *Follower {
 	return &Follower{config: c, changed: make(chan struct{}, 1)}
--- a/internal/carobfollower/follower_test.go
+++ b/internal/carobfollower/follower_test.go
@@ -41,19 +41,19 @@
 // Guards against reads that are not repeated, held for too long, or not cancelled
 // once the control goroutine no longer needs tables, and against a store whose
 // failure or recovery is not posted.
-func TestFollowerReadsWhileEnabled(t *testing.T) {
+func TestTablesAreReadWhileEnabled(t *testing.T) {
 	table, err := carobroutes.NewRoutes(1, nil)
 	require.NoError(t, err)
 	timer, mailbox := carobtimer.NewTimer(), carobmailbox.NewMailbox()
 	go timer.Run(t.Context())
 	routeSource := &stubSource{reads: make(chan time.Duration), answers: make(chan error), table: table}
 	logger, logged := test.NewNullLogger()
-	follower := carobfollower.NewFollower(carobfollower.Config{
+	poller := carobfollower.NewFollower(carobfollower.Config{
 		Source: routeSource, Mailbox: mailbox, Timer: timer, Logger: logrus.NewEntry(logger),
 	})
-	go follower.Run(t.Context())
+	go poller.Run(t.Context())
 	const hold = time.Second
-	follower.Carry(&caroboutbox.Outbox{Following: true, Hold: hold})
+	poller.Carry(&caroboutbox.Outbox{Following: true, Hold: hold})
 	held := <-routeSource.reads
 	require.GreaterOrEqual(t, held, hold/2, "the store must hold a read that finds nothing")
 	require.LessOrEqual(t, held, hold*3/2, "a read must not be held longer than its jitter allows")
@@ -75,10 +75,10 @@
 	require.True(t, mailbox.Await(t.Context()))
 	require.Equal(t, []bool{false}, mailbox.Take().Blind)
 
-	// A read ends when the follower is disabled, and another one begins when it is
+	// A read ends when the poller is disabled, and another one begins when it is
 	// enabled again.
 	<-routeSource.reads
-	follower.Carry(&caroboutbox.Outbox{})
-	follower.Carry(&caroboutbox.Outbox{Following: true})
+	poller.Carry(&caroboutbox.Outbox{})
+	poller.Carry(&caroboutbox.Outbox{Following: true})
 	<-routeSource.reads
 }
--- a/internal/carobledger/ledger.go
+++ b/internal/carobledger/ledger.go
@@ -23,7 +23,7 @@
 	Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.Page, error)
 }
 
-// Config holds the parameters of NewLedger.
+// Config holds what the profiles are read from.
 type Config struct {
 	Log reader
 }
@@ -42,7 +42,7 @@
 	History []carobchangeresult.ChangeResult
 }
 
-// NewLedger returns an empty ledger. Read fills it.
+// NewLedger returns a history without records. Read adds them.
 func NewLedger(c Config) *Ledger {
 	return &Ledger{
 		log: c.Log, fold: carobfold.NewSystem(),
--- a/internal/carobpage/page.go
+++ b/internal/carobpage/page.go
@@ -14,6 +14,7 @@
 	// First is the lowest offset that the log still retains.
 	First caroboffset.Offset `json:"first"`
 	// Next is the offset from which to continue: the one after the last record. If
-	// Records is empty, it is the requested offset, or First if that is higher.
+	// Records is empty, it is the requested offset, or the lowest retained one if that
+	// is higher.
 	Next caroboffset.Offset `json:"next"`
 }
--- a/internal/carobplatform/client.go
+++ b/internal/carobplatform/client.go
@@ -18,7 +18,7 @@
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
 
-// Config holds the parameters of NewClient.
+// Config holds the parameters of a client.
 type Config struct {
 	// URL is the base URL of the log.
 	URL string
--- a/internal/carobsettings/settings.go
+++ b/internal/carobsettings/settings.go
@@ -30,7 +30,8 @@
 	Call carobaddress.Address `json:"call"`
 	// Peer is the address at which the node listens for other nodes.
 	Peer carobaddress.Address `json:"peer"`
-	// Public is the address at which other nodes reach the node. Empty if it is Peer.
+	// Public is the address at which other nodes reach the node. Empty if the node
+	// listens there itself.
 	Public carobaddress.Address `json:"public,omitempty"`
 	// Admin is the address for the targets of the node's VM and for operators.
 	Admin carobaddress.Address `json:"admin"`
@@ -46,10 +47,11 @@
 	// Silence is the time without an announcement after which a target expires.
 	Silence carobspan.Span `json:"silence"`
 	// Grace is the timeout of a graceful shutdown, after which the calls in flight are
-	// ended. Stay is the least time for which the node keeps accepting calls meanwhile,
-	// because callers may not have noticed the shutdown yet.
+	// ended.
 	Grace carobspan.Span `json:"grace"`
-	Stay  carobspan.Span `json:"stay"`
+	// Stay is the least time for which the node keeps accepting calls after a graceful
+	// shutdown has begun, because callers may not have noticed it yet.
+	Stay carobspan.Span `json:"stay"`
 	// Lines limits the log lines a second about successful decisions.
 	Lines int `json:"lines"`
 	// Profiles are in force on this node without having been published. May be empty.
--- a/internal/carobstatus/status.go
+++ b/internal/carobstatus/status.go
@@ -44,11 +44,12 @@
 type overhead struct {
 	// Hedges is the total spent of all retry budgets, so it includes resent attempts.
 	Hedges uint64 `json:"hedges"`
-	// Bytes and Seconds are the bytes and the processor time that were charged to the
-	// probe limits; Denied counts the messages that the limits did not allow.
-	Bytes   float64 `json:"bytes"`
+	// Bytes is the number of bytes that were charged to the probe limits.
+	Bytes float64 `json:"bytes"`
+	// Seconds is the processor time that was charged to the probe limits.
 	Seconds float64 `json:"seconds"`
-	Denied  uint64  `json:"denied"`
+	// Denied counts the messages that the probe limits did not allow.
+	Denied uint64 `json:"denied"`
 }
 
 // target is a target as this node sees it. The load of the node's own targets is the
--- a/internal/carobtail/tail.go
+++ b/internal/carobtail/tail.go
@@ -21,7 +21,7 @@
 	Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.Page, error)
 }
 
-// Config holds the parameters of NewTail.
+// Config holds the parameters of a tail.
 type Config struct {
 	Stream  carobstream.Stream
 	Log     reader
--- a/internal/carobtracewriter/writer.go
+++ b/internal/carobtracewriter/writer.go
@@ -31,7 +31,7 @@
 	Append(ctx context.Context, stream carobstream.Stream, data []byte) (caroboffset.Offset, error)
 }
 
-// Config holds the parameters of NewTraceWriter.
+// Config holds the parameters of a writer.
 type Config struct {
 	// Self is named in the records as their source.
 	Self   carobmember.Member
@@ -64,13 +64,14 @@
 	mutex      sync.Mutex
 	// buffers holds the entries of each buffered stream.
 	buffers map[carobstream.Stream]*buffer
-	// records holds the newest record that systems want to append to each stream.
+	// records holds the newest record that a system has for each stream, until it is
+	// appended.
 	records map[carobstream.Stream][]byte
 	// wake holds one element while there may be something to append.
 	wake chan struct{}
 }
 
-// NewTraceWriter returns a trace writer that appends nothing until Run is called.
+// NewTraceWriter returns a writer that appends nothing until Run is called.
 func NewTraceWriter(c Config) *TraceWriter {
 	return &TraceWriter{
 		config: c,
--- a/internal/carobtracewriter/writer_test.go
+++ b/internal/carobtracewriter/writer_test.go
@@ -83,7 +83,7 @@
 	return entries, lost
 }
 
-func newTraceWriter(t *testing.T, log *fakeLog) (*carobtracewriter.TraceWriter, *bytes.Buffer) {
+func newWriter(t *testing.T, log *fakeLog) (*carobtracewriter.TraceWriter, *bytes.Buffer) {
 	t.Helper()
 	var lines bytes.Buffer
 	logger := logrus.New()
@@ -103,7 +103,7 @@
 // audit entries, which the log has already, being appended again.
 func TestHopsAndAuditEntriesAreAppended(t *testing.T) {
 	log := newFakeLog()
-	writer, lines := newTraceWriter(t, log)
+	writer, lines := newWriter(t, log)
 	writer.Carry(&caroboutbox.Outbox{
 		Hops:   make([]carobhop.Hop, 3),
 		Audits: []carobaudit.Audit{{Part: "target", Who: "first", What: "rota/a", From: "ready", To: "leaving"}, {Part: "profile", Local: true}},
@@ -123,7 +123,7 @@
 // appends a second that the log takes from all nodes.
 func TestManyHopsShareOneAppend(t *testing.T) {
 	log := newFakeLog()
-	writer, _ := newTraceWriter(t, log)
+	writer, _ := newWriter(t, log)
 	for range 50 {
 		writer.Carry(hops(100))
 	}
@@ -137,7 +137,7 @@
 // appends fail.
 func TestEntriesAreKeptWhileTheLogIsUnavailable(t *testing.T) {
 	log := newFakeLog()
-	writer, _ := newTraceWriter(t, log)
+	writer, _ := newWriter(t, log)
 	log.setUnavailable(true)
 	for range 20 {
 		writer.Carry(hops(1000))
@@ -155,7 +155,7 @@
 // traces are random so that they do not compress below the limit.
 func TestOldestEntriesAreDroppedAndCountedBeyondTheLimit(t *testing.T) {
 	log := newFakeLog()
-	writer, _ := newTraceWriter(t, log)
+	writer, _ := newWriter(t, log)
 	log.setUnavailable(true)
 	const all = 20_000
 	random := uint64(1)
@@ -190,7 +190,7 @@
 // against one that is repeated although a newer record has replaced it.
 func TestNewestRecordOfAStreamIsRetried(t *testing.T) {
 	log := newFakeLog()
-	writer, _ := newTraceWriter(t, log)
+	writer, _ := newWriter(t, log)
 	log.setUnavailable(true)
 	order := func(data string) *caroboutbox.Outbox {
 		return &caroboutbox.Outbox{Appends: []carobappend.Append{{Stream: carobstream.Nodes, Data: []byte(data)}}}
