--- a/internal/carobtracewriter/writer.go
+++ b/internal/carobtracewriter/writer.go
@@ -175,7 +175,7 @@
 		entries.endAppend(err == nil)
 		t.mutex.Unlock()
 		if err != nil {
-			t.config.Logger.WithField("stream", stream).WithError(err).Warn("log: append failed, will be retried")
+			t.config.Logger.WithField("stream", stream).WithError(err).Warn("log: append failed, entries are kept for the next attempt")
 		}
 	}
 	return next
