--- a/internal/carobstatus/status.go
+++ b/internal/carobstatus/status.go
@@ -1,4 +1,5 @@
-// Package carobstatus holds one node's view of the system, for operators.
+// Package carobstatus holds the state of the system as one node sees it, for
+// operators.
 package carobstatus
 
 import (
@@ -6,51 +7,53 @@
 	"slices"
 
 	"github.com/carobknot/carobknot/pkg/carobcentre"
-	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
-	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobprobing"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobregion"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// Status is what a node knows at one instant.
+// Status is the state of a node's tables at one instant.
 type Status struct {
 	Node        carobnodeid.ID               `json:"node"`
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
 	Region      carobregion.Region           `json:"region"`
 	Centre      carobcentre.Centre           `json:"centre"`
-	// Stopping says that the node is shutting down.
+	// Stopping is true while the node is shutting down.
 	Stopping bool `json:"stopping"`
-	// Calls and Jobs are how many are in flight.
+	// Calls and Jobs count those in flight.
 	Calls int `json:"calls"`
 	Jobs  int `json:"jobs"`
-	// Targets, Peers and Profiles are in the order of their names.
+	// Targets, Peers and Profiles are sorted by name.
 	Targets  []target  `json:"targets"`
 	Peers    []peer    `json:"peers"`
 	Profiles []profile `json:"profiles"`
-	// Measured is what measuring and hedging have cost since the start.
-	Measured measured `json:"measured"`
+	// Measured is the cost of probes, reports and hedges since the start.
+	Measured overhead `json:"measured"`
 }
 
-// measured is what the node spent of its budgets.
-type measured struct {
+// overhead is what the node has spent of its probe limits and retry budgets.
+type overhead struct {
+	// Hedges is the total spent of all retry budgets, so it includes resent attempts.
 	Hedges uint64 `json:"hedges"`
-	// Bytes is what was sent for measuring, Seconds the processor time; Denied
-	// counts what the budget did not allow.
-	Bytes   float64 `json:"bytes"`
+	// Bytes is the number of bytes that were charged to the probe limits.
+	Bytes float64 `json:"bytes"`
+	// Seconds is the processor time that was charged to the probe limits.
 	Seconds float64 `json:"seconds"`
-	Denied  uint64  `json:"denied"`
+	// Denied counts the messages that the probe limits did not allow.
+	Denied uint64 `json:"denied"`
 }
 
-// target is a target as this node sees it. Of its own targets it knows the
-// load now; of others the newest report.
+// target is a target as this node sees it. The load of the node's own targets is the
+// present one; that of others is from their newest report.
 type target struct {
 	ID      carobtargetid.ID         `json:"id"`
 	Node    carobnodeid.ID           `json:"node"`
@@ -59,75 +62,79 @@
 	Slots   int                      `json:"slots"`
 	Running int                      `json:"running"`
 	Queued  int                      `json:"queued"`
-	Latency carobduration.Duration   `json:"latency"`
-	// Age is that of the report; 0 for own targets.
+	Latency carobduration.Duration           `json:"latency"`
+	// Age is the age of the report; 0 for own targets and without a report.
 	Age carobduration.Duration `json:"age"`
-	// Known is false while there is no report.
+	// Known is false if the load is unknown because there is no report.
 	Known   bool `json:"known"`
 	Ejected bool `json:"ejected"`
 }
 
+// peer is another node.
 type peer struct {
 	Node        carobnodeid.ID               `json:"node"`
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
 	Centre      carobcentre.Centre           `json:"centre"`
 	Leaving     bool                         `json:"leaving"`
-	// Age is the time since the node's newest word came.
+	// Age is the time since the last message from the peer; before the first one, since
+	// this node learned of the peer.
 	Age carobduration.Duration `json:"age"`
 }
 
+// profile is the revision of a profile that is in force.
 type profile struct {
 	Name   carobname.Name     `json:"name"`
 	Offset caroboffset.Offset `json:"offset"`
-	Who    string             `json:"who"`
+	// Who is the operator who published the revision.
+	Who string `json:"who"`
 }
 
-// Describe returns the status of a world. It runs on the control goroutine.
+// Describe returns the status of a world. It has to run on the control goroutine.
 func Describe(w *carobworld.World, now carobinstant.Instant) Status {
-	st := Status{
+	status := Status{
 		Node: w.Self.Node, Incarnation: w.Self.Incarnation, Region: w.Self.Region, Centre: w.Self.Centre,
 		Stopping: w.Stopping, Calls: w.Calls.Len(), Jobs: w.Jobs.Len(),
 		Targets: []target{}, Peers: []peer{}, Profiles: []profile{},
 	}
 	for id, tg := range w.Targets.All() {
-		st.Targets = append(st.Targets, describeTarget(w, now, id, tg))
+		status.Targets = append(status.Targets, describeTarget(w, now, id, tg))
 	}
 	for id, pr := range w.Peers.All() {
-		st.Peers = append(st.Peers, peer{
+		status.Peers = append(status.Peers, peer{
 			Node: id, Incarnation: pr.Member.Incarnation, Centre: pr.Member.Centre,
 			Leaving: pr.Member.Leaving, Age: carobduration.Duration(now.Sub(pr.LastContactAt)),
 		})
 	}
-	for name, rv := range w.Profiles.All() {
-		st.Profiles = append(st.Profiles, profile{Name: name, Offset: rv.Offset, Who: rv.Change.Who})
+	for name, revision := range w.Profiles.All() {
+		status.Profiles = append(status.Profiles, profile{Name: name, Offset: revision.Offset, Who: revision.Change.Who})
 	}
-	if bk := w.ProbeBuckets.Get(carobprobing.BytesBucket); bk != nil {
-		st.Measured.Bytes, st.Measured.Denied = bk.Spent, bk.Denied
+	if bucket := w.ProbeBuckets.Get(carobprobing.BytesBucket); bucket != nil {
+		status.Measured.Bytes, status.Measured.Denied = bucket.Spent, bucket.Denied
 	}
-	if bk := w.ProbeBuckets.Get(carobprobing.CPUTimeBucket); bk != nil {
-		st.Measured.Seconds = bk.Spent
+	if bucket := w.ProbeBuckets.Get(carobprobing.CPUTimeBucket); bucket != nil {
+		status.Measured.Seconds = bucket.Spent
 	}
-	for _, bg := range w.RetryBudgets.All() {
-		st.Measured.Hedges += bg.Spent
+	for _, budget := range w.RetryBudgets.All() {
+		status.Measured.Hedges += budget.Spent
 	}
-	slices.SortFunc(st.Targets, func(a, b target) int { return cmp.Compare(a.ID.String(), b.ID.String()) })
-	slices.SortFunc(st.Peers, func(a, b peer) int { return cmp.Compare(a.Node, b.Node) })
-	slices.SortFunc(st.Profiles, func(a, b profile) int { return cmp.Compare(a.Name, b.Name) })
-	return st
+	slices.SortFunc(status.Targets, func(a, b target) int { return cmp.Compare(a.ID.String(), b.ID.String()) })
+	slices.SortFunc(status.Peers, func(a, b peer) int { return cmp.Compare(a.Node, b.Node) })
+	slices.SortFunc(status.Profiles, func(a, b profile) int { return cmp.Compare(a.Name, b.Name) })
+	return status
 }
 
 func describeTarget(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, tg *carobtarget.Target) target {
-	ds := target{ID: id, Node: tg.Node, Profile: tg.Profile, State: tg.Readiness, Slots: tg.Slots}
-	ld := w.Loads.Get(id)
-	ds.Ejected = ld != nil && ld.EjectionEnd != carobinstant.Never
-	if gt := w.AdmissionStates.Get(id); gt != nil && w.Owns(tg) {
-		ds.Running, ds.Queued, ds.Latency, ds.Known = gt.Running, gt.Queued, carobduration.Duration(gt.Latency), true
-		return ds
+	result := target{ID: id, Node: tg.Node, Profile: tg.Profile, State: tg.Readiness, Slots: tg.Slots}
+	load := w.Loads.Get(id)
+	result.Ejected = load != nil && load.EjectionEnd != carobinstant.Never
+	if admission := w.AdmissionStates.Get(id); admission != nil && w.Owns(tg) {
+		result.Running, result.Queued, result.Latency, result.Known = admission.Running, admission.Queued, carobduration.Duration(admission.Latency), true
+		return result
 	}
-	if ld == nil || ld.ReportedAt == carobinstant.Never {
-		return ds
+	if load == nil || load.ReportedAt == carobinstant.Never {
+		return result
 	}
-	ds.Running, ds.Queued, ds.Latency = ld.Report.Running, ld.Report.Queued, ld.Report.Latency
-	ds.Age, ds.Known = carobduration.Duration(now.Sub(ld.ReportedAt)), true
-	return ds
+	result.Running, result.Queued, result.Latency = load.Report.Running, load.Report.Queued, load.Report.Latency
+	result.Age, result.Known = carobduration.Duration(now.Sub(load.ReportedAt)), true
+	return result
 }
