--- a/internal/carobentrance/arrival.go
+++ b/internal/carobentrance/arrival.go
@@ -14,44 +14,48 @@
 	"github.com/carobknot/carobknot/pkg/carobservice"
 )
 
-// maxPatience is more than any caller waits, and far from overflowing.
-const maxPatience = 24 * time.Hour
+// maxTimeout caps the timeout that a caller may give, so that sums of instants
+// and timeouts cannot overflow.
+const maxTimeout = 24 * time.Hour
 
-// parseArrival checks the header of a call and reads what the control goroutine
-// needs of it.
-func parseArrival(call carobcallid.ID, hd *fasthttp.RequestHeader) (carobarrival.Arrival, error) {
-	ar := carobarrival.Arrival{Call: call}
-	if err := carobheader.Check(hd); err != nil {
-		return ar, err
+// parseArrival checks the header of a call and returns the fields that the
+// control goroutine needs. It returns an error of kind Invalid if the header is
+// malformed.
+func parseArrival(call carobcallid.ID, header *fasthttp.RequestHeader) (carobarrival.Arrival, error) {
+	arrival := carobarrival.Arrival{Call: call}
+	if err := carobheader.Check(header); err != nil {
+		return arrival, err
 	}
-	ar.Key, ar.Trace = string(hd.Peek(carobheader.Key)), string(hd.Peek(carobheader.Trace))
+	arrival.Key, arrival.Trace = string(header.Peek(carobheader.Key)), string(header.Peek(carobheader.Trace))
 	var err error
-	if ar.Service, err = parseService(string(hd.Host())); err != nil {
-		return ar, err
+	if arrival.Service, err = parseService(string(header.Host())); err != nil {
+		return arrival, err
 	}
-	ar.Patience, err = parsePatience(string(hd.Peek(carobheader.Deadline)))
-	return ar, err
+	arrival.Patience, err = parseTimeout(string(header.Peek(carobheader.Deadline)))
+	return arrival, err
 }
 
-// parseService reads the name of the service from a Host header.
+// parseService returns the service that a Host header names, without the port.
 func parseService(host string) (carobservice.Service, error) {
 	name, port, found := strings.Cut(host, ":")
 	if found {
 		if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
-			return "", carobkind.New(carobkind.Invalid, "the Host header's port is not a port")
+			return "", carobkind.New(carobkind.Invalid, "the port of the Host header is not a number from 1 to 65535")
 		}
 	}
-	sv := carobservice.Service(name)
-	return sv, sv.Check()
+	service := carobservice.Service(name)
+	return service, service.Check()
 }
 
-func parsePatience(text string) (time.Duration, error) {
+// parseTimeout returns the timeout of a deadline header in milliseconds, at most
+// maxTimeout, or 0 if text is empty.
+func parseTimeout(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
 	}
-	ms, err := strconv.ParseUint(text, 10, 31)
-	if err != nil || ms < 1 {
-		return 0, carobkind.New(carobkind.Invalid, "%s is not a number of milliseconds above 0", carobheader.Deadline)
+	millis, err := strconv.ParseUint(text, 10, 31)
+	if err != nil || millis < 1 {
+		return 0, carobkind.New(carobkind.Invalid, "%s is not a number of milliseconds from 1 to 2147483647", carobheader.Deadline)
 	}
-	return min(time.Duration(ms)*time.Millisecond, maxPatience), nil
+	return min(time.Duration(millis)*time.Millisecond, maxTimeout), nil
 }
--- a/internal/carobentrance/entrance.go
+++ b/internal/carobentrance/entrance.go
@@ -1,5 +1,6 @@
-// Package carobentrance is the front end for callers. It moves the bytes of
-// calls; where they go and how they end is decided by the control goroutine.
+// Package carobentrance is the HTTP front end for callers. It receives calls and
+// sends the answers; the control goroutine decides where calls go and how they
+// end.
 package carobentrance
 
 import (
@@ -29,51 +30,54 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// relay carries an attempt to a target's node.
+// relay sends an attempt to a target's node and returns the answer and the
+// target's load report.
 type relay interface {
-	Do(cx context.Context, sd carobsend.Send, rq *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error)
+	Do(ctx context.Context, send carobsend.Send, req *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error)
 }
 
-// asker runs a question on the control goroutine.
-type asker interface {
-	Ask(cx context.Context, question func(w *carobworld.World)) error
+// querier runs a function on the control goroutine and waits for it.
+type querier interface {
+	Ask(ctx context.Context, query func(w *carobworld.World)) error
 }
 
-// Config is how an entrance is made.
+// Config holds the parameters of an Entrance.
 type Config struct {
 	Node        carobnodeid.ID
 	Incarnation carobincarnation.Incarnation
 	Limits      caroblimits.Limits
 	Mailbox     *carobmailbox.Mailbox
 	Relay       relay
-	Control     asker
+	Control     querier
 	Watch       *carobwatch.Watch
 	Timer       *carobtimer.Timer
 }
 
-// Entrance takes calls from callers.
+// Entrance is the HTTP server for callers.
 type Entrance struct {
 	config    Config
 	server    *fasthttp.Server
 	exchanges *carobexchange.Exchanges
-	// sequence is that of the newest call.
+	// sequence is the sequence number of the newest call.
 	sequence atomic.Uint64
-	// kept is the number of bytes of all bodies that are kept now.
-	kept atomic.Int64
+	// buffered is the size in bytes that is reserved for the buffered bodies of all
+	// calls.
+	buffered atomic.Int64
 }
 
-// maxWholeBody is more than any body has, so that the library streams them all.
-const maxWholeBody = math.MaxInt
+// unlimitedBody is the library's limit of a body. It is larger than any body, so
+// that the library streams every body and the limit of Config.Limits applies.
+const unlimitedBody = math.MaxInt
 
 // NewEntrance returns an entrance that does not listen yet.
 func NewEntrance(c Config) *Entrance {
 	e := &Entrance{config: c, exchanges: carobexchange.NewExchanges(carobexchange.Config{Mailbox: c.Mailbox, Relay: c.Relay})}
 	e.server = &fasthttp.Server{
-		Handler:                      e.serve,
-		ExpectHandler:                e.expect,
-		ErrorHandler:                 e.fail,
+		Handler:                      e.handle,
+		ExpectHandler:                e.handleExpect,
+		ErrorHandler:                 e.handleError,
 		ReadBufferSize:               int(c.Limits.Header),
-		MaxRequestBodySize:           maxWholeBody,
+		MaxRequestBodySize:           unlimitedBody,
 		ReadTimeout:                  c.Limits.Head.Duration(),
 		IdleTimeout:                  c.Limits.Idle.Duration(),
 		WriteTimeout:                 c.Limits.Stall.Duration(),
@@ -82,112 +86,120 @@
 		NoDefaultServerHeader:        true,
 		NoDefaultContentType:         true,
 		CloseOnShutdown:              true,
-		Logger:                       silence{},
+		Logger:                       noLogger{},
 	}
 	return e
 }
 
-// Serve answers calls until Shutdown.
-func (e *Entrance) Serve(ls net.Listener) error {
-	return e.server.Serve(&boundedListener{Listener: ls, timer: e.config.Timer, limit: int64(e.config.Limits.Conns)})
+// Serve accepts and serves connections until Shutdown.
+func (e *Entrance) Serve(listener net.Listener) error {
+	return e.server.Serve(&boundedListener{Listener: listener, timer: e.config.Timer, limit: int64(e.config.Limits.Conns)})
 }
 
-// Drain does nothing: Shutdown closes each connection behind its answer.
+// Drain does nothing: Shutdown closes each connection after its answer.
 func (e *Entrance) Drain() {}
 
-// Shutdown stops listening and returns when all connections are closed.
-func (e *Entrance) Shutdown(cx context.Context) error {
-	return e.server.ShutdownWithContext(cx)
+// Shutdown stops listening and returns when all connections are closed or ctx
+// ends.
+func (e *Entrance) Shutdown(ctx context.Context) error {
+	return e.server.ShutdownWithContext(ctx)
 }
 
-// Carry passes on what the control goroutine decided.
+// Carry forwards the effects of a tick to the goroutines of the calls.
 func (e *Entrance) Carry(out *caroboutbox.Outbox) {
 	e.exchanges.Carry(out)
 }
 
-func (e *Entrance) serve(rc *fasthttp.RequestCtx) {
-	call := e.newCall()
-	came := e.config.Timer.Now()
-	ar, err := parseArrival(call, &rc.Request.Header)
+// handle runs a call from the received header to the end of its answer.
+func (e *Entrance) handle(ctx *fasthttp.RequestCtx) {
+	call := e.newCallID()
+	arrivedAt := e.config.Timer.Now()
+	arrival, err := parseArrival(call, &ctx.Request.Header)
 	if err != nil {
-		e.reject(rc, call, err)
+		e.reject(ctx, call, err)
 		return
 	}
-	keep := e.reserve(rc, ar.Service)
-	defer e.kept.Add(-int64(keep))
-	upload, err := e.open(rc, keep)
+	reserved := e.reserveBuffer(ctx, arrival.Service)
+	defer e.buffered.Add(-int64(reserved))
+	upload, err := e.openUpload(ctx, reserved)
 	if err != nil {
-		e.reject(rc, call, err)
+		e.reject(ctx, call, err)
 		return
 	}
-	if ar.Patience > 0 {
-		// What is left of the caller's patience once its body is here. Zero
-		// would mean that it gave none.
-		ar.Patience = max(1, ar.Patience-e.config.Timer.Now().Sub(came))
+	if arrival.Patience > 0 {
+		// The time left once the body has been read. It is at least 1 ns, because 0
+		// means that the caller gave no timeout.
+		arrival.Patience = max(1, arrival.Patience-e.config.Timer.Now().Sub(arrivedAt))
 	}
-	ar.Streamed = upload.Streamed()
-	defer e.config.Watch.Add(rc.Conn(), func() { e.exchanges.HangUp(call) })()
-	e.exchanges.Run(ar, &rc.Request, upload, &caller{entrance: e, ctx: rc, call: call})
+	arrival.Streamed = upload.Streamed()
+	defer e.config.Watch.Add(ctx.Conn(), func() { e.exchanges.HangUp(call) })()
+	e.exchanges.Run(arrival, &ctx.Request, upload, &responder{entrance: e, ctx: ctx, call: call})
 }
 
-func (e *Entrance) newCall() carobcallid.ID {
+// newCallID returns the ID of the next call of this node.
+func (e *Entrance) newCallID() carobcallid.ID {
 	return carobcallid.ID{Node: e.config.Node, Incarnation: e.config.Incarnation, Sequence: e.sequence.Add(1)}
 }
 
-// open reads the body of a call if it is short.
-func (e *Entrance) open(rc *fasthttp.RequestCtx, keep carobsize.Size) (*carobupload.Upload, error) {
+// openUpload prepares the body of a call and reads it if it is to be buffered.
+func (e *Entrance) openUpload(ctx *fasthttp.RequestCtx, reserved carobsize.Size) (*carobupload.Upload, error) {
 	return carobupload.NewUpload(carobupload.Config{
-		Stream: rc.RequestBodyStream(), Length: rc.Request.Header.ContentLength(),
-		Keep: max(keep, small), Limit: e.config.Limits.Body,
-		Conn: rc.Conn(), Timer: e.config.Timer, Stall: e.config.Limits.Stall.Duration(),
+		Stream: ctx.RequestBodyStream(), Length: ctx.Request.Header.ContentLength(),
+		Keep: max(reserved, smallBody), Limit: e.config.Limits.Body,
+		Conn: ctx.Conn(), Timer: e.config.Timer, Stall: e.config.Limits.Stall.Duration(),
 	})
 }
 
-// small is the longest body that is always kept. It comes with the header.
-const small = 4 * carobsize.KiB
-
-// reserve returns how long a body may be to be kept, and counts it as kept; 0 if
-// the body is small anyway or too long.
-func (e *Entrance) reserve(rc *fasthttp.RequestCtx, service carobservice.Service) carobsize.Size {
-	length := carobsize.Size(rc.Request.Header.ContentLength())
-	if rc.RequestBodyStream() == nil || 0 <= length && length <= small {
+// smallBody is the maximum size of a body that is always buffered. It usually
+// arrives together with the header.
+const smallBody = 4 * carobsize.KiB
+
+// reserveBuffer reserves memory for the body of a call and returns the reserved
+// size in bytes. It returns 0 if the call has no body, if the body is small
+// enough to need no reservation, or if it exceeds the limit of the profile or of
+// the node and has to be streamed.
+func (e *Entrance) reserveBuffer(ctx *fasthttp.RequestCtx, service carobservice.Service) carobsize.Size {
+	length := carobsize.Size(ctx.Request.Header.ContentLength())
+	if ctx.RequestBodyStream() == nil || 0 <= length && length <= smallBody {
 		return 0
 	}
-	keep := e.keepOf(service)
-	if length > keep {
+	size := e.maxBufferedBody(service)
+	if length > size {
 		return 0
 	}
 	if length >= 0 {
-		keep = length
+		size = length
 	}
-	if e.kept.Add(int64(keep)) > int64(e.config.Limits.Kept) {
-		e.kept.Add(-int64(keep))
+	if e.buffered.Add(int64(size)) > int64(e.config.Limits.Kept) {
+		e.buffered.Add(-int64(size))
 		return 0
 	}
-	return keep
+	return size
 }
 
-// keepOf returns the longest body that the service's profile has kept.
-func (e *Entrance) keepOf(service carobservice.Service) carobsize.Size {
-	var keep carobsize.Size
+// maxBufferedBody returns the maximum size of a buffered body in the service's
+// profile, or 0 if the node has no profile of the service.
+func (e *Entrance) maxBufferedBody(service carobservice.Service) carobsize.Size {
+	var size carobsize.Size
 	_ = e.config.Control.Ask(context.Background(), func(w *carobworld.World) {
-		if pf := w.ProfileOf(service); pf != nil {
-			keep = pf.Keep
+		if profile := w.ProfileOf(service); profile != nil {
+			size = profile.Keep
 		}
 	})
-	return keep
+	return size
 }
 
-// expect decides whether a caller that asks first may send its body.
-func (e *Entrance) expect(rc *fasthttp.RequestCtx) int {
-	call := e.newCall()
-	_, err := parseArrival(call, &rc.Request.Header)
-	if length := rc.Request.Header.ContentLength(); err == nil && length > int(e.config.Limits.Body) {
+// handleExpect answers the header "Expect: 100-continue": it returns 100 if the
+// caller may send the body, and the status of an error response otherwise.
+func (e *Entrance) handleExpect(ctx *fasthttp.RequestCtx) int {
+	call := e.newCallID()
+	_, err := parseArrival(call, &ctx.Request.Header)
+	if length := ctx.Request.Header.ContentLength(); err == nil && length > int(e.config.Limits.Body) {
 		err = carobkind.New(carobkind.TooLarge, "the body is longer than the limit of %s", e.config.Limits.Body)
 	}
 	if err != nil {
-		e.reject(rc, call, err)
-		return rc.Response.StatusCode()
+		e.reject(ctx, call, err)
+		return ctx.Response.StatusCode()
 	}
 	return fasthttp.StatusContinue
 }
--- a/internal/carobentrance/listener.go
+++ b/internal/carobentrance/listener.go
@@ -15,11 +15,13 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// lingering is how long bytes of a refused call are still read, so that they do
-// not make the kernel throw the refusal away before the caller has it.
-const lingering = 2 * time.Second
+// lingerTimeout is how long a connection is still read after a refusal. If unread
+// bytes were left on it, closing it would make the kernel send a reset, and the
+// caller could lose the refusal.
+const lingerTimeout = 2 * time.Second
 
-// boundedListener accepts callers' connections and refuses those above the limit.
+// boundedListener accepts connections of callers and refuses those above the
+// limit.
 type boundedListener struct {
 	net.Listener
 	timer *carobtimer.Timer
@@ -28,83 +30,89 @@
 }
 
 // Accept waits for the next connection below the limit.
-func (d *boundedListener) Accept() (net.Conn, error) {
+func (l *boundedListener) Accept() (net.Conn, error) {
 	for {
-		cn, err := d.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		c := &callerConn{Conn: cn, listener: d}
-		if d.open.Add(1) <= d.limit {
+		c := &callerConn{Conn: conn, listener: l}
+		if l.open.Add(1) <= l.limit {
 			return c, nil
 		}
-		c.turnAway()
+		c.refuse()
 	}
 }
 
-// callerConn is a caller's connection.
+// callerConn is a connection of a caller.
 type callerConn struct {
 	net.Conn
 	listener *boundedListener
-	// linger says that bytes of a refused call may still be coming.
+	// linger is true if the caller may still be sending bytes of a refused call.
 	linger atomic.Bool
 	once   sync.Once
 }
 
-// SyscallConn gives access to the file descriptor.
+// SyscallConn gives access to the file descriptor, which carobwatch needs. It
+// returns net.ErrClosed if the connection has none.
 func (c *callerConn) SyscallConn() (syscall.RawConn, error) {
-	sc, ok := c.Conn.(syscall.Conn)
+	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return nil, net.ErrClosed
 	}
-	return sc.SyscallConn()
+	return syscallConn.SyscallConn()
 }
 
-// Close closes the connection, after the other end has had time to read a
-// refusal.
+// Close closes the connection. If linger is set, it does so in the background,
+// once the caller has had time to read the refusal.
 func (c *callerConn) Close() error {
 	c.once.Do(func() {
 		if c.linger.Load() {
-			go c.drain()
+			go c.drainAndClose()
 			return
 		}
-		c.shut()
+		c.closeNow()
 	})
 	return nil
 }
 
-func (c *callerConn) shut() {
+// closeNow closes the connection and frees its place below the limit.
+func (c *callerConn) closeNow() {
 	_ = c.Conn.Close()
 	c.listener.open.Add(-1)
 }
 
-func (c *callerConn) drain() {
-	defer c.shut()
-	tc, ok := c.Conn.(*net.TCPConn)
-	if !ok || tc.CloseWrite() != nil {
+// drainAndClose closes the sending side, discards what the caller still sends,
+// and closes the connection once the caller closes its side or lingerTimeout
+// passes.
+func (c *callerConn) drainAndClose() {
+	defer c.closeNow()
+	tcpConn, ok := c.Conn.(*net.TCPConn)
+	if !ok || tcpConn.CloseWrite() != nil {
 		return
 	}
-	_ = tc.SetReadDeadline(c.listener.timer.Wall().Add(lingering))
-	_, _ = io.Copy(io.Discard, tc)
+	_ = tcpConn.SetReadDeadline(c.listener.timer.Wall().Add(lingerTimeout))
+	_, _ = io.Copy(io.Discard, tcpConn)
 }
 
-// turnAway refuses a connection above the limit.
-func (c *callerConn) turnAway() {
+// refuse answers a connection above the limit with an error and closes it.
+func (c *callerConn) refuse() {
 	kind := carobkind.Busy
-	text := fmt.Sprintf("%s: the limit of %d connections is reached\n", kind, c.listener.limit)
-	answer := fmt.Sprintf("HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Type: text/plain; charset=utf-8\r\n"+
+	body := fmt.Sprintf("%s: the limit of %d connections is reached\n", kind, c.listener.limit)
+	response := fmt.Sprintf("HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Type: text/plain; charset=utf-8\r\n"+
 		"%s: %s\r\n%s: %s\r\nRetry-After: %d\r\nContent-Length: %d\r\n\r\n%s",
 		kind.Status(), http.StatusText(kind.Status()), carobheader.Outcome, kind.Outcome(), carobheader.Kind, kind,
-		int(kind.Retry()/time.Second), len(text), text)
-	_ = c.SetWriteDeadline(c.listener.timer.Wall().Add(lingering))
-	_, _ = io.WriteString(c.Conn, answer)
+		int(kind.Retry()/time.Second), len(body), body)
+	_ = c.SetWriteDeadline(c.listener.timer.Wall().Add(lingerTimeout))
+	_, _ = io.WriteString(c.Conn, response)
 	c.linger.Store(true)
 	_ = c.Close()
 }
 
-// linger has a connection closed only after the refusal on it could be read.
-func linger(cn net.Conn) {
-	if c, ok := cn.(*callerConn); ok {
+// lingerOnClose makes Close wait until the caller has had time to read the
+// refusal.
+func lingerOnClose(conn net.Conn) {
+	if c, ok := conn.(*callerConn); ok {
 		c.linger.Store(true)
 	}
 }
--- a/internal/carobentrance/refuse.go
+++ b/internal/carobentrance/refuse.go
@@ -13,59 +13,61 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// refuse answers a caller with an error.
-func (e *Entrance) refuse(rc *fasthttp.RequestCtx, call carobcallid.ID, err error) {
+// refuse responds with an error. If parts of the body may be unread, the
+// connection is closed afterwards.
+func (e *Entrance) refuse(ctx *fasthttp.RequestCtx, call carobcallid.ID, err error) {
 	kind := carobkind.Of(err)
-	rc.Response.Reset()
-	rc.Response.SetStatusCode(kind.Status())
-	rc.Response.Header.SetContentType("text/plain; charset=utf-8")
-	rc.Response.Header.Set(carobheader.Outcome, string(kind.Outcome()))
-	rc.Response.Header.Set(carobheader.Call, call.String())
-	rc.Response.Header.Set(carobheader.Kind, string(kind))
+	ctx.Response.Reset()
+	ctx.Response.SetStatusCode(kind.Status())
+	ctx.Response.Header.SetContentType("text/plain; charset=utf-8")
+	ctx.Response.Header.Set(carobheader.Outcome, string(kind.Outcome()))
+	ctx.Response.Header.Set(carobheader.Call, call.String())
+	ctx.Response.Header.Set(carobheader.Kind, string(kind))
 	if retry := kind.Retry(); retry > 0 {
-		rc.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(retry/time.Second)))
+		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(retry/time.Second)))
 	}
-	rc.Response.SetBodyString(string(kind) + ": " + err.Error() + "\n")
-	if unread(rc) {
-		part(rc)
+	ctx.Response.SetBodyString(string(kind) + ": " + err.Error() + "\n")
+	if bodyPending(ctx) {
+		closeAfterResponse(ctx)
 	}
 }
 
-// reject refuses a call that could not be read to its end. Nothing more is read
-// from its connection, since what follows might be a part of it.
-func (e *Entrance) reject(rc *fasthttp.RequestCtx, call carobcallid.ID, err error) {
-	e.refuse(rc, call, err)
-	part(rc)
+// reject refuses a call that could not be parsed or read completely. The
+// connection is closed afterwards, because the bytes that follow may belong to
+// the call's body and must not be taken for a new request.
+func (e *Entrance) reject(ctx *fasthttp.RequestCtx, call carobcallid.ID, err error) {
+	e.refuse(ctx, call, err)
+	closeAfterResponse(ctx)
 }
 
-// part closes a call's connection once its answer was sent.
-func part(rc *fasthttp.RequestCtx) {
-	rc.SetConnectionClose()
-	linger(rc.Conn())
+// closeAfterResponse makes the server close the connection after the response.
+func closeAfterResponse(ctx *fasthttp.RequestCtx) {
+	ctx.SetConnectionClose()
+	lingerOnClose(ctx.Conn())
 }
 
-// unread reports whether bytes of the call's body may still be coming.
-func unread(rc *fasthttp.RequestCtx) bool {
-	return rc.RequestBodyStream() != nil || rc.Request.MayContinue()
+// bodyPending reports whether bytes of the call's body may still be unread.
+func bodyPending(ctx *fasthttp.RequestCtx) bool {
+	return ctx.RequestBodyStream() != nil || ctx.Request.MayContinue()
 }
 
-// fail answers what the HTTP library could not read as a request.
-func (e *Entrance) fail(rc *fasthttp.RequestCtx, err error) {
-	var small *fasthttp.ErrSmallBuffer
-	var network net.Error
+// handleError responds to a request that the HTTP library could not read.
+func (e *Entrance) handleError(ctx *fasthttp.RequestCtx, err error) {
+	var smallBuffer *fasthttp.ErrSmallBuffer
+	var netErr net.Error
 	switch {
-	case errors.As(err, &small):
+	case errors.As(err, &smallBuffer):
 		err = carobkind.New(carobkind.HeaderTooLarge, "the header is longer than the limit of %s", e.config.Limits.Header)
-	case errors.As(err, &network) && network.Timeout():
-		err = carobkind.New(carobkind.Slow, "the header did not come within %s", e.config.Limits.Head)
+	case errors.As(err, &netErr) && netErr.Timeout():
+		err = carobkind.New(carobkind.Slow, "the header was not received within %s", e.config.Limits.Head)
 	default:
 		err = carobkind.New(carobkind.Invalid, "the request is malformed")
 	}
-	e.reject(rc, e.newCall(), err)
+	e.reject(ctx, e.newCallID(), err)
 }
 
-// silence drops the HTTP library's own log lines.
-type silence struct{}
+// noLogger discards the log lines of the HTTP library.
+type noLogger struct{}
 
-// Printf drops a line.
-func (silence) Printf(string, ...any) {}
+// Printf discards a line.
+func (noLogger) Printf(string, ...any) {}
--- /dev/null
+++ b/internal/carobentrance/responder.go
@@ -0,0 +1,56 @@
+package carobentrance
+
+import (
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"github.com/carobknot/carobknot/internal/carobanswer"
+	"github.com/carobknot/carobknot/internal/carobbody"
+	"github.com/carobknot/carobknot/internal/carobheader"
+	"github.com/carobknot/carobknot/pkg/carobcallid"
+	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/caroboutcome"
+)
+
+// responder sends the result of a call to its caller.
+type responder struct {
+	entrance *Entrance
+	ctx      *fasthttp.RequestCtx
+	call     carobcallid.ID
+}
+
+// Answer streams an answer of a target to the caller. If the call has an
+// idempotency key, a small answer is also recorded, so that it can be stored for
+// the key.
+func (r *responder) Answer(answer *carobanswer.Answer, abandon func(), done func(kind carobkind.Kind, stored *carobkept.Kept)) {
+	carobheader.CleanResponse(&answer.Response.Header)
+	answer.Response.Header.CopyTo(&r.ctx.Response.Header)
+	r.ctx.Response.Header.Set(carobheader.Outcome, string(caroboutcome.Answered))
+	r.ctx.Response.Header.Set(carobheader.Call, r.call.String())
+	var recorder *bodyRecorder
+	if len(r.ctx.Request.Header.Peek(carobheader.Key)) > 0 {
+		recorder = recordBody(answer)
+	}
+	config := r.entrance.config
+	unwatch := config.Watch.Add(r.ctx.Conn(), abandon)
+	carobbody.Attach(r.ctx, answer, config.Timer, config.Limits.Stall.Duration(), func(kind carobkind.Kind) {
+		unwatch()
+		if kind != carobkind.None {
+			done(kind, nil)
+			return
+		}
+		done(kind, recorder.storedAnswer())
+	})
+}
+
+// Repeat sends the answer that is stored for the call's idempotency key.
+func (r *responder) Repeat(stored *carobkept.Kept) {
+	writeStored(r.ctx, r.call, stored)
+}
+
+// Refuse sends an error.
+func (r *responder) Refuse(kind carobkind.Kind, _ time.Duration, detail string) {
+	r.entrance.refuse(r.ctx, r.call, carobkind.New(kind, "%s", detail))
+}
--- a/internal/carobingress/ingress.go
+++ b/internal/carobingress/ingress.go
@@ -1,5 +1,5 @@
-// Package carobingress takes calls whose front end is a dialect: it moves the
-// bytes, the dialect reads and writes their headers, and the control goroutine
+// Package carobingress receives calls in the HTTP dialect of a platform: the
+// dialect decodes requests and writes error responses, and the control goroutine
 // decides.
 package carobingress
 
@@ -30,17 +30,18 @@
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
 
-// dialect is how callers are spoken to.
+// dialect decodes the requests and encodes the errors of a platform.
 type dialect interface {
-	// Arrival reads what is decided by from a request, and leaves in its header what
-	// goes on to the target.
-	Arrival(rq *fasthttp.Request) (carobarrival.Arrival, error)
-	// Refuse fills in the answer to a call that ended with an error. rq is nil if
-	// there was none to read.
-	Refuse(rs *fasthttp.Response, rq *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
+	// Arrival returns the fields of a request that the control goroutine needs. It
+	// leaves only those headers in the request that the target is to receive.
+	Arrival(req *fasthttp.Request) (carobarrival.Arrival, error)
+	// Refuse fills in the response to a call that ended with an error. req is nil if
+	// no request could be read. after is the delay after which the caller may retry,
+	// or 0.
+	Refuse(resp *fasthttp.Response, req *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
 }
 
-// Config is how an ingress is made.
+// Config holds the parameters of an Ingress.
 type Config struct {
 	Node        carobnodeid.ID
 	Incarnation carobincarnation.Incarnation
@@ -50,18 +51,19 @@
 	Timer       *carobtimer.Timer
 }
 
-// Ingress takes calls from callers.
+// Ingress is the server for callers that use the platform's dialect.
 type Ingress struct {
 	config Config
 	server *carobserver.Server
-	// sequence is that of the newest call.
+	// sequence is the sequence number of the newest call.
 	sequence atomic.Uint64
-	// kept is the number of bytes of all bodies that are held now.
-	kept atomic.Int64
+	// buffered is the size in bytes of the request bodies of all calls.
+	buffered atomic.Int64
 }
 
-// pipelined is the most requests of one connection that run at once.
-const pipelined = 32
+// maxPipelined is the maximum number of requests of one connection that run
+// concurrently.
+const maxPipelined = 32
 
 // NewIngress returns an ingress that does not listen yet.
 func NewIngress(c Config) *Ingress {
@@ -69,88 +71,90 @@
 	i.server = carobserver.NewServer(carobserver.Config{
 		Handler: i, Timer: c.Timer, Header: c.Limits.Header, Body: c.Limits.Body,
 		Head: c.Limits.Head.Duration(), Stall: c.Limits.Stall.Duration(), Idle: c.Limits.Idle.Duration(),
-		Most: pipelined,
+		Most: maxPipelined,
 	})
 	return i
 }
 
-// Serve answers calls until Shutdown.
-func (i *Ingress) Serve(ls net.Listener) error {
-	return i.server.Serve(ls)
+// Serve accepts and serves connections until Shutdown.
+func (i *Ingress) Serve(listener net.Listener) error {
+	return i.server.Serve(listener)
 }
 
-// Drain has connections closed behind their answers.
+// Drain makes the server close each connection after its pending answers.
 func (i *Ingress) Drain() {
 	i.server.Drain()
 }
 
-// Shutdown stops listening and returns when all connections are closed.
-func (i *Ingress) Shutdown(cx context.Context) error {
-	i.server.Close(cx)
+// Shutdown stops listening and returns when all connections are closed or ctx
+// ends. The error is always nil.
+func (i *Ingress) Shutdown(ctx context.Context) error {
+	i.server.Close(ctx)
 	return nil
 }
 
-// Carry passes on what the control goroutine decided.
+// Carry forwards the effects of a tick to the goroutines of the calls.
 func (i *Ingress) Carry(out *caroboutbox.Outbox) {
 	i.config.Exchanges.Carry(out)
 }
 
-// Handle takes a call through to its end.
-func (i *Ingress) Handle(v *carobvisit.Visit) {
-	rq := v.Request()
-	c := &caller{ingress: i, visit: v}
-	ar, err := i.config.Dialect.Arrival(rq)
+// Handle runs the call of a request to the end of its answer.
+func (i *Ingress) Handle(visit *carobvisit.Visit) {
+	req := visit.Request()
+	r := &responder{ingress: i, visit: visit}
+	arrival, err := i.config.Dialect.Arrival(req)
 	if err != nil {
-		c.Refuse(carobkind.Of(err), 0, err.Error())
+		r.Refuse(carobkind.Of(err), 0, err.Error())
 		return
 	}
-	held := int64(len(rq.Body()))
-	defer i.kept.Add(-held)
-	if i.kept.Add(held) > int64(i.config.Limits.Kept) {
-		c.Refuse(carobkind.Busy, carobkind.Busy.Retry(), "too many bodies are on their way")
+	bodySize := int64(len(req.Body()))
+	defer i.buffered.Add(-bodySize)
+	if i.buffered.Add(bodySize) > int64(i.config.Limits.Kept) {
+		r.Refuse(carobkind.Busy, carobkind.Busy.Retry(), "the limit of buffered request bodies is reached")
 		return
 	}
-	ar.Call = carobcallid.ID{
+	arrival.Call = carobcallid.ID{
 		Node: i.config.Node, Incarnation: i.config.Incarnation, Sequence: i.sequence.Add(1),
 	}
-	ar.Size = carobsize.Size(held)
-	upload, err := carobupload.NewUpload(carobupload.Config{Whole: rq.Body()})
+	arrival.Size = carobsize.Size(bodySize)
+	upload, err := carobupload.NewUpload(carobupload.Config{Whole: req.Body()})
 	if err != nil {
-		c.Refuse(carobkind.Of(err), 0, err.Error())
+		r.Refuse(carobkind.Of(err), 0, err.Error())
 		return
 	}
-	v.Notify(func() { i.config.Exchanges.HangUp(ar.Call) })
-	defer v.Notify(nil)
-	i.config.Exchanges.Run(ar, rq, upload, c)
+	visit.Notify(func() { i.config.Exchanges.HangUp(arrival.Call) })
+	defer visit.Notify(nil)
+	i.config.Exchanges.Run(arrival, req, upload, r)
 }
 
-// Reject fills in the answer to what is no request.
-func (i *Ingress) Reject(rs *fasthttp.Response, err error) {
-	i.config.Dialect.Refuse(rs, nil, carobkind.Of(err), 0, err.Error())
+// Reject fills in the response to bytes that could not be read as a request.
+func (i *Ingress) Reject(resp *fasthttp.Response, err error) {
+	i.config.Dialect.Refuse(resp, nil, carobkind.Of(err), 0, err.Error())
 }
 
-// caller tells a caller the end of its call.
-type caller struct {
+// responder sends the result of a call to its caller.
+type responder struct {
 	ingress *Ingress
 	visit   *carobvisit.Visit
 }
 
-// Answer passes an answer on.
-func (c *caller) Answer(an *carobanswer.Answer, abandon func(), over func(kind carobkind.Kind, kept *carobkept.Kept)) {
-	c.visit.Notify(abandon)
-	carobheader.CleanResponse(&an.Response.Header)
-	over(c.visit.Pass(an), nil)
+// Answer streams an answer of a target to the caller. Nothing is stored, because
+// no dialect has idempotency keys.
+func (r *responder) Answer(answer *carobanswer.Answer, abandon func(), done func(kind carobkind.Kind, stored *carobkept.Kept)) {
+	r.visit.Notify(abandon)
+	carobheader.CleanResponse(&answer.Response.Header)
+	done(r.visit.Pass(answer), nil)
 }
 
-// Repeat does not happen: no dialect has keys.
-func (c *caller) Repeat(*carobkept.Kept) {
-	c.Refuse(carobkind.Repeated, 0, "the answer is not kept")
+// Repeat is never called, because no dialect has idempotency keys.
+func (r *responder) Repeat(*carobkept.Kept) {
+	r.Refuse(carobkind.Repeated, 0, "the answer of the earlier call is not stored")
 }
 
-// Refuse tells an error.
-func (c *caller) Refuse(kind carobkind.Kind, after time.Duration, detail string) {
-	rs := &fasthttp.Response{}
+// Refuse sends an error. If after is 0, the delay of the kind applies.
+func (r *responder) Refuse(kind carobkind.Kind, after time.Duration, detail string) {
+	resp := &fasthttp.Response{}
 	after = cmp.Or(after, kind.Retry())
-	c.ingress.config.Dialect.Refuse(rs, c.visit.Request(), kind, after, detail)
-	c.visit.Reply(rs)
+	r.ingress.config.Dialect.Refuse(resp, r.visit.Request(), kind, after, detail)
+	r.visit.Reply(resp)
 }
