--- a/internal/carobserver/conn.go
+++ b/internal/carobserver/conn.go
@@ -16,244 +16,263 @@
 )
 
 const (
-	// writeBuffer is the longest answer that is sent in one write.
-	writeBuffer = 4096
-	// lingering is how long bytes behind a closing answer are still read: to close
-	// before would make the kernel throw the answer away.
-	lingering = time.Second
+	// writeBufferSize is the size in bytes up to which an answer is sent in one
+	// write.
+	writeBufferSize = 4096
+	// lingerTimeout is how long a closing connection is still read after its last
+	// answer. If unread bytes were left on it, closing it would make the kernel send
+	// a reset, and the caller could lose the answer.
+	lingerTimeout = time.Second
 )
 
-// conn is a connection of a caller.
+// conn is a connection of a caller. One goroutine reads its requests; the
+// goroutines of the requests write the answers, one after the other.
 type conn struct {
 	net.Conn
 	server *Server
 	reader *bufio.Reader
 	writer *bufio.Writer
 	mutex  sync.Mutex
-	// open are the visits without an answer, in the order of their requests.
-	open []*carobvisit.Visit
-	// last is the end of the newest visit.
-	last <-chan struct{}
-	// coming says that a request is being read.
-	coming bool
-	// closing says that no further request is taken.
+	// pending holds the requests without an answer, in the order of their arrival.
+	// It is guarded by mutex, as are reading and closing.
+	pending []*carobvisit.Visit
+	// lastDone is closed when the newest request is done.
+	lastDone <-chan struct{}
+	// reading is true while a request is being read.
+	reading bool
+	// closing is true once no further request is accepted.
 	closing bool
-	// freed holds one element when a visit has ended.
-	freed chan struct{}
+	// slotFreed signals that a pending request has ended. It has room for one
+	// element.
+	slotFreed chan struct{}
 }
 
-// atOnce is the turn of the first visit.
-var atOnce = func() chan struct{} {
+// closedChannel is the lastDone of a connection without requests.
+var closedChannel = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-func newConn(s *Server, nc net.Conn) *conn {
+func newConn(s *Server, netConn net.Conn) *conn {
 	return &conn{
-		Conn: nc, server: s, last: atOnce, freed: make(chan struct{}, 1),
-		reader: bufio.NewReaderSize(nc, int(s.config.Header)), writer: bufio.NewWriterSize(nc, writeBuffer),
+		Conn: netConn, server: s, lastDone: closedChannel, slotFreed: make(chan struct{}, 1),
+		reader: bufio.NewReaderSize(netConn, int(s.config.Header)), writer: bufio.NewWriterSize(netConn, writeBufferSize),
 	}
 }
 
-// run reads requests until the connection ends.
+// run serves requests until the connection ends.
 func (c *conn) run() {
 	defer c.server.remove(c)
 	defer func() { _ = c.Close() }()
-	for c.next() {
+	for c.serveNext() {
 	}
 	c.linger()
-	c.abandon()
+	c.notifyDisconnect()
 }
 
-// next takes one request, and reports whether another may follow.
-func (c *conn) next() bool {
-	if !c.await() {
+// serveNext reads a request and starts its handler. It reports whether another
+// request may follow.
+func (c *conn) serveNext() bool {
+	if !c.awaitRequest() {
 		return false
 	}
 	config := &c.server.config
 	_ = c.SetReadDeadline(config.Timer.Wall().Add(config.Head))
-	rq := &fasthttp.Request{}
-	rq.Header.SetNoDefaultContentType(true)
-	if err := rq.Header.Read(c.reader); err != nil {
-		c.reject(rq, readFault(err))
+	req := &fasthttp.Request{}
+	req.Header.SetNoDefaultContentType(true)
+	if err := req.Header.Read(c.reader); err != nil {
+		c.reject(req, readError(err))
 		return false
 	}
-	if err := carobheader.Check(&rq.Header); err != nil {
-		c.reject(rq, err)
+	if err := carobheader.Check(&req.Header); err != nil {
+		c.reject(req, err)
 		return false
 	}
-	if err := c.readBody(rq); err != nil {
-		c.reject(rq, err)
+	if err := c.readBody(req); err != nil {
+		c.reject(req, err)
 		return false
 	}
-	if !c.makeRoom(rq) {
+	if !c.awaitSlot(req) {
 		return false
 	}
-	v := c.enter(rq)
-	if v == nil {
+	visit := c.addVisit(req)
+	if visit == nil {
 		return false
 	}
-	go config.Handler.Handle(v)
-	if v.ClosesAfter() {
-		// Nothing more is taken, but the caller may still hang up.
-		c.await()
+	go config.Handler.Handle(visit)
+	if visit.ClosesAfter() {
+		// No further request is accepted, but the caller may still disconnect.
+		c.awaitRequest()
 		return false
 	}
 	return true
 }
 
-// await waits for the first byte of a request.
-func (c *conn) await() bool {
+// awaitRequest waits for the first byte of a request. It returns false if the
+// connection failed or is closing.
+func (c *conn) awaitRequest() bool {
 	if c.reader.Buffered() == 0 {
 		c.mutex.Lock()
-		c.expire()
+		c.setIdleDeadline()
 		c.mutex.Unlock()
 	}
 	_, err := c.reader.Peek(1)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.coming = err == nil
-	return c.coming && !c.closing
+	c.reading = err == nil
+	return c.reading && !c.closing
 }
 
-// expire bounds the wait for a request while no other is under way.
-func (c *conn) expire() {
-	if len(c.open) == 0 {
+// setIdleDeadline limits the wait for the next request to Config.Idle if no
+// request is pending, and removes the read deadline otherwise. The mutex must be
+// held.
+func (c *conn) setIdleDeadline() {
+	if len(c.pending) == 0 {
 		_ = c.SetReadDeadline(c.server.config.Timer.Wall().Add(c.server.config.Idle))
 		return
 	}
 	_ = c.SetReadDeadline(time.Time{})
 }
 
-func (c *conn) readBody(rq *fasthttp.Request) error {
+// readBody reads the whole body of a request. If the caller waits for "100
+// Continue", it is sent once the request may run.
+func (c *conn) readBody(req *fasthttp.Request) error {
 	config := &c.server.config
-	if rq.MayContinue() {
-		if !c.makeRoom(rq) {
+	if req.MayContinue() {
+		if !c.awaitSlot(req) {
 			return io.ErrClosedPipe
 		}
 		if _, err := io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return err
 		}
 	}
-	if rq.Header.ContentLength() == 0 {
+	if req.Header.ContentLength() == 0 {
 		return nil
 	}
 	_ = c.SetReadDeadline(config.Timer.Wall().Add(config.Stall))
-	if err := rq.ContinueReadBody(c.reader, int(config.Body), false); err != nil {
-		return readFault(err)
+	if err := req.ContinueReadBody(c.reader, int(config.Body), false); err != nil {
+		return readError(err)
 	}
 	return nil
 }
 
-// makeRoom waits until a request may run beside those under way. Only idempotent
-// methods do: when the connection closes behind an earlier answer, the caller
-// takes the later requests for unread and sends them again.
-func (c *conn) makeRoom(rq *fasthttp.Request) bool {
-	most := 1
-	if rq.Header.IsGet() || rq.Header.IsHead() {
-		most = c.server.config.Most
+// awaitSlot waits until a request may run beside the pending ones. It returns
+// false if the connection is closing. Only GET and HEAD run beside others: if the
+// connection closes after an earlier answer, the caller assumes that later
+// requests were not read and sends them again, so that they have to be
+// idempotent.
+func (c *conn) awaitSlot(req *fasthttp.Request) bool {
+	limit := 1
+	if req.Header.IsGet() || req.Header.IsHead() {
+		limit = c.server.config.Most
 	}
 	for {
 		c.mutex.Lock()
-		room, closing := len(c.open) < most, c.closing
+		free, closing := len(c.pending) < limit, c.closing
 		c.mutex.Unlock()
 		if closing {
 			return false
 		}
-		if room {
+		if free {
 			return true
 		}
-		<-c.freed
+		<-c.slotFreed
 	}
 }
 
-// enter makes the visit of a request, or nil if the connection takes none.
-func (c *conn) enter(rq *fasthttp.Request) *carobvisit.Visit {
+// addVisit appends a request to the pending ones. It returns nil if the
+// connection is closing.
+func (c *conn) addVisit(req *fasthttp.Request) *carobvisit.Visit {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.closing {
 		return nil
 	}
-	v := carobvisit.NewVisit(carobvisit.Config{
-		Request: rq, Link: c, Writer: c.writer, Turn: c.last,
+	visit := carobvisit.NewVisit(carobvisit.Config{
+		Request: req, Link: c, Writer: c.writer, Turn: c.lastDone,
 	})
-	c.coming = false
-	c.last = v.Done()
-	c.open = append(c.open, v)
-	return v
+	c.reading = false
+	c.lastDone = visit.Done()
+	c.pending = append(c.pending, visit)
+	return visit
 }
 
-// reject answers what is no request, behind the answers under way, and takes
-// nothing more.
-func (c *conn) reject(rq *fasthttp.Request, err error) {
+// reject answers a malformed request after the pending answers, and closes the
+// connection. An error of kind Internal means that the connection is broken, so
+// that there is no answer.
+func (c *conn) reject(req *fasthttp.Request, err error) {
 	if carobkind.Of(err) == carobkind.Internal {
 		return
 	}
-	v := c.enter(rq)
-	if v == nil {
+	visit := c.addVisit(req)
+	if visit == nil {
 		return
 	}
-	rs := &fasthttp.Response{}
-	c.server.config.Handler.Reject(rs, err)
-	v.CloseAfter()
-	v.Reply(rs)
+	resp := &fasthttp.Response{}
+	c.server.config.Handler.Reject(resp, err)
+	visit.CloseAfter()
+	visit.Reply(resp)
 }
 
-// Closing reports whether the connection is closed behind the visit's answer.
-func (c *conn) Closing(v *carobvisit.Visit) bool {
+// Closing reports whether the connection closes after the answer to visit. If it
+// does, no further request is accepted. A draining server closes a connection
+// with the last pending answer.
+func (c *conn) Closing(visit *carobvisit.Visit) bool {
 	draining := c.server.isDraining()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	alone := len(c.open) == 1 && !c.coming
-	if v.ClosesAfter() || draining && alone {
+	alone := len(c.pending) == 1 && !c.reading
+	if visit.ClosesAfter() || draining && alone {
 		c.closing = true
 	}
 	return c.closing
 }
 
-// Allow gives the receiver time anew to take bytes.
+// Allow extends the write deadline by Config.Stall.
 func (c *conn) Allow() {
 	_ = c.SetWriteDeadline(c.server.config.Timer.Wall().Add(c.server.config.Stall))
 }
 
-// Done takes a visit out that was answered.
-func (c *conn) Done(v *carobvisit.Visit, whole bool) {
+// Done removes an answered request. If complete is false, the answer could not be
+// sent completely, and the connection is closed.
+func (c *conn) Done(visit *carobvisit.Visit, complete bool) {
 	c.mutex.Lock()
-	for i := range c.open {
-		if c.open[i] == v {
-			c.open = append(c.open[:i], c.open[i+1:]...)
+	for i := range c.pending {
+		if c.pending[i] == visit {
+			c.pending = append(c.pending[:i], c.pending[i+1:]...)
 			break
 		}
 	}
-	c.closing = c.closing || !whole
+	c.closing = c.closing || !complete
 	switch {
-	case !whole:
+	case !complete:
 		_ = c.Close()
-	case c.closing && len(c.open) == 0:
+	case c.closing && len(c.pending) == 0:
 		_ = c.SetReadDeadline(c.server.config.Timer.Wall())
 	default:
-		c.expire()
+		c.setIdleDeadline()
 	}
 	c.mutex.Unlock()
 	select {
-	case c.freed <- struct{}{}:
+	case c.slotFreed <- struct{}{}:
 	default:
 	}
 }
 
-// hurry ends the connection once the answers under way are written.
-func (c *conn) hurry() {
+// shutdown closes the connection after the pending answers.
+func (c *conn) shutdown() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.closing = true
-	if len(c.open) == 0 {
+	if len(c.pending) == 0 {
 		_ = c.SetReadDeadline(c.server.config.Timer.Wall())
 	}
 }
 
-// linger reads what still comes behind a closing answer, until the other end has
-// seen that.
+// linger closes the sending side of a closing connection after its last answer,
+// and discards what the caller still sends until it closes its side or
+// lingerTimeout passes.
 func (c *conn) linger() {
 	c.mutex.Lock()
 	closing := c.closing
@@ -261,39 +280,40 @@
 	if !closing {
 		return
 	}
-	<-c.last
-	tc, ok := c.Conn.(*net.TCPConn)
-	if !ok || tc.CloseWrite() != nil {
+	<-c.lastDone
+	tcpConn, ok := c.Conn.(*net.TCPConn)
+	if !ok || tcpConn.CloseWrite() != nil {
 		return
 	}
-	_ = tc.SetReadDeadline(c.server.config.Timer.Wall().Add(lingering))
-	_, _ = io.Copy(io.Discard, tc)
+	_ = tcpConn.SetReadDeadline(c.server.config.Timer.Wall().Add(lingerTimeout))
+	_, _ = io.Copy(io.Discard, tcpConn)
 }
 
-// abandon tells the visits under way that the caller is gone.
-func (c *conn) abandon() {
+// notifyDisconnect notifies the pending requests that the caller has
+// disconnected, and waits until all have ended.
+func (c *conn) notifyDisconnect() {
 	c.mutex.Lock()
-	open := append([]*carobvisit.Visit(nil), c.open...)
+	pending := append([]*carobvisit.Visit(nil), c.pending...)
 	c.mutex.Unlock()
-	for _, v := range open {
-		v.Leave()
+	for _, visit := range pending {
+		visit.Leave()
 	}
-	<-c.last
+	<-c.lastDone
 }
 
-// readFault gives an error of reading its kind: Internal if the connection is
-// gone, so that nobody is there to be told.
-func readFault(err error) error {
-	var small *fasthttp.ErrSmallBuffer
-	var network net.Error
+// readError returns an error of reading a request with its kind. The kind is
+// Internal if the connection is broken, so that no answer can be sent.
+func readError(err error) error {
+	var smallBuffer *fasthttp.ErrSmallBuffer
+	var netErr net.Error
 	switch {
-	case errors.As(err, &small):
+	case errors.As(err, &smallBuffer):
 		return carobkind.Wrap(carobkind.HeaderTooLarge, err, "read header")
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		return carobkind.Wrap(carobkind.TooLarge, err, "read body")
-	case errors.As(err, &network) && network.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return carobkind.Wrap(carobkind.Slow, err, "read request")
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &network):
+	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &netErr):
 		return carobkind.Wrap(carobkind.Internal, err, "read request")
 	default:
 		return carobkind.Wrap(carobkind.Invalid, err, "read request")
--- a/internal/carobserver/server.go
+++ b/internal/carobserver/server.go
@@ -1,11 +1,11 @@
-// Package carobserver serves HTTP/1.1 on connections that are read while their
-// requests are under way.
+// Package carobserver is an HTTP/1.1 server that reads connections while their
+// requests are being handled.
 //
-// The HTTP library's server reads a connection only between requests. It does
-// not see a caller hang up before its answer is written, and serves pipelined
-// requests one after the other. Here a goroutine reads the connection all the
-// time: idempotent requests that come together run side by side and are answered
-// in order, and a caller that is gone is noticed at once.
+// The HTTP library's server reads a connection only between requests. It does not
+// detect that a caller disconnects before its answer is written, and handles
+// pipelined requests one after the other. Here one goroutine reads the connection
+// all the time: pipelined idempotent requests run concurrently and are answered
+// in order, and a disconnect is detected at once.
 package carobserver
 
 import (
@@ -21,37 +21,39 @@
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
 
-// handler answers requests.
+// handler handles requests.
 type handler interface {
-	// Handle answers a visit. It runs on a goroutine of its own.
-	Handle(v *carobvisit.Visit)
-	// Reject fills in the answer to what could not be read as a request.
-	Reject(rs *fasthttp.Response, err error)
+	// Handle answers a request. It runs on a goroutine of its own.
+	Handle(visit *carobvisit.Visit)
+	// Reject fills in the response to bytes that could not be read as a request.
+	Reject(resp *fasthttp.Response, err error)
 }
 
-// Config is how a server is made.
+// Config holds the parameters of a Server.
 type Config struct {
 	Handler handler
 	Timer   *carobtimer.Timer
-	// Header and Body are the longest header and body.
+	// Header and Body are the maximum sizes of a request's header and body.
 	Header, Body carobsize.Size
-	// Head is how long the header of a request may take from its first byte, and
-	// Stall how long the body may take, or the receiver of an answer.
+	// Head is the maximum time from the first byte of a request to the end of its
+	// header. Stall is the maximum time to read a body, and to wait for the receiver
+	// of an answer to accept bytes.
 	Head, Stall time.Duration
-	// Idle is how long a connection may be unused.
+	// Idle is the maximum time that a connection may have no request.
 	Idle time.Duration
-	// Most is the most requests of one connection that run at once.
+	// Most is the maximum number of requests of one connection that run
+	// concurrently.
 	Most int
 }
 
-// Server serves connections.
+// Server accepts connections and serves the requests on them.
 type Server struct {
 	config Config
 	mutex  sync.Mutex
-	// listeners and conns are those open now.
+	// listeners and conns are those that are open.
 	listeners map[net.Listener]struct{}
 	conns     map[*conn]struct{}
-	// draining says that connections are closed behind their answers.
+	// draining is true if connections close after their pending answers.
 	draining bool
 	closed   bool
 	running  sync.WaitGroup
@@ -62,45 +64,47 @@
 	return &Server{config: c, listeners: map[net.Listener]struct{}{}, conns: map[*conn]struct{}{}}
 }
 
-// Serve accepts connections until Close.
-func (s *Server) Serve(ls net.Listener) error {
+// Serve accepts connections until Close. It returns nil after Close, and the
+// listener's error otherwise.
+func (s *Server) Serve(listener net.Listener) error {
 	s.mutex.Lock()
-	s.listeners[ls] = struct{}{}
+	s.listeners[listener] = struct{}{}
 	s.mutex.Unlock()
 	for {
-		nc, err := ls.Accept()
+		netConn, err := listener.Accept()
 		if err != nil {
 			if s.isClosed() {
 				return nil
 			}
 			return err
 		}
-		c := newConn(s, nc)
+		c := newConn(s, netConn)
 		if !s.add(c) {
-			_ = nc.Close()
+			_ = netConn.Close()
 			continue
 		}
 		go c.run()
 	}
 }
 
-// Drain has each connection closed behind the answers that are under way. The
-// server goes on listening: callers may not know yet.
+// Drain makes each connection close after its pending answers. The server still
+// accepts connections, because callers may not know yet that it is going to stop.
 func (s *Server) Drain() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.draining = true
 }
 
-// Close stops listening, closes the connections and returns when they are done.
-func (s *Server) Close(cx context.Context) {
+// Close stops listening, closes each connection after its pending answers, and
+// returns when all are closed or ctx ends.
+func (s *Server) Close(ctx context.Context) {
 	s.mutex.Lock()
 	s.closed = true
-	for ls := range s.listeners {
-		_ = ls.Close()
+	for listener := range s.listeners {
+		_ = listener.Close()
 	}
 	for c := range s.conns {
-		c.hurry()
+		c.shutdown()
 	}
 	s.mutex.Unlock()
 	done := make(chan struct{})
@@ -110,10 +114,11 @@
 	}()
 	select {
 	case <-done:
-	case <-cx.Done():
+	case <-ctx.Done():
 	}
 }
 
+// add records a connection. It returns false if the server is closed.
 func (s *Server) add(c *conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/carobserver/server_test.go
+++ b/internal/carobserver/server_test.go
@@ -21,186 +21,201 @@
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
 
-// answers lets a test decide when each request is answered: by its path.
-type answers struct {
-	mutex sync.Mutex
-	gates map[string]chan struct{}
-	// came has the paths of the requests, in the order in which they came.
-	came chan string
-	// gone has the paths of the requests whose callers have hung up.
-	gone chan string
-}
-
-func newAnswers() *answers {
-	return &answers{gates: map[string]chan struct{}{}, came: make(chan string, 64), gone: make(chan string, 64)}
-}
-
-func (a *answers) gate(path string) chan struct{} {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	if a.gates[path] == nil {
-		a.gates[path] = make(chan struct{})
+// handler answers a request only after the test closes the channel that release
+// returns for the request's path.
+type handler struct {
+	mutex    sync.Mutex
+	releases map[string]chan struct{}
+	// arrived receives the paths of the requests in the order of their arrival.
+	arrived chan string
+	// disconnected receives the paths of the requests whose callers have
+	// disconnected.
+	disconnected chan string
+}
+
+func newHandler() *handler {
+	return &handler{releases: map[string]chan struct{}{}, arrived: make(chan string, 64), disconnected: make(chan string, 64)}
+}
+
+func (h *handler) release(path string) chan struct{} {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if h.releases[path] == nil {
+		h.releases[path] = make(chan struct{})
 	}
-	return a.gates[path]
+	return h.releases[path]
 }
 
-func (a *answers) Handle(v *carobvisit.Visit) {
-	path := string(v.Request().Header.RequestURI())
-	left := make(chan struct{})
-	v.Notify(sync.OnceFunc(func() {
-		a.gone <- path
-		close(left)
+func (h *handler) Handle(visit *carobvisit.Visit) {
+	path := string(visit.Request().Header.RequestURI())
+	disconnected := make(chan struct{})
+	visit.Notify(sync.OnceFunc(func() {
+		h.disconnected <- path
+		close(disconnected)
 	}))
-	a.came <- path
+	h.arrived <- path
 	select {
-	case <-a.gate(path):
-	case <-left:
+	case <-h.release(path):
+	case <-disconnected:
 	}
-	rs := &fasthttp.Response{}
-	rs.SetBodyString("answer to " + path + " " + string(v.Request().Body()))
-	v.Reply(rs)
+	resp := &fasthttp.Response{}
+	resp.SetBodyString("answer to " + path + " " + string(visit.Request().Body()))
+	visit.Reply(resp)
 }
 
-func (a *answers) Reject(rs *fasthttp.Response, err error) {
-	rs.SetStatusCode(carobkind.Of(err).Status())
+func (h *handler) Reject(resp *fasthttp.Response, err error) {
+	resp.SetStatusCode(carobkind.Of(err).Status())
 }
 
-type rig struct {
+// fixture is a running server with one connection of a caller.
+type fixture struct {
 	t       *testing.T
-	answers *answers
+	handler *handler
 	server  *carobserver.Server
 	conn    net.Conn
 	reader  *bufio.Reader
 	address string
 }
 
-func newRig(t *testing.T) *rig {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	timer := carobtimer.NewTimer()
-	r := &rig{t: t, answers: newAnswers()}
-	r.server = carobserver.NewServer(carobserver.Config{
-		Handler: r.answers, Timer: timer, Header: 4 * carobsize.KiB, Body: 64 * carobsize.KiB,
+	f := &fixture{t: t, handler: newHandler()}
+	f.server = carobserver.NewServer(carobserver.Config{
+		Handler: f.handler, Timer: timer, Header: 4 * carobsize.KiB, Body: 64 * carobsize.KiB,
 		Head: time.Minute, Stall: time.Minute, Idle: time.Minute, Most: 8,
 	})
-	ls, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	r.address = ls.Addr().String()
-	go func() { _ = r.server.Serve(ls) }()
-	t.Cleanup(func() { r.server.Close(context.Background()) })
-	r.dial()
-	return r
+	f.address = listener.Addr().String()
+	go func() { _ = f.server.Serve(listener) }()
+	t.Cleanup(func() { f.server.Close(context.Background()) })
+	f.dial()
+	return f
 }
 
-func (r *rig) dial() {
-	conn, err := net.Dial("tcp", r.address)
-	require.NoError(r.t, err)
-	r.t.Cleanup(func() { _ = conn.Close() })
-	r.conn, r.reader = conn, bufio.NewReader(conn)
+func (f *fixture) dial() {
+	conn, err := net.Dial("tcp", f.address)
+	require.NoError(f.t, err)
+	f.t.Cleanup(func() { _ = conn.Close() })
+	f.conn, f.reader = conn, bufio.NewReader(conn)
 }
 
-func (r *rig) send(text string) {
-	_, err := io.WriteString(r.conn, strings.ReplaceAll(text, "\n", "\r\n"))
-	require.NoError(r.t, err)
+func (f *fixture) send(text string) {
+	_, err := io.WriteString(f.conn, strings.ReplaceAll(text, "\n", "\r\n"))
+	require.NoError(f.t, err)
 }
 
-func (r *rig) get(path string) { r.send("GET " + path + " HTTP/1.1\nHost: a\n\n") }
+func (f *fixture) get(path string) { f.send("GET " + path + " HTTP/1.1\nHost: a\n\n") }
 
-func (r *rig) read() *fasthttp.Response {
-	rs := &fasthttp.Response{}
-	require.NoError(r.t, rs.Read(r.reader))
-	return rs
+func (f *fixture) read() *fasthttp.Response {
+	resp := &fasthttp.Response{}
+	require.NoError(f.t, resp.Read(f.reader))
+	return resp
 }
 
-// closed requires that nothing more comes.
-func (r *rig) closed() {
-	_, err := r.reader.ReadByte()
-	require.ErrorIs(r.t, err, io.EOF)
+// requireClosed requires that the server has closed the connection and sends
+// nothing more.
+func (f *fixture) requireClosed() {
+	_, err := f.reader.ReadByte()
+	require.ErrorIs(f.t, err, io.EOF)
 }
 
-func TestPipelinedRequestsRunTogetherAndAreAnsweredInOrder(t *testing.T) {
-	r := newRig(t)
+// A server that handles pipelined requests one after the other adds up their
+// latencies; one that answers them out of order gives callers wrong answers.
+func TestPipelinedRequestsRunConcurrentlyAndAreAnsweredInOrder(t *testing.T) {
+	f := newFixture(t)
 	for _, path := range []string{"/1", "/2", "/3"} {
-		r.get(path)
+		f.get(path)
 	}
 	seen := map[string]bool{}
 	for range 3 {
-		seen[<-r.answers.came] = true
+		seen[<-f.handler.arrived] = true
 	}
-	require.Len(t, seen, 3, "all run at once")
+	require.Len(t, seen, 3, "all run concurrently")
 	for _, path := range []string{"/3", "/2", "/1"} {
-		close(r.answers.gate(path))
+		close(f.handler.release(path))
 	}
 	for _, path := range []string{"/1", "/2", "/3"} {
-		require.Equal(t, "answer to "+path+" ", string(r.read().Body()))
+		require.Equal(t, "answer to "+path+" ", string(f.read().Body()))
 	}
 }
 
-func TestRequestThatMayNotRunTwiceWaitsItsTurn(t *testing.T) {
-	r := newRig(t)
-	r.get("/1")
-	r.send("POST /2 HTTP/1.1\nHost: a\nContent-Length: 2\n\nhi")
-	require.Equal(t, "/1", <-r.answers.came)
-	require.Empty(t, r.answers.came)
-	close(r.answers.gate("/1"))
-	require.Equal(t, "/2", <-r.answers.came)
-	close(r.answers.gate("/2"))
-	r.read()
-	require.Equal(t, "answer to /2 hi", string(r.read().Body()))
-}
-
-func TestHangUpIsNoticedWhileTheRequestRuns(t *testing.T) {
+// If the connection closed after the first answer, the caller would send the
+// second request again, and a POST that had already started would run twice.
+func TestNonIdempotentRequestWaitsForEarlierAnswer(t *testing.T) {
+	f := newFixture(t)
+	f.get("/1")
+	f.send("POST /2 HTTP/1.1\nHost: a\nContent-Length: 2\n\nhi")
+	require.Equal(t, "/1", <-f.handler.arrived)
+	require.Empty(t, f.handler.arrived)
+	close(f.handler.release("/1"))
+	require.Equal(t, "/2", <-f.handler.arrived)
+	close(f.handler.release("/2"))
+	f.read()
+	require.Equal(t, "answer to /2 hi", string(f.read().Body()))
+}
+
+// Without it, targets go on working for callers that have disconnected. The
+// second case has a connection on which no further request is read.
+func TestDisconnectIsDetectedWhileRequestRuns(t *testing.T) {
 	for _, head := range []string{"GET /1 HTTP/1.1\nHost: a\n\n", "GET /1 HTTP/1.1\nHost: a\nConnection: close\n\n"} {
-		r := newRig(t)
-		r.send(head)
-		<-r.answers.came
-		require.NoError(t, r.conn.Close())
-		require.Equal(t, "/1", <-r.answers.gone)
+		f := newFixture(t)
+		f.send(head)
+		<-f.handler.arrived
+		require.NoError(t, f.conn.Close())
+		require.Equal(t, "/1", <-f.handler.disconnected)
 	}
 }
 
+// The server still reads such a connection to detect a disconnect, and must not
+// take the end of reading for one.
 func TestRequestThatClosesItsConnectionIsAnswered(t *testing.T) {
-	r := newRig(t)
-	r.send("GET /1 HTTP/1.1\nHost: a\nConnection: close\n\n")
-	<-r.answers.came
-	close(r.answers.gate("/1"))
-	require.True(t, r.read().ConnectionClose())
-	r.closed()
-	require.Empty(t, r.answers.gone)
-}
-
-func TestDrainingServerAnswersWhatCame(t *testing.T) {
-	r := newRig(t)
-	r.get("/1")
-	r.get("/2")
-	<-r.answers.came
-	<-r.answers.came
-	r.server.Drain()
-	close(r.answers.gate("/1"))
-	require.False(t, r.read().ConnectionClose(), "an answer is still to come on the connection")
-	close(r.answers.gate("/2"))
-	require.True(t, r.read().ConnectionClose())
-	r.closed()
-	r.dial()
-	r.get("/2")
-	require.True(t, r.read().ConnectionClose(), "new connections are still taken")
+	f := newFixture(t)
+	f.send("GET /1 HTTP/1.1\nHost: a\nConnection: close\n\n")
+	<-f.handler.arrived
+	close(f.handler.release("/1"))
+	require.True(t, f.read().ConnectionClose())
+	f.requireClosed()
+	require.Empty(t, f.handler.disconnected)
+}
+
+// Closing a connection with pending answers would lose them, and refusing new
+// connections would fail callers that have not yet learned of the shutdown.
+func TestDrainingServerAnswersPendingRequests(t *testing.T) {
+	f := newFixture(t)
+	f.get("/1")
+	f.get("/2")
+	<-f.handler.arrived
+	<-f.handler.arrived
+	f.server.Drain()
+	close(f.handler.release("/1"))
+	require.False(t, f.read().ConnectionClose(), "the connection has a pending answer")
+	close(f.handler.release("/2"))
+	require.True(t, f.read().ConnectionClose())
+	f.requireClosed()
+	f.dial()
+	f.get("/2")
+	require.True(t, f.read().ConnectionClose(), "new connections are still accepted")
 }
 
 func TestClosingServerWaitsForAnswers(t *testing.T) {
-	r := newRig(t)
-	r.get("/1")
-	<-r.answers.came
+	f := newFixture(t)
+	f.get("/1")
+	<-f.handler.arrived
 	done := make(chan struct{})
 	go func() {
-		r.server.Close(context.Background())
+		f.server.Close(context.Background())
 		close(done)
 	}()
-	close(r.answers.gate("/1"))
-	require.Equal(t, "answer to /1 ", string(r.read().Body()))
-	_ = r.conn.Close()
+	close(f.handler.release("/1"))
+	require.Equal(t, "answer to /1 ", string(f.read().Body()))
+	_ = f.conn.Close()
 	<-done
 }
 
-func TestWhatIsNoRequestIsRefused(t *testing.T) {
+// A request whose bounds are ambiguous or exceed the limits must not run.
+func TestMalformedRequestIsRejected(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		status     int
@@ -212,25 +227,25 @@
 		{"long body", fmt.Sprintf("POST / HTTP/1.1\nHost: a\nContent-Length: %d\n\n", 1<<20), 413},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t)
-			r.send(c.text)
-			require.Equal(t, c.status, r.read().StatusCode())
-			require.Empty(t, r.answers.came, "it never reaches a handler")
+			f := newFixture(t)
+			f.send(c.text)
+			require.Equal(t, c.status, f.read().StatusCode())
+			require.Empty(t, f.handler.arrived, "the request must not reach the handler")
 		})
 	}
 }
 
-func TestChunkedBodyIsReadWhole(t *testing.T) {
-	r := newRig(t)
-	close(r.answers.gate("/1"))
-	r.send("POST /1 HTTP/1.1\nHost: a\nTransfer-Encoding: chunked\n\n2\nab\n1\nc\n0\n\n")
-	require.Equal(t, "answer to /1 abc", string(r.read().Body()))
-	r.send("POST /1 HTTP/1.1\nHost: a\nExpect: 100-continue\nContent-Length: 2\n\n")
-	line, err := r.reader.ReadString('\n')
+func TestChunkedBodyAndExpectContinue(t *testing.T) {
+	f := newFixture(t)
+	close(f.handler.release("/1"))
+	f.send("POST /1 HTTP/1.1\nHost: a\nTransfer-Encoding: chunked\n\n2\nab\n1\nc\n0\n\n")
+	require.Equal(t, "answer to /1 abc", string(f.read().Body()))
+	f.send("POST /1 HTTP/1.1\nHost: a\nExpect: 100-continue\nContent-Length: 2\n\n")
+	line, err := f.reader.ReadString('\n')
 	require.NoError(t, err)
 	require.Contains(t, line, "100")
-	_, err = r.reader.ReadString('\n')
+	_, err = f.reader.ReadString('\n')
 	require.NoError(t, err)
-	r.send("hi")
-	require.Equal(t, "answer to /1 hi", string(r.read().Body()))
+	f.send("hi")
+	require.Equal(t, "answer to /1 hi", string(f.read().Body()))
 }
--- a/internal/carobvisit/visit.go
+++ b/internal/carobvisit/visit.go
@@ -1,4 +1,5 @@
-// Package carobvisit holds a request on a connection until it was answered.
+// Package carobvisit holds one request of a connection until it is answered, and
+// writes its answer after those of the earlier requests.
 package carobvisit
 
 import (
@@ -12,117 +13,126 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// link is the connection that a visit came on.
-type link interface {
-	// Closing reports whether the connection is to be closed behind the answer, and
-	// if so takes no further request.
+// connection is the connection that the request was received on.
+type connection interface {
+	// Closing reports whether the connection closes after the answer to v. If it
+	// does, no further request is accepted.
 	Closing(v *Visit) bool
-	// Allow gives the receiver time anew to take bytes.
+	// Allow extends the write deadline.
 	Allow()
-	// Done takes the answer for written, or the connection for broken.
-	Done(v *Visit, whole bool)
+	// Done removes v, whose answer was sent. If complete is false, it was not sent
+	// completely, and the connection cannot be used any more.
+	Done(v *Visit, complete bool)
 }
 
-// Config is how a visit is made.
+// Config holds the parameters of a Visit.
 type Config struct {
-	// Request has its whole body.
+	// Request includes the complete body.
 	Request *fasthttp.Request
-	Link    link
+	Link    connection
 	Writer  *bufio.Writer
-	// Turn is closed once the visits before have been answered.
+	// Turn is closed once the earlier requests of the connection are answered.
 	Turn <-chan struct{}
 }
 
-// Visit is a request and the place of its answer in the order of its connection.
+// Visit is a request with the place of its answer in the order of its connection.
 type Visit struct {
 	config Config
 	mutex  sync.Mutex
-	// gone is called once the caller is gone; nil if nobody wants to know.
-	gone func()
-	left bool
-	// closing says that the connection closes behind the answer.
+	// onDisconnect is called when the caller disconnects; nil if there is nothing to
+	// call. It and disconnected are guarded by mutex.
+	onDisconnect func()
+	disconnected bool
+	// closing is true if the connection is to close after the answer.
 	closing bool
 	done    chan struct{}
 }
 
-// NewVisit returns a visit that waits for its answer.
+// NewVisit returns a request without an answer.
 func NewVisit(c Config) *Visit {
 	return &Visit{config: c, done: make(chan struct{})}
 }
 
-// Request returns the request with its whole body.
+// Request returns the request, including the complete body.
 func (v *Visit) Request() *fasthttp.Request { return v.config.Request }
 
-// Done is closed once the visit was answered or its connection broke.
+// Done returns a channel that is closed once the request was answered or its
+// connection broke.
 func (v *Visit) Done() <-chan struct{} { return v.done }
 
-// CloseAfter has the connection closed behind the answer.
+// CloseAfter makes the connection close after the answer. It must be called
+// before the answer is sent.
 func (v *Visit) CloseAfter() { v.closing = true }
 
-// ClosesAfter reports whether the answer asks for the connection to be closed.
+// ClosesAfter reports whether the connection is to close after the answer, by
+// CloseAfter or by the caller's Connection header.
 func (v *Visit) ClosesAfter() bool { return v.closing || v.config.Request.ConnectionClose() }
 
-// Notify has call run once if the caller is found to be gone, at once if it is
-// already. nil stops that.
+// Notify sets the function that is called once if the caller disconnects. It is
+// called immediately if the caller has already disconnected. nil removes the
+// function.
 func (v *Visit) Notify(call func()) {
 	v.mutex.Lock()
-	v.gone = call
-	left := v.left
+	v.onDisconnect = call
+	disconnected := v.disconnected
 	v.mutex.Unlock()
-	if left && call != nil {
+	if disconnected && call != nil {
 		call()
 	}
 }
 
-// Leave notes that the caller is gone.
+// Leave records that the caller has disconnected, and calls the function that
+// Notify set.
 func (v *Visit) Leave() {
 	v.mutex.Lock()
-	call := v.gone
-	first := !v.left
-	v.left = true
+	call := v.onDisconnect
+	first := !v.disconnected
+	v.disconnected = true
 	v.mutex.Unlock()
 	if first && call != nil {
 		call()
 	}
 }
 
-// Reply sends an answer that is all here, when its turn has come.
-func (v *Visit) Reply(rs *fasthttp.Response) {
+// Reply sends a complete response after the answers to the earlier requests.
+func (v *Visit) Reply(resp *fasthttp.Response) {
 	<-v.config.Turn
-	v.end(v.writeWhole(rs) == nil)
+	v.finish(v.writeWhole(resp) == nil)
 }
 
-// Pass sends an answer whose body is still to come, when its turn has come, and
-// tells how that went: None if all of it was sent.
-func (v *Visit) Pass(an *carobanswer.Answer) carobkind.Kind {
+// Pass sends an answer and its body, as it is received, after the answers to the
+// earlier requests. It returns None if the complete answer was sent, and Cut
+// otherwise.
+func (v *Visit) Pass(answer *carobanswer.Answer) carobkind.Kind {
 	<-v.config.Turn
-	err := v.writeStream(an)
-	errClose := an.Body.Close()
-	v.end(err == nil)
-	if err != nil || errClose != nil && !an.Bodiless {
+	err := v.writeStream(answer)
+	closeErr := answer.Body.Close()
+	v.finish(err == nil)
+	if err != nil || closeErr != nil && !answer.Bodiless {
 		return carobkind.Cut
 	}
 	return carobkind.None
 }
 
-func (v *Visit) end(whole bool) {
+func (v *Visit) finish(complete bool) {
 	close(v.done)
-	v.config.Link.Done(v, whole)
+	v.config.Link.Done(v, complete)
 }
 
-func (v *Visit) head(rs *fasthttp.Response) {
-	rs.Header.SetNoDefaultContentType(true)
+// prepareHeader sets the headers that concern the connection.
+func (v *Visit) prepareHeader(resp *fasthttp.Response) {
+	resp.Header.SetNoDefaultContentType(true)
 	if v.config.Link.Closing(v) {
-		rs.SetConnectionClose()
+		resp.SetConnectionClose()
 	}
 	v.config.Link.Allow()
 }
 
-func (v *Visit) writeWhole(rs *fasthttp.Response) error {
-	v.head(rs)
-	body := rs.Body()
-	rs.Header.SetContentLength(len(body))
-	if err := rs.Header.Write(v.config.Writer); err != nil {
+func (v *Visit) writeWhole(resp *fasthttp.Response) error {
+	v.prepareHeader(resp)
+	body := resp.Body()
+	resp.Header.SetContentLength(len(body))
+	if err := resp.Header.Write(v.config.Writer); err != nil {
 		return err
 	}
 	if !v.config.Request.Header.IsHead() {
@@ -133,47 +143,47 @@
 	return v.config.Writer.Flush()
 }
 
-// chunk is how much of a body is copied at once.
-const chunk = 16 * 1024
+// copyBufferSize is the size in bytes of the buffer for copying a body.
+const copyBufferSize = 16 * 1024
 
-func (v *Visit) writeStream(an *carobanswer.Answer) error {
-	v.head(an.Response)
-	if !an.Bodiless {
-		an.Response.Header.SetContentLength(an.Length)
+func (v *Visit) writeStream(answer *carobanswer.Answer) error {
+	v.prepareHeader(answer.Response)
+	if !answer.Bodiless {
+		answer.Response.Header.SetContentLength(answer.Length)
 	}
-	if err := an.Response.Header.Write(v.config.Writer); err != nil {
+	if err := answer.Response.Header.Write(v.config.Writer); err != nil {
 		return err
 	}
 	switch {
-	case an.Bodiless:
-	case an.Length >= 0:
-		if err := v.copyLength(an); err != nil {
+	case answer.Bodiless:
+	case answer.Length >= 0:
+		if err := v.copyFixedLength(answer); err != nil {
 			return err
 		}
 	default:
-		if err := v.copyChunks(an.Body); err != nil {
+		if err := v.copyChunked(answer.Body); err != nil {
 			return err
 		}
 	}
 	return v.config.Writer.Flush()
 }
 
-func (v *Visit) copyLength(an *carobanswer.Answer) error {
-	n, err := io.CopyBuffer(v.config.Writer, &allowing{Reader: an.Body, link: v.config.Link}, make([]byte, min(chunk, max(1, an.Length))))
-	if err == nil && n != int64(an.Length) {
+func (v *Visit) copyFixedLength(answer *carobanswer.Answer) error {
+	n, err := io.CopyBuffer(v.config.Writer, &deadlineReader{Reader: answer.Body, connection: v.config.Link}, make([]byte, min(copyBufferSize, max(1, answer.Length))))
+	if err == nil && n != int64(answer.Length) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-func (v *Visit) copyChunks(body io.Reader) error {
-	buffer := make([]byte, chunk)
+func (v *Visit) copyChunked(body io.Reader) error {
+	buf := make([]byte, copyBufferSize)
 	for {
 		v.config.Link.Allow()
-		n, err := body.Read(buffer)
+		n, err := body.Read(buf)
 		if n > 0 {
-			if errWrite := writeChunk(v.config.Writer, buffer[:n]); errWrite != nil {
-				return errWrite
+			if writeErr := writeChunk(v.config.Writer, buf[:n]); writeErr != nil {
+				return writeErr
 			}
 		}
 		if err == io.EOF { //nolint:errorlint // readers return io.EOF itself
@@ -186,14 +196,15 @@
 	}
 }
 
-// allowing gives the receiver time anew for each piece.
-type allowing struct {
+// deadlineReader extends the connection's write deadline before each read, so
+// that time spent waiting for the body does not count against the receiver.
+type deadlineReader struct {
 	io.Reader
-	link link
+	connection connection
 }
 
-// Read reads the next piece.
-func (a *allowing) Read(into []byte) (int, error) {
-	a.link.Allow()
-	return a.Reader.Read(into)
+// Read reads from the body.
+func (r *deadlineReader) Read(buf []byte) (int, error) {
+	r.connection.Allow()
+	return r.Reader.Read(buf)
 }
