--- a/internal/carobexchange/exchange.go
+++ b/internal/carobexchange/exchange.go
@@ -20,141 +20,148 @@
 	"github.com/carobknot/carobknot/pkg/carobsend"
 )
 
-// exchange is a call in traffic.
+// exchange is a call in progress. One goroutine applies its orders, and each
+// attempt has a goroutine that sends it.
 type exchange struct {
 	exchanges *Exchanges
 	call      carobcallid.ID
 	request   *fasthttp.Request
-	caller    caller
-	// upload is the body, for every attempt.
+	responder responder
+	// upload is the body, which every attempt sends.
 	upload *carobupload.Upload
-	mutex  sync.Mutex
-	// attempts are those sent so far.
+	// mutex guards answer and cancelled of the attempts.
+	mutex sync.Mutex
+	// attempts holds the attempts sent so far, by number.
 	attempts map[int]*attempt
 }
 
-// attempt is one sending of the call.
+// attempt is an attempt of the call that was sent.
 type attempt struct {
 	cancel context.CancelFunc
-	// answer is nil until its head is here.
+	// answer is nil until the header of the target's answer is received.
 	answer *carobanswer.Answer
-	// dropped says that nobody wants the answer.
-	dropped bool
+	// cancelled is true if the answer is no longer needed.
+	cancelled bool
 }
 
-// follow carries out orders until the call is concluded.
-func (x *exchange) follow(orders <-chan order) {
-	for od := range orders {
+// run applies orders until the call is concluded.
+func (x *exchange) run(orders <-chan order) {
+	for next := range orders {
 		switch {
-		case od.send != nil:
-			x.send(*od.send)
-		case od.cancel != 0:
-			x.drop(od.cancel)
+		case next.send != nil:
+			x.send(*next.send)
+		case next.cancel != 0:
+			x.cancelAttempt(next.cancel)
 		default:
-			x.conclude(*od.conclusion)
+			x.conclude(*next.conclusion)
 			return
 		}
 	}
 }
 
-// conclude tells the caller how its call ended. Attempts that the control
-// goroutine does not want any more were cancelled by earlier orders.
-func (x *exchange) conclude(cn carobconclusion.Conclusion) {
-	if cn.Kept != nil {
+// conclude sends the result of the call to the caller. Attempts that are no
+// longer needed were cancelled by earlier orders.
+func (x *exchange) conclude(conclusion carobconclusion.Conclusion) {
+	if conclusion.Kept != nil {
 		x.upload.Release()
-		x.caller.Repeat(cn.Kept)
+		x.responder.Repeat(conclusion.Kept)
 		return
 	}
-	if cn.Kind == carobkind.None {
-		x.deliver(cn.Attempt)
+	if conclusion.Kind == carobkind.None {
+		x.deliver(conclusion.Attempt)
 		return
 	}
 	x.upload.Release()
 	detail := "the call ended without an answer"
-	fault := x.upload.Fault()
+	senderErr := x.upload.Fault()
 	switch {
-	case fault != nil:
-		detail = fault.Error() + "; a part of it was sent to a target"
-	case x.upload.Streamed() && !cn.Kind.NotRun():
-		detail = "the body was too long to be kept, so that it was sent once and can not be sent again"
-	case cn.Kind.NotRun():
+	case senderErr != nil:
+		detail = senderErr.Error() + "; part of the body was sent to a target"
+	case x.upload.Streamed() && !conclusion.Kind.NotRun():
+		detail = "the body was too long to be buffered; it was sent once and can not be sent again"
+	case conclusion.Kind.NotRun():
 		detail = "no target ran the call"
 	}
-	x.caller.Refuse(cn.Kind, cn.After, detail)
+	x.responder.Refuse(conclusion.Kind, conclusion.After, detail)
 }
 
-func (x *exchange) send(sd carobsend.Send) {
-	rq := &fasthttp.Request{}
-	x.request.Header.CopyTo(&rq.Header)
-	carobheader.CleanRequest(&rq.Header)
-	if err := x.upload.Attach(rq); err != nil {
-		x.reply(carobreply.Reply{Job: sd.Job, Target: sd.Target, Kind: carobkind.Of(err)})
+// send starts an attempt. Its reply is posted to the control goroutine.
+func (x *exchange) send(send carobsend.Send) {
+	req := &fasthttp.Request{}
+	x.request.Header.CopyTo(&req.Header)
+	carobheader.CleanRequest(&req.Header)
+	if err := x.upload.Attach(req); err != nil {
+		x.postReply(carobreply.Reply{Job: send.Job, Target: send.Target, Kind: carobkind.Of(err)})
 		return
 	}
-	cx, cancel := context.WithCancel(context.Background())
-	at := &attempt{cancel: cancel}
-	x.attempts[sd.Job.Attempt] = at
+	ctx, cancel := context.WithCancel(context.Background())
+	current := &attempt{cancel: cancel}
+	x.attempts[send.Job.Attempt] = current
 	go func() {
-		an, report, err := x.exchanges.config.Relay.Do(cx, sd, rq)
-		if most := int(x.exchanges.config.Gather); an != nil && most > 0 {
-			if errGather := an.Gather(most); errGather != nil {
-				an, err = nil, carobkind.Wrap(carobkind.Cut, errGather, "read answer")
+		answer, report, err := x.exchanges.config.Relay.Do(ctx, send, req)
+		if maxSize := int(x.exchanges.config.Gather); answer != nil && maxSize > 0 {
+			if gatherErr := answer.Gather(maxSize); gatherErr != nil {
+				answer, err = nil, carobkind.Wrap(carobkind.Cut, gatherErr, "read answer")
 			}
 		}
-		x.keep(at, an)
-		rp := carobreply.Reply{Job: sd.Job, Target: sd.Target, Kind: carobkind.Of(err), Report: report}
+		x.setAnswer(current, answer)
+		reply := carobreply.Reply{Job: send.Job, Target: send.Target, Kind: carobkind.Of(err), Report: report}
 		switch {
-		case an != nil:
-			rp.Status = an.Response.StatusCode()
-		case cx.Err() != nil:
-			rp.Kind = carobkind.Cancelled
+		case answer != nil:
+			reply.Status = answer.Response.StatusCode()
+		case ctx.Err() != nil:
+			reply.Kind = carobkind.Cancelled
 		}
-		x.reply(rp)
+		x.postReply(reply)
 	}()
 }
 
-func (x *exchange) reply(rp carobreply.Reply) {
-	x.exchanges.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Replies = append(in.Replies, rp) })
+// postReply reports the result of an attempt to the control goroutine.
+func (x *exchange) postReply(reply carobreply.Reply) {
+	x.exchanges.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Replies = append(in.Replies, reply) })
 }
 
-// keep holds an answer until it is delivered, or closes it if nobody wants it.
-func (x *exchange) keep(at *attempt, an *carobanswer.Answer) {
+// setAnswer stores the answer of an attempt until it is delivered, or closes it
+// if the attempt was cancelled.
+func (x *exchange) setAnswer(current *attempt, answer *carobanswer.Answer) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	at.answer = an
-	if at.dropped && an != nil {
-		_ = an.Body.Close()
+	current.answer = answer
+	if current.cancelled && answer != nil {
+		_ = answer.Body.Close()
 	}
 }
 
-// drop gives an attempt up.
-func (x *exchange) drop(number int) {
-	at := x.attempts[number]
-	if at == nil {
+// cancelAttempt cancels an attempt and closes its answer. It does nothing if the
+// attempt was not sent.
+func (x *exchange) cancelAttempt(number int) {
+	current := x.attempts[number]
+	if current == nil {
 		return
 	}
-	at.cancel()
+	current.cancel()
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	at.dropped = true
-	if at.answer != nil {
-		_ = at.answer.Body.Close()
+	current.cancelled = true
+	if current.answer != nil {
+		_ = current.answer.Body.Close()
 	}
 }
 
-// deliver passes the answer of an attempt on. If the caller hangs up meanwhile,
-// the attempt is cancelled.
+// deliver streams the answer of an attempt to the caller, and reports the end to
+// the control goroutine. If the caller disconnects meanwhile, the attempt is
+// cancelled.
 func (x *exchange) deliver(number int) {
-	at := x.attempts[number]
+	current := x.attempts[number]
 	x.mutex.Lock()
-	an := at.answer
+	answer := current.answer
 	x.mutex.Unlock()
 	job := carobjobid.ID{Call: x.call, Attempt: number}
-	x.caller.Answer(an, at.cancel, func(kind carobkind.Kind, kept *carobkept.Kept) {
-		at.cancel()
+	x.responder.Answer(answer, current.cancel, func(kind carobkind.Kind, stored *carobkept.Kept) {
+		current.cancel()
 		x.upload.Release()
 		x.exchanges.config.Mailbox.Post(func(in *carobinbox.Inbox) {
-			in.Deliveries = append(in.Deliveries, carobdelivery.Delivery{Job: job, Kind: kind, Kept: kept})
+			in.Deliveries = append(in.Deliveries, carobdelivery.Delivery{Job: job, Kind: kind, Kept: stored})
 		})
 	})
 }
--- a/internal/carobexchange/exchanges.go
+++ b/internal/carobexchange/exchanges.go
@@ -1,6 +1,6 @@
-// Package carobexchange carries out what the control goroutine decides on calls:
-// it sends their attempts, holds the answers, and has the caller told the end.
-// How callers are spoken to is the front end's matter.
+// Package carobexchange carries out the decisions of the control goroutine on
+// calls: it sends their attempts, holds the answers, and sends the result to the
+// caller. The front ends receive the calls and encode the results.
 package carobexchange
 
 import (
@@ -25,76 +25,84 @@
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
 
-// relay carries an attempt to a target's node.
+// relay sends an attempt to a target's node and returns the answer and the
+// target's load report.
 type relay interface {
-	Do(cx context.Context, sd carobsend.Send, rq *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error)
+	Do(ctx context.Context, send carobsend.Send, req *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error)
 }
 
-// caller is told the end of its call, by exactly one of the methods.
-type caller interface {
-	// Answer passes an answer on. abandon gives the answer up; over is called once
-	// the answer was passed on or given up.
-	Answer(an *carobanswer.Answer, abandon func(), over func(kind carobkind.Kind, kept *carobkept.Kept))
-	// Repeat passes on the answer to an earlier call with the same key.
-	Repeat(kept *carobkept.Kept)
-	// Refuse tells an error. A caller may try again after a time, unless it is 0.
+// responder sends the result of a call to its caller. Exactly one of its methods
+// is called.
+type responder interface {
+	// Answer streams an answer to the caller. The responder calls abandon if the
+	// caller disconnects, and done once the answer was sent or abandoned. The kind
+	// is None if the whole answer was sent. stored is the answer to be stored for
+	// the call's idempotency key; nil if it is not to be stored.
+	Answer(answer *carobanswer.Answer, abandon func(), done func(kind carobkind.Kind, stored *carobkept.Kept))
+	// Repeat sends the answer that is stored for the call's idempotency key.
+	Repeat(stored *carobkept.Kept)
+	// Refuse sends an error. after is the delay after which the caller may retry; if
+	// it is 0, the delay of the kind applies.
 	Refuse(kind carobkind.Kind, after time.Duration, detail string)
 }
 
-// Config is how exchanges are made.
+// Config holds the parameters of Exchanges.
 type Config struct {
 	Mailbox *carobmailbox.Mailbox
 	Relay   relay
-	// Gather is the longest answer that is read to its end before its call is told
-	// to have one; 0 if all are passed on as they come.
+	// Gather is the size in bytes up to which an answer is read completely before
+	// the control goroutine learns of it, so that an answer that is cut off can
+	// still be retried. 0 means that every answer is streamed.
 	Gather carobsize.Size
 }
 
-// Exchanges are the calls in traffic.
+// Exchanges holds the calls that traffic goroutines are carrying out.
 type Exchanges struct {
 	config     Config
 	dispatcher *carobdispatcher.Dispatcher[carobcallid.ID, order]
 }
 
-// order is what the control goroutine decided on a call. One field is set.
+// order is a decision of the control goroutine on a call. Exactly one field is
+// set.
 type order struct {
 	send       *carobsend.Send
 	conclusion *carobconclusion.Conclusion
-	// cancel is the attempt to give up.
+	// cancel is the number of the attempt to cancel; 0 if the order is another.
 	cancel int
 }
 
-// NewExchanges returns exchanges without calls.
+// NewExchanges returns Exchanges without calls.
 func NewExchanges(c Config) *Exchanges {
 	return &Exchanges{config: c, dispatcher: carobdispatcher.NewDispatcher[carobcallid.ID, order]()}
 }
 
-// Carry passes on what the control goroutine decided.
+// Carry forwards the effects of a tick to the goroutines of the calls.
 func (e *Exchanges) Carry(out *caroboutbox.Outbox) {
-	for _, sd := range out.Sends {
-		e.dispatcher.Give(sd.Job.Call, order{send: &sd})
+	for _, send := range out.Sends {
+		e.dispatcher.Give(send.Job.Call, order{send: &send})
 	}
 	for _, job := range out.Cancels {
 		e.dispatcher.Give(job.Call, order{cancel: job.Attempt})
 	}
-	for _, cn := range out.Conclusions {
-		e.dispatcher.Give(cn.Call, order{conclusion: &cn})
+	for _, conclusion := range out.Conclusions {
+		e.dispatcher.Give(conclusion.Call, order{conclusion: &conclusion})
 	}
 }
 
-// Run takes a call through to its end. The request's header goes with every
-// attempt, and the upload is its body.
-func (e *Exchanges) Run(ar carobarrival.Arrival, rq *fasthttp.Request, upload *carobupload.Upload, cr caller) {
-	orders := e.dispatcher.Open(ar.Call)
-	defer e.dispatcher.Close(ar.Call)
-	e.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Arrivals = append(in.Arrivals, ar) })
+// Run reports a call to the control goroutine and carries it out until its result
+// was sent. Every attempt has the header of req and the body of upload.
+func (e *Exchanges) Run(arrival carobarrival.Arrival, req *fasthttp.Request, upload *carobupload.Upload, responder responder) {
+	orders := e.dispatcher.Open(arrival.Call)
+	defer e.dispatcher.Close(arrival.Call)
+	e.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Arrivals = append(in.Arrivals, arrival) })
 	x := &exchange{
-		exchanges: e, call: ar.Call, request: rq, upload: upload, caller: cr, attempts: map[int]*attempt{},
+		exchanges: e, call: arrival.Call, request: req, upload: upload, responder: responder, attempts: map[int]*attempt{},
 	}
-	x.follow(orders)
+	x.run(orders)
 }
 
-// HangUp gives up a call whose caller is gone.
+// HangUp reports to the control goroutine that the caller of a call has
+// disconnected.
 func (e *Exchanges) HangUp(call carobcallid.ID) {
 	e.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Hangups = append(in.Hangups, call) })
 }
--- a/internal/carobupload/upload.go
+++ b/internal/carobupload/upload.go
@@ -1,9 +1,9 @@
-// Package carobupload holds the body of a call on its way to a target.
+// Package carobupload holds the body of a call while it is sent to a target.
 //
-// A short body is kept whole, so that every attempt at the call can send it. A
-// long one is streamed: it can be read once only, by the attempt that first
-// asks for its bytes, and an attempt that was refused before has used nothing
-// up.
+// A short body is buffered, so that every attempt of the call can send it. A long
+// body is streamed and can be read only once, by the attempt that reads from it
+// first. An attempt that is refused before it reads leaves the body to the next
+// attempt.
 package carobupload
 
 import (
@@ -22,96 +22,101 @@
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
 
-// deadliner bounds reads of the connection that a body comes from.
-type deadliner interface {
+// deadlineSetter limits reads of the connection that a body is received on.
+type deadlineSetter interface {
 	SetReadDeadline(at time.Time) error
 }
 
-// Config is how an upload is made.
+// Config holds the parameters of an Upload.
 type Config struct {
-	// Stream gives the body or an error; nil if Whole is the body.
+	// Stream returns the body, or an error if it is cut off. If it is nil, Whole is
+	// the body.
 	Stream io.Reader
-	// Whole is the body if the HTTP library has read it already.
+	// Whole is the body if the HTTP library has already read it.
 	Whole []byte
-	// Length is the length of the body; negative if it is not known.
+	// Length is the length of the body in bytes; negative if it is unknown.
 	Length int
-	// Keep is the longest body that is kept for another attempt.
+	// Keep is the maximum size of a body that is buffered for further attempts.
 	Keep carobsize.Size
-	// Limit is the longest body; 0 if there is no limit.
+	// Limit is the maximum size of a body; 0 means no limit.
 	Limit carobsize.Size
-	// Conn is what Stream reads from.
-	Conn  deadliner
+	// Conn is the connection that Stream reads from.
+	Conn  deadlineSetter
 	Timer *carobtimer.Timer
-	// Stall is how long the sender may send nothing.
+	// Stall is the maximum time that each read may wait for the sender.
 	Stall time.Duration
 }
 
 // Upload is the body of one call.
 type Upload struct {
 	config Config
-	// kept is the whole body if it is not streamed.
-	kept     []byte
+	// buffered is the whole body if it is not streamed.
+	buffered []byte
 	streamed bool
-	// rest is what was read ahead, and then the stream.
-	rest io.Reader
-	// seen is the number of bytes that came so far.
-	seen carobsize.Size
-	// claimed says that an attempt has begun to read a streamed body.
+	// unread returns the streamed body: first the bytes that readBuffered has read,
+	// then the rest of the stream.
+	unread io.Reader
+	// received is the number of bytes received so far.
+	received carobsize.Size
+	// claimed is true once an attempt has begun to read a streamed body.
 	claimed atomic.Bool
-	// busy is held by whoever reads from the stream.
-	busy sync.Mutex
-	// reading says that a read of the stream is under way.
+	// readMutex is held while the stream is read.
+	readMutex sync.Mutex
+	// reading is true while a read of the stream is in progress.
 	reading atomic.Bool
-	// released says that the stream must not be read any more.
+	// released is true once the stream must not be read any more.
 	released atomic.Bool
-	// fault is what the sender did wrong while its body was streamed. It is
-	// guarded by busy.
-	fault error
+	// senderErr is the first error of the sender while its body was read, such as a
+	// stall. It is guarded by readMutex.
+	senderErr error
 }
 
-// past is a deadline that has passed.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline in the past, which ends a read at once.
+var pastDeadline = time.Unix(1, 0)
 
-// NewUpload reads a body that is to be kept, or as much of one of unknown length
-// as shows that it is too long for that.
+// NewUpload reads the body if it is to be buffered. Of a body of unknown length
+// it reads at most one byte more than Config.Keep, to find out whether it has to
+// be streamed. The error has kind TooLarge, RequestTimeout or Invalid.
 func NewUpload(c Config) (*Upload, error) {
 	u := &Upload{config: c}
 	switch {
 	case c.Limit > 0 && carobsize.Size(c.Length) > c.Limit:
 		return nil, tooLarge(c.Limit)
 	case c.Stream == nil:
-		u.kept = c.Whole
+		u.buffered = c.Whole
 		return u, nil
 	case carobsize.Size(c.Length) > c.Keep:
-		u.streamed, u.rest = true, c.Stream
+		u.streamed, u.unread = true, c.Stream
 		return u, nil
 	default:
-		return u, u.readAhead()
+		return u, u.readBuffered()
 	}
 }
 
-func (u *Upload) readAhead() error {
+// readBuffered reads a body of at most Config.Keep bytes, or the beginning of a
+// longer one of unknown length.
+func (u *Upload) readBuffered() error {
 	if u.config.Length >= 0 {
-		u.kept = make([]byte, u.config.Length)
-		if _, err := io.ReadFull(u.source(), u.kept); err != nil {
-			return senderFault(err)
+		u.buffered = make([]byte, u.config.Length)
+		if _, err := io.ReadFull(u.timedStream(), u.buffered); err != nil {
+			return senderError(err)
 		}
 		return nil
 	}
-	ahead, err := io.ReadAll(io.LimitReader(u.source(), int64(u.config.Keep)+1))
+	ahead, err := io.ReadAll(io.LimitReader(u.timedStream(), int64(u.config.Keep)+1))
 	if err != nil {
-		return senderFault(err)
+		return senderError(err)
 	}
 	if carobsize.Size(len(ahead)) <= u.config.Keep {
-		u.kept = ahead
+		u.buffered = ahead
 		return nil
 	}
-	u.streamed, u.rest = true, io.MultiReader(bytes.NewReader(ahead), u.config.Stream)
-	u.seen = 0
+	u.streamed, u.unread = true, io.MultiReader(bytes.NewReader(ahead), u.config.Stream)
+	u.received = 0
 	return nil
 }
 
-// Streamed reports whether the body is too long to be kept.
+// Streamed reports whether the body is too long to be buffered.
 func (u *Upload) Streamed() bool {
 	return u.streamed
 }
@@ -121,96 +126,102 @@
 	return u.streamed && (u.claimed.Load() || u.released.Load())
 }
 
-// Attach makes the body that of an attempt's request.
-func (u *Upload) Attach(rq *fasthttp.Request) error {
+// Attach sets the body of an attempt's request. The error has kind NotResendable
+// if the body was already streamed to another attempt.
+func (u *Upload) Attach(req *fasthttp.Request) error {
 	switch {
 	case u.Spent():
-		return carobkind.New(carobkind.Spent, "the body was sent already and is too long to be kept")
+		return carobkind.New(carobkind.Spent, "the body was already sent and is too long to be buffered")
 	case u.streamed:
-		rq.SetBodyStream(&claim{upload: u}, u.config.Length)
-	case u.config.Stream != nil || len(u.kept) > 0:
-		rq.SetBodyRaw(u.kept)
-		rq.Header.SetContentLength(len(u.kept))
+		req.SetBodyStream(&attemptBody{upload: u}, u.config.Length)
+	case u.config.Stream != nil || len(u.buffered) > 0:
+		req.SetBodyRaw(u.buffered)
+		req.Header.SetContentLength(len(u.buffered))
 	}
 	return nil
 }
 
-// Release ends all reading of the stream, and returns when none is under way.
-// It must be called before the connection is used for anything else.
+// Release ends all reads of the stream, and returns when none is in progress. It
+// must be called before the connection is used for anything else.
 func (u *Upload) Release() {
 	if !u.streamed || u.released.Swap(true) {
 		return
 	}
 	if u.reading.Load() {
-		_ = u.config.Conn.SetReadDeadline(past)
+		_ = u.config.Conn.SetReadDeadline(pastDeadline)
 	}
-	u.busy.Lock()
-	u.busy.Unlock() //nolint:staticcheck // taken only to wait for the reader
+	u.readMutex.Lock()
+	u.readMutex.Unlock() //nolint:staticcheck // taken only to wait for the reader
 }
 
-// source reads the stream with a deadline for each read.
-func (u *Upload) source() io.Reader {
-	return reader(func(into []byte) (int, error) {
-		return u.read(u.config.Stream, into)
+// timedStream returns the stream with a deadline for each read.
+func (u *Upload) timedStream() io.Reader {
+	return readerFunc(func(buf []byte) (int, error) {
+		return u.read(u.config.Stream, buf)
 	})
 }
 
-func (u *Upload) read(from io.Reader, into []byte) (int, error) {
-	u.busy.Lock()
-	defer u.busy.Unlock()
+// read reads from stream with a deadline, counts the bytes, and records an error
+// of the sender. It returns os.ErrClosed after Release.
+func (u *Upload) read(stream io.Reader, buf []byte) (int, error) {
+	u.readMutex.Lock()
+	defer u.readMutex.Unlock()
 	_ = u.config.Conn.SetReadDeadline(u.config.Timer.Wall().Add(u.config.Stall))
 	u.reading.Store(true)
 	defer u.reading.Store(false)
 	if u.released.Load() {
 		return 0, os.ErrClosed
 	}
-	n, err := from.Read(into)
-	u.seen += carobsize.Size(n)
-	if u.config.Limit > 0 && u.seen > u.config.Limit {
+	n, err := stream.Read(buf)
+	u.received += carobsize.Size(n)
+	if u.config.Limit > 0 && u.received > u.config.Limit {
 		n, err = 0, tooLarge(u.config.Limit)
 	}
-	if err != nil && err != io.EOF && u.fault == nil && !u.released.Load() { //nolint:errorlint // readers return io.EOF itself
-		u.fault = senderFault(err)
+	if err != nil && err != io.EOF && u.senderErr == nil && !u.released.Load() { //nolint:errorlint // readers return io.EOF itself
+		u.senderErr = senderError(err)
 	}
 	return n, err
 }
 
-// Fault returns what the sender did wrong with its body, or nil.
+// Fault returns the first error of the sender while its body was read, such as a
+// stall or a body above the limit; nil if there was none.
 func (u *Upload) Fault() error {
-	u.busy.Lock()
-	defer u.busy.Unlock()
-	return u.fault
+	u.readMutex.Lock()
+	defer u.readMutex.Unlock()
+	return u.senderErr
 }
 
-// claim is a streamed body in the hands of one attempt.
-type claim struct {
+// attemptBody is a streamed body as one attempt reads it.
+type attemptBody struct {
 	upload *Upload
-	mine   bool
+	owner  bool
 }
 
-// Read reads on, if no other attempt has begun before.
-func (c *claim) Read(into []byte) (int, error) {
-	if !c.mine {
-		if !c.upload.claimed.CompareAndSwap(false, true) {
+// Read reads from the stream. The error has kind NotResendable if another attempt
+// has begun to read the body.
+func (b *attemptBody) Read(buf []byte) (int, error) {
+	if !b.owner {
+		if !b.upload.claimed.CompareAndSwap(false, true) {
 			return 0, carobkind.New(carobkind.Spent, "the body is being sent by another attempt")
 		}
-		c.mine = true
+		b.owner = true
 	}
-	return c.upload.read(c.upload.rest, into)
+	return b.upload.read(b.upload.unread, buf)
 }
 
-type reader func(into []byte) (int, error)
+// readerFunc is a function that implements io.Reader.
+type readerFunc func(buf []byte) (int, error)
 
-func (r reader) Read(into []byte) (int, error) {
-	return r(into)
+func (r readerFunc) Read(buf []byte) (int, error) {
+	return r(buf)
 }
 
 func tooLarge(limit carobsize.Size) error {
 	return carobkind.New(carobkind.TooLarge, "the body is longer than the limit of %s", limit)
 }
 
-// senderFault gives an error of the sender its kind.
-func senderFault(err error) error {
+// senderError returns an error of reading the body with its kind.
+func senderError(err error) error {
 	switch {
 	case carobkind.Of(err) == carobkind.TooLarge:
 		return err
--- a/internal/carobupload/upload_test.go
+++ b/internal/carobupload/upload_test.go
@@ -14,13 +14,14 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
+// newUpload returns an upload that buffers up to 10 bytes and accepts up to 100.
 func newUpload(t *testing.T, body string, length int, change func(c *Config)) (*Upload, error) {
 	t.Helper()
-	near, far := net.Pipe()
-	t.Cleanup(func() { _, _ = near.Close(), far.Close() })
+	serverConn, clientConn := net.Pipe()
+	t.Cleanup(func() { _, _ = serverConn.Close(), clientConn.Close() })
 	c := Config{
 		Stream: strings.NewReader(body), Length: length, Keep: 10, Limit: 100,
-		Conn: near, Timer: carobtimer.NewTimer(), Stall: time.Minute,
+		Conn: serverConn, Timer: carobtimer.NewTimer(), Stall: time.Minute,
 	}
 	if change != nil {
 		change(&c)
@@ -28,32 +29,35 @@
 	return NewUpload(c)
 }
 
+// read returns the body as one attempt sends it.
 func read(t *testing.T, u *Upload) (string, error) {
 	t.Helper()
-	rq := &fasthttp.Request{}
-	if err := u.Attach(rq); err != nil {
+	req := &fasthttp.Request{}
+	if err := u.Attach(req); err != nil {
 		return "", err
 	}
-	if !rq.IsBodyStream() {
-		return string(rq.Body()), nil
+	if !req.IsBodyStream() {
+		return string(req.Body()), nil
 	}
-	data, err := io.ReadAll(rq.BodyStream())
+	data, err := io.ReadAll(req.BodyStream())
 	return string(data), err
 }
 
-func TestKeptOrStreamed(t *testing.T) {
+// A body that is buffered too eagerly takes memory without bound; one that is
+// streamed too early costs the call its retries.
+func TestShortBodyIsBufferedAndLongBodyIsStreamed(t *testing.T) {
 	for name, c := range map[string]struct {
 		body     string
 		length   int
 		streamed bool
 	}{
-		"empty":                 {"", 0, false},
-		"as long as kept":       {"0123456789", 10, false},
-		"longer":                {"0123456789a", 11, true},
-		"chunks, empty":         {"", -1, false},
-		"chunks, as long":       {"0123456789", -1, false},
-		"chunks, longer by one": {"0123456789a", -1, true},
-		"chunks, much longer":   {strings.Repeat("x", 100), -1, true},
+		"empty":                    {"", 0, false},
+		"at the limit":             {"0123456789", 10, false},
+		"longer":                   {"0123456789a", 11, true},
+		"chunked, empty":           {"", -1, false},
+		"chunked, at the limit":    {"0123456789", -1, false},
+		"chunked, one byte longer": {"0123456789a", -1, true},
+		"chunked, much longer":     {strings.Repeat("x", 100), -1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			u, err := newUpload(t, c.body, c.length, nil)
@@ -74,14 +78,16 @@
 	}
 }
 
-func TestFaultsOfTheSender(t *testing.T) {
+// A body that is cut off or exceeds the limit must not reach a target as if it
+// were complete.
+func TestIncompleteOrTooLongBodyIsReported(t *testing.T) {
 	for name, c := range map[string]struct {
 		body   string
 		length int
 		kind   carobkind.Kind
 	}{
-		"shorter than said": {"012", 5, carobkind.Invalid},
-		"length too large":  {"", 101, carobkind.TooLarge},
+		"shorter than its length": {"012", 5, carobkind.Invalid},
+		"length too large":        {"", 101, carobkind.TooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := newUpload(t, c.body, c.length, nil)
@@ -91,14 +97,14 @@
 	u, err := newUpload(t, strings.Repeat("x", 101), -1, nil)
 	require.NoError(t, err)
 	_, err = read(t, u)
-	require.Error(t, err, "chunks beyond the limit must not pass as a whole body")
+	require.Error(t, err, "a chunked body above the limit must not pass as complete")
 	require.Equal(t, carobkind.TooLarge, carobkind.Of(u.Fault()))
 	require.ErrorContains(t, u.Fault(), "100 B")
 }
 
-// Of two attempts that have a streamed body, one gets all of it and the other
-// none.
-func TestOneReader(t *testing.T) {
+// If two attempts read from one stream, each would send parts of the body. The
+// first to read gets all of it, and the other an error.
+func TestStreamedBodyIsReadByOneAttempt(t *testing.T) {
 	u, err := newUpload(t, strings.Repeat("x", 50), 50, nil)
 	require.NoError(t, err)
 	first, second := &fasthttp.Request{}, &fasthttp.Request{}
@@ -108,38 +114,40 @@
 	require.NoError(t, err)
 	_, err = second.BodyStream().Read(make([]byte, 10))
 	require.Equal(t, carobkind.Spent, carobkind.Of(err))
-	rest, err := io.ReadAll(first.BodyStream())
+	remaining, err := io.ReadAll(first.BodyStream())
 	require.NoError(t, err)
-	require.Len(t, rest, 40)
+	require.Len(t, remaining, 40)
 }
 
-// Release ends a read that waits for the sender.
-func TestRelease(t *testing.T) {
-	near, far := net.Pipe()
-	defer func() { _, _ = near.Close(), far.Close() }()
-	u, err := newUpload(t, "", 50, func(c *Config) { c.Stream, c.Conn = near, near })
+// If Release waited for a sender that sends nothing, the caller would not get its
+// answer.
+func TestReleaseEndsPendingRead(t *testing.T) {
+	serverConn, clientConn := net.Pipe()
+	defer func() { _, _ = serverConn.Close(), clientConn.Close() }()
+	u, err := newUpload(t, "", 50, func(c *Config) { c.Stream, c.Conn = serverConn, serverConn })
 	require.NoError(t, err)
-	rq := &fasthttp.Request{}
-	require.NoError(t, u.Attach(rq))
+	req := &fasthttp.Request{}
+	require.NoError(t, u.Attach(req))
 	ended := make(chan error, 1)
 	go func() {
-		_, err := rq.BodyStream().Read(make([]byte, 10))
+		_, err := req.BodyStream().Read(make([]byte, 10))
 		ended <- err
 	}()
 	require.Eventually(t, u.reading.Load, 5*time.Second, time.Millisecond)
 	u.Release()
 	require.Error(t, <-ended)
-	_, err = rq.BodyStream().Read(make([]byte, 10))
-	require.Error(t, err, "nothing is read after the release")
-	require.Equal(t, carobkind.Spent, carobkind.Of(u.Attach(rq)))
+	_, err = req.BodyStream().Read(make([]byte, 10))
+	require.Error(t, err, "nothing must be read after Release")
+	require.Equal(t, carobkind.Spent, carobkind.Of(u.Attach(req)))
 }
 
-// A sender that stands still is cut off, and told so.
-func TestStall(t *testing.T) {
-	near, far := net.Pipe()
-	defer func() { _, _ = near.Close(), far.Close() }()
+// A sender that stalls must not hold the call, and its error has to say that it
+// was too slow.
+func TestStalledSenderTimesOut(t *testing.T) {
+	serverConn, clientConn := net.Pipe()
+	defer func() { _, _ = serverConn.Close(), clientConn.Close() }()
 	_, err := newUpload(t, "", 5, func(c *Config) {
-		c.Stream, c.Conn, c.Stall = near, near, 10*time.Millisecond
+		c.Stream, c.Conn, c.Stall = serverConn, serverConn, 10*time.Millisecond
 	})
 	require.Equal(t, carobkind.Slow, carobkind.Of(err))
 }
