--- a/internal/carobheader/check.go
+++ b/internal/carobheader/check.go
@@ -9,81 +9,83 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Check refuses requests that two readers could understand in two ways, so that
-// a second request might be hidden in the first. It looks at the bytes as they
-// came, since the library forgives some of this and forgets what it forgave.
-func Check(hd *fasthttp.RequestHeader) error {
-	if err := checkLine(hd); err != nil {
+// Check rejects requests that two parsers could understand differently, so that a
+// second request might be smuggled inside the first. It checks the bytes as they
+// were received, because the library accepts some malformed headers and
+// normalises them. The error has kind Invalid.
+func Check(header *fasthttp.RequestHeader) error {
+	if err := checkRequestLine(header); err != nil {
 		return err
 	}
-	seen := map[string]int{}
-	for line := range bytes.SplitSeq(hd.RawHeaders(), []byte("\n")) {
+	counts := map[string]int{}
+	for line := range bytes.SplitSeq(header.RawHeaders(), []byte("\n")) {
 		if len(line) == 0 || string(line) == "\r" {
 			continue
 		}
-		if err := checkField(line, seen); err != nil {
+		if err := checkField(line, counts); err != nil {
 			return err
 		}
 	}
 	switch {
-	case seen["host"] != 1:
-		return carobkind.New(carobkind.Invalid, "a request must have one Host header")
-	case seen["content-length"] > 1:
-		return carobkind.New(carobkind.Invalid, "a request must not have two lengths")
-	case seen["content-length"] > 0 && seen["transfer-encoding"] > 0:
-		return carobkind.New(carobkind.Invalid, "a request must not have both a length and a transfer encoding")
+	case counts["host"] != 1:
+		return carobkind.New(carobkind.Invalid, "a request must have exactly one Host header")
+	case counts["content-length"] > 1:
+		return carobkind.New(carobkind.Invalid, "a request must not have more than one Content-Length header")
+	case counts["content-length"] > 0 && counts["transfer-encoding"] > 0:
+		return carobkind.New(carobkind.Invalid, "a request must not have both Content-Length and Transfer-Encoding")
 	default:
 		return nil
 	}
 }
 
-// checkLine checks the request line.
-func checkLine(hd *fasthttp.RequestHeader) error {
-	uri := hd.RequestURI()
+// checkRequestLine checks the protocol, the method and the path.
+func checkRequestLine(header *fasthttp.RequestHeader) error {
+	uri := header.RequestURI()
 	switch {
-	case string(hd.Protocol()) != "HTTP/1.1":
-		return carobkind.New(carobkind.Invalid, "calls are made in HTTP/1.1")
-	case hd.IsConnect():
-		return carobkind.New(carobkind.Invalid, "CONNECT is not served")
-	case !bytes.HasPrefix(uri, []byte("/")) && (!hd.IsOptions() || string(uri) != "*"):
-		return carobkind.New(carobkind.Invalid, "the request's path must begin with a slash")
+	case string(header.Protocol()) != "HTTP/1.1":
+		return carobkind.New(carobkind.Invalid, "the protocol must be HTTP/1.1")
+	case header.IsConnect():
+		return carobkind.New(carobkind.Invalid, "the method CONNECT is not supported")
+	case !bytes.HasPrefix(uri, []byte("/")) && (!header.IsOptions() || string(uri) != "*"):
+		return carobkind.New(carobkind.Invalid, "the path must begin with a slash")
 	case bytes.ContainsFunc(uri, isControl) || bytes.ContainsAny(uri, " #"):
-		return carobkind.New(carobkind.Invalid, "the request's path has bytes that must be escaped")
+		return carobkind.New(carobkind.Invalid, "the path has characters that must be escaped")
 	default:
 		return nil
 	}
 }
 
-// checkField checks one line of the header, and counts the fields that must not
-// come twice.
-func checkField(line []byte, seen map[string]int) error {
-	text, ended := bytes.CutSuffix(line, []byte("\r"))
-	name, value, found := bytes.Cut(text, []byte(":"))
+// checkField checks one line of the header. It counts the fields that must not be
+// repeated in counts, by name in lower case.
+func checkField(line []byte, counts map[string]int) error {
+	field, ended := bytes.CutSuffix(line, []byte("\r"))
+	name, value, found := bytes.Cut(field, []byte(":"))
 	switch {
 	case !ended || !found || len(name) == 0:
 		return carobkind.New(carobkind.Invalid, "a header line is malformed")
 	case bytes.ContainsFunc(name, isNotToken):
-		return carobkind.New(carobkind.Invalid, "a header's name has bytes that names must not have")
+		return carobkind.New(carobkind.Invalid, "a header name has invalid characters")
 	case bytes.ContainsFunc(value, isControl):
-		return carobkind.New(carobkind.Invalid, "a header's value has control bytes")
+		return carobkind.New(carobkind.Invalid, "a header value has control characters")
 	}
-	return checkValue(strings.ToLower(string(name)), string(bytes.TrimSpace(value)), seen)
+	return checkValue(strings.ToLower(string(name)), string(bytes.TrimSpace(value)), counts)
 }
 
-// checkValue checks the fields that say where a request ends and where it goes.
-func checkValue(name, value string, seen map[string]int) error {
+// checkValue checks the fields that determine where a request ends and where it
+// is sent.
+func checkValue(name, value string, counts map[string]int) error {
 	switch name {
 	case "host":
-		seen[name]++
+		counts[name]++
 	case "content-length":
-		seen[name]++
+		counts[name]++
 		if value == "" || strings.ContainsFunc(value, isNotDigit) {
-			return carobkind.New(carobkind.Invalid, "the length is not a number")
+			return carobkind.New(carobkind.Invalid, "Content-Length is not a number")
 		}
 	case "transfer-encoding":
-		seen[name]++
+		counts[name]++
 		if !strings.EqualFold(value, "chunked") {
-			return carobkind.New(carobkind.Invalid, "the transfer encoding is not \"chunked\"")
+			return carobkind.New(carobkind.Invalid, "Transfer-Encoding is not \"chunked\"")
 		}
 	case "connection":
 		return checkConnection(value)
@@ -91,12 +93,12 @@
 	return nil
 }
 
-// checkConnection refuses a Connection header that would have a needed header
-// removed on the way.
+// checkConnection rejects a Connection header that would make a proxy remove a
+// header that is needed, such as Host or Content-Length.
 func checkConnection(value string) error {
 	for option := range strings.SplitSeq(value, ",") {
-		if option = strings.TrimSpace(option); protected(option) || IsReserved(option) {
-			return carobkind.New(carobkind.Invalid, "the Connection header names a header that belongs to the request")
+		if option = strings.TrimSpace(option); isProtected(option) || IsReserved(option) {
+			return carobkind.New(carobkind.Invalid, "the Connection header names a header that must not be removed")
 		}
 	}
 	return nil
--- a/internal/carobheader/header.go
+++ b/internal/carobheader/header.go
@@ -1,16 +1,17 @@
-// Package carobheader has the names of the headers that the system reads and
-// writes.
+// Package carobheader defines the headers of the system, encodes the structured
+// ones, and checks and cleans the headers of requests and answers.
 package carobheader
 
 // Headers between callers, nodes and targets.
 const (
-	// Deadline is the time left, in milliseconds.
+	// Deadline is the time left until the deadline, in milliseconds.
 	Deadline = "Carobknot-Deadline"
-	// Outcome is what became of the call.
+	// Outcome tells whether the call was answered, did not run, or has an unknown
+	// outcome.
 	Outcome = "Carobknot-Outcome"
-	// Call is the call's id.
+	// Call is the call ID.
 	Call = "Carobknot-Call"
-	// Kind is the kind of an error.
+	// Kind is the error kind. It is absent if there is no error.
 	Kind = "Carobknot-Kind"
 	// Key is the caller's idempotency key.
 	Key = "Idempotency-Key"
@@ -18,13 +19,13 @@
 	Trace = "Traceparent"
 )
 
-// Headers between nodes only. Callers can not set them.
+// Headers between nodes. Callers and targets cannot set them.
 const (
-	// Offer is what a target's node needs to know of an attempt.
+	// Offer describes an attempt to the target's node. FormatOffer encodes it.
 	Offer = "Carobknot-Offer"
-	// Report is the load of the target.
+	// Report is the target's load. FormatReport encodes it.
 	Report = "Carobknot-Report"
 )
 
-// Prefix starts all headers that are reserved to the system.
+// Prefix is the prefix of all headers that are reserved for the system.
 const Prefix = "Carobknot-"
--- a/internal/carobheader/hop.go
+++ b/internal/carobheader/hop.go
@@ -7,82 +7,82 @@
 	"github.com/valyala/fasthttp"
 )
 
-// hopByHop are the headers that belong to one connection and are not passed on.
-// Expect is among them since each hop decides by itself when a body goes.
+// hopByHop lists the headers that concern one connection and are not forwarded.
+// Expect is among them, because each node decides by itself when a body is sent.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Upgrade", "Expect", "Http2-Settings",
 }
 
-// fields is what requests and answers have in common.
-type fields interface {
+// headerFields is implemented by the headers of requests and responses.
+type headerFields interface {
 	All() iter.Seq2[[]byte, []byte]
 	Del(key string)
 }
 
-// CleanRequest removes from a request what belongs to one connection or to the
-// system.
-func CleanRequest(hd *fasthttp.RequestHeader) {
-	clean(hd)
+// CleanRequest removes the headers that concern one connection and those that are
+// reserved for the system.
+func CleanRequest(header *fasthttp.RequestHeader) {
+	clean(header)
 }
 
-// CleanResponse removes from an answer what belongs to one connection or to the
-// system.
-func CleanResponse(hd *fasthttp.ResponseHeader) {
-	clean(hd)
+// CleanResponse removes the headers that concern one connection and those that
+// are reserved for the system.
+func CleanResponse(header *fasthttp.ResponseHeader) {
+	clean(header)
 }
 
-// clean runs several times for each call, so that it makes a string only of what
-// is there to be removed.
-func clean(hd fields) {
-	var unwanted []string
-	for key, value := range hd.All() {
+// clean runs several times for each call, so that it allocates strings only for
+// the headers that it removes.
+func clean(header headerFields) {
+	var removed []string
+	for key, value := range header.All() {
 		if !isReserved(key) && !isHopByHop(key) {
 			continue
 		}
-		unwanted = append(unwanted, string(key))
-		if equal(key, fasthttp.HeaderConnection) {
-			unwanted = append(unwanted, named(string(value))...)
+		removed = append(removed, string(key))
+		if equalName(key, fasthttp.HeaderConnection) {
+			removed = append(removed, connectionOptions(string(value))...)
 		}
 	}
-	for _, name := range unwanted {
-		hd.Del(name)
+	for _, name := range removed {
+		header.Del(name)
 	}
-	// These two the library keeps apart from the others.
-	hd.Del(fasthttp.HeaderConnection)
-	hd.Del(fasthttp.HeaderTrailer)
+	// The library stores these two separately from the other headers.
+	header.Del(fasthttp.HeaderConnection)
+	header.Del(fasthttp.HeaderTrailer)
 }
 
 func isHopByHop(key []byte) bool {
 	for _, name := range hopByHop {
-		if equal(key, name) {
+		if equalName(key, name) {
 			return true
 		}
 	}
 	return false
 }
 
-// equal compares the names of headers, for which case does not matter.
-func equal(key []byte, name string) bool {
+// equalName compares the names of headers, ignoring case.
+func equalName(key []byte, name string) bool {
 	return len(key) == len(name) && strings.EqualFold(string(key), name)
 }
 
-// named lists the headers that a Connection header names, which belong to the
-// connection too.
-func named(value string) []string {
+// connectionOptions returns the headers that a Connection header names. They
+// concern one connection too.
+func connectionOptions(value string) []string {
 	var names []string
 	for option := range strings.SplitSeq(value, ",") {
 		option = strings.TrimSpace(option)
-		if option != "" && !protected(option) {
+		if option != "" && !isProtected(option) {
 			names = append(names, option)
 		}
 	}
 	return names
 }
 
-// protected reports whether a header is needed for the message itself, so that
-// no Connection header can have it removed.
-func protected(name string) bool {
+// isProtected reports whether a header is needed by the request itself. Naming it
+// in a Connection header does not remove it.
+func isProtected(name string) bool {
 	for _, needed := range []string{"Host", "Content-Length", "Content-Type", "Transfer-Encoding", Key, Trace} {
 		if strings.EqualFold(name, needed) {
 			return true
@@ -91,11 +91,12 @@
 	return false
 }
 
-// IsReserved reports whether a header is the system's own.
+// IsReserved reports whether a header is reserved for the system.
 func IsReserved(key string) bool {
 	return len(key) >= len(Prefix) && strings.EqualFold(key[:len(Prefix)], Prefix)
 }
 
+// isReserved is IsReserved for names that are not strings yet.
 func isReserved(key []byte) bool {
-	return len(key) >= len(Prefix) && equal(key[:len(Prefix)], Prefix)
+	return len(key) >= len(Prefix) && equalName(key[:len(Prefix)], Prefix)
 }
--- a/internal/carobheader/offer.go
+++ b/internal/carobheader/offer.go
@@ -17,74 +17,75 @@
 )
 
 const (
-	base, bits = 36, 64
-	// offerFields is how many there are: call, attempt, target, incarnation,
-	// patience, rank, SLO and the whole of it, how often the call may run, whether it
-	// may move. The caller's name for it comes behind them if there is one.
+	numberBase, numberBits = 36, 64
+	// offerFields is the number of required fields: call, attempt, target,
+	// incarnation, time left, priority, SLO, SLO counted from arrival, execution
+	// guarantee, and whether the call may move to another target. The request ID
+	// follows if there is one.
 	offerFields = 10
 )
 
-// FormatOffer writes what a target's node needs to know of an attempt. All stands
-// in one header, since bytes between data centres are dear. Numbers are in base 36
-// and times in microseconds.
-func FormatOffer(sd carobsend.Send) string {
-	number := func(n int64) string { return strconv.FormatInt(n, base) }
+// FormatOffer encodes the description of an attempt for the target's node. It is
+// a single header to save bytes, because traffic between data centres is
+// expensive. Numbers are in base 36, and durations in microseconds.
+func FormatOffer(send carobsend.Send) string {
+	number := func(n int64) string { return strconv.FormatInt(n, numberBase) }
 	text := strings.Join([]string{
-		sd.Job.Call.String(), number(int64(sd.Job.Attempt)), sd.Target.String(),
-		strconv.FormatUint(uint64(sd.Incarnation), base), number(sd.Patience.Microseconds()),
-		number(int64(sd.Wish.Rank)), number(sd.Wish.Slo.Microseconds()), number(sd.Wish.Whole.Microseconds()),
-		string(sd.Wish.Once), strconv.FormatBool(sd.Wish.Movable)[:1],
+		send.Job.Call.String(), number(int64(send.Job.Attempt)), send.Target.String(),
+		strconv.FormatUint(uint64(send.Incarnation), numberBase), number(send.Patience.Microseconds()),
+		number(int64(send.Wish.Rank)), number(send.Wish.Slo.Microseconds()), number(send.Wish.Whole.Microseconds()),
+		string(send.Wish.Once), strconv.FormatBool(send.Wish.Movable)[:1],
 	}, " ")
-	if sd.Wish.Request == "" {
+	if send.Wish.Request == "" {
 		return text
 	}
-	return text + " " + string(sd.Wish.Request)
+	return text + " " + string(send.Wish.Request)
 }
 
-// ParseOffer reads what FormatOffer writes.
+// ParseOffer decodes what FormatOffer encodes. The error has kind Invalid.
 func ParseOffer(text string) (caroboffer.Offer, error) {
-	var of caroboffer.Offer
+	var offer caroboffer.Offer
 	fields := strings.SplitN(text, " ", offerFields+1)
 	if len(fields) < offerFields {
-		return of, carobkind.New(carobkind.Invalid, "offer: %d fields instead of %d", len(fields), offerFields)
+		return offer, carobkind.New(carobkind.Invalid, "offer: %d fields instead of %d", len(fields), offerFields)
 	}
 	call, err := carobcallid.Parse(fields[0])
 	if err != nil {
-		return of, err
+		return offer, err
 	}
-	if err := of.Target.UnmarshalText([]byte(fields[2])); err != nil {
-		return of, err
+	if err := offer.Target.UnmarshalText([]byte(fields[2])); err != nil {
+		return offer, err
 	}
-	incarnation, err := strconv.ParseUint(fields[3], base, bits)
+	incarnation, err := strconv.ParseUint(fields[3], numberBase, numberBits)
 	if err != nil {
-		return of, carobkind.New(carobkind.Invalid, "offer: incarnation is not a number")
+		return offer, carobkind.New(carobkind.Invalid, "offer: the incarnation is not a number")
 	}
 	var numbers [5]int64
 	for i, field := range []string{fields[1], fields[4], fields[5], fields[6], fields[7]} {
-		if numbers[i], err = strconv.ParseInt(field, base, bits); err != nil {
-			return of, carobkind.New(carobkind.Invalid, "offer: %q is not a number", field)
+		if numbers[i], err = strconv.ParseInt(field, numberBase, numberBits); err != nil {
+			return offer, carobkind.New(carobkind.Invalid, "offer: %q is not a number", field)
 		}
 	}
 	if numbers[0] < 1 {
-		return of, carobkind.New(carobkind.Invalid, "offer: attempt is not above 0")
+		return offer, carobkind.New(carobkind.Invalid, "offer: the attempt must be at least 1")
 	}
 	movable, err := strconv.ParseBool(fields[9])
 	if err != nil {
-		return of, carobkind.New(carobkind.Invalid, "offer: %q is not a truth value", fields[9])
+		return offer, carobkind.New(carobkind.Invalid, "offer: %q is not a boolean", fields[9])
 	}
-	of.Job = carobjobid.ID{Call: call, Attempt: int(numbers[0])}
-	of.Incarnation = carobincarnation.Incarnation(incarnation)
-	of.Patience = micros(numbers[1])
-	of.Wish = carobwish.Wish{
-		Rank: int(numbers[2]), Slo: micros(numbers[3]), Whole: micros(numbers[4]),
+	offer.Job = carobjobid.ID{Call: call, Attempt: int(numbers[0])}
+	offer.Incarnation = carobincarnation.Incarnation(incarnation)
+	offer.Patience = microseconds(numbers[1])
+	offer.Wish = carobwish.Wish{
+		Rank: int(numbers[2]), Slo: microseconds(numbers[3]), Whole: microseconds(numbers[4]),
 		Once: carobonce.Once(fields[8]), Movable: movable,
 	}
 	if len(fields) > offerFields {
-		of.Wish.Request = carobrequestid.ID(fields[offerFields])
+		offer.Wish.Request = carobrequestid.ID(fields[offerFields])
 	}
-	return of, nil
+	return offer, nil
 }
 
-func micros(n int64) time.Duration {
+func microseconds(n int64) time.Duration {
 	return time.Duration(n) * time.Microsecond
 }
--- a/internal/carobheader/offer_test.go
+++ b/internal/carobheader/offer_test.go
@@ -17,7 +17,7 @@
 	"github.com/carobknot/carobknot/pkg/carobwish"
 )
 
-func sample(request carobrequestid.ID) carobsend.Send {
+func testSend(request carobrequestid.ID) carobsend.Send {
 	return carobsend.Send{
 		Job:    carobjobid.ID{Call: carobcallid.ID{Node: "there", Incarnation: 1 << 60, Sequence: 77}, Attempt: 3},
 		Target: carobtargetid.ID{Service: "lookups", Name: "i-1"}, Incarnation: 1 << 61, Patience: 1500 * time.Millisecond,
@@ -27,32 +27,36 @@
 	}
 }
 
-func TestOfferSurvivesTheWire(t *testing.T) {
+// A field that is lost or swapped between the nodes makes the target's node run
+// the attempt with wrong deadlines, priority or guarantees.
+func TestParseOfferInvertsFormatOffer(t *testing.T) {
 	for _, request := range []carobrequestid.ID{"", "r1", "with some spaces"} {
-		sd := sample(request)
-		// Spaces at the ends of a header's value do not arrive.
-		text := carobheader.FormatOffer(sd)
+		send := testSend(request)
+		// Spaces at the ends of a header value are lost in transit.
+		text := carobheader.FormatOffer(send)
 		require.Equal(t, strings.TrimSpace(text), text)
-		of, err := carobheader.ParseOffer(text)
+		offer, err := carobheader.ParseOffer(text)
 		require.NoError(t, err)
-		require.Equal(t, sd.Job, of.Job)
-		require.Equal(t, sd.Target, of.Target)
-		require.Equal(t, sd.Incarnation, of.Incarnation)
-		require.Equal(t, sd.Patience, of.Patience)
-		require.Equal(t, sd.Wish, of.Wish)
+		require.Equal(t, send.Job, offer.Job)
+		require.Equal(t, send.Target, offer.Target)
+		require.Equal(t, send.Incarnation, offer.Incarnation)
+		require.Equal(t, send.Patience, offer.Patience)
+		require.Equal(t, send.Wish, offer.Wish)
 	}
 }
 
+// Malformed offers must be rejected, and accepted ones must have a valid attempt
+// and service.
 func FuzzOffer(f *testing.F) {
-	f.Add(carobheader.FormatOffer(sample("r1")))
+	f.Add(carobheader.FormatOffer(testSend("r1")))
 	f.Add("x 1 a/b 1 1 1 1 1 no r")
 	f.Add("x 1 a/b 1 1 1 1 1 no t r")
 	f.Fuzz(func(t *testing.T, text string) {
-		of, err := carobheader.ParseOffer(text)
+		offer, err := carobheader.ParseOffer(text)
 		if err != nil {
 			return
 		}
-		require.Positive(t, of.Job.Attempt)
-		require.NoError(t, of.Target.Service.Check())
+		require.Positive(t, offer.Job.Attempt)
+		require.NoError(t, offer.Target.Service.Check())
 	})
 }
--- a/internal/carobheader/report.go
+++ b/internal/carobheader/report.go
@@ -10,18 +10,19 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// FormatReport writes a report's numbers: running, queued, slots, and the
-// latency in nanoseconds.
-func FormatReport(rp carobreport.Report) string {
+// FormatReport encodes the numbers of a load report: running, queued, slots, and
+// the latency in nanoseconds.
+func FormatReport(report carobreport.Report) string {
 	const base = 10
-	b := strconv.AppendInt(nil, int64(rp.Running), base)
-	b = strconv.AppendInt(append(b, ' '), int64(rp.Queued), base)
-	b = strconv.AppendInt(append(b, ' '), int64(rp.Slots), base)
-	b = strconv.AppendInt(append(b, ' '), int64(rp.Latency), base)
-	return string(b)
+	buf := strconv.AppendInt(nil, int64(report.Running), base)
+	buf = strconv.AppendInt(append(buf, ' '), int64(report.Queued), base)
+	buf = strconv.AppendInt(append(buf, ' '), int64(report.Slots), base)
+	buf = strconv.AppendInt(append(buf, ' '), int64(report.Latency), base)
+	return string(buf)
 }
 
-// ParseReport reads what FormatReport writes, or returns nil.
+// ParseReport decodes what FormatReport encodes. It returns nil if text is
+// malformed.
 func ParseReport(target carobtargetid.ID, text string) *carobreport.Report {
 	const numbers = 4
 	fields := strings.Fields(text)
--- a/internal/carobwatch/watch.go
+++ b/internal/carobwatch/watch.go
@@ -1,10 +1,10 @@
-// Package carobwatch notices when the other end of a connection has hung up
+// Package carobwatch detects that the other end of a connection has disconnected
 // while nothing is read from it.
 //
 // The HTTP library reads a connection only between calls, so that it does not
-// see a caller go while its call is under way. The watch asks the kernel whether
-// the other end has closed its side, which needs no read: neither the bytes that
-// wait on the connection nor its deadlines are touched.
+// detect a disconnect during a call. The watch polls the kernel for the state of
+// the connection. This needs no read, so that neither received bytes nor
+// deadlines are affected.
 package carobwatch
 
 import (
@@ -19,52 +19,55 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
-// Config is how a watch is made.
+// Config holds the parameters of a Watch.
 type Config struct {
 	Timer *carobtimer.Timer
-	// Period is the time between two looks at the connections watched.
+	// Period is the time between two polls of the watched connections.
 	Period time.Duration
 }
 
-// Watch looks at connections while there are any to watch.
+// Watch polls connections as long as there are any to watch.
 type Watch struct {
 	config Config
-	alarm  func(at carobinstant.Instant)
+	// wakeAt sets when the timer calls check next.
+	wakeAt func(at carobinstant.Instant)
 	mutex  sync.Mutex
-	// entries are the connections watched.
+	// entries holds the watched connections. It is guarded by mutex.
 	entries map[*entry]struct{}
 }
 
+// entry is a watched connection and what to call when it is disconnected.
 type entry struct {
-	raw  syscall.RawConn
-	gone func()
+	raw          syscall.RawConn
+	onDisconnect func()
 }
 
-// NewWatch returns a watch of nothing.
+// NewWatch returns a watch without connections.
 func NewWatch(c Config) *Watch {
 	w := &Watch{config: c, entries: map[*entry]struct{}{}}
-	w.alarm = c.Timer.Subscribe(w.look)
+	w.wakeAt = c.Timer.Subscribe(w.check)
 	return w
 }
 
-// Add watches a connection until remove is called or the other end is found to
-// have hung up. gone is then called once; it must not block. A connection that
-// does not show its file descriptor is not watched.
-func (w *Watch) Add(cn net.Conn, gone func()) (remove func()) {
-	sc, ok := cn.(syscall.Conn)
+// Add watches a connection until remove is called or a disconnect is detected.
+// After a disconnect, onDisconnect is called once, on the timer's goroutine; it
+// must not block. A connection without an accessible file descriptor is not
+// watched.
+func (w *Watch) Add(conn net.Conn, onDisconnect func()) (remove func()) {
+	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return func() {}
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return func() {}
 	}
-	e := &entry{raw: raw, gone: gone}
+	e := &entry{raw: raw, onDisconnect: onDisconnect}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.entries[e] = struct{}{}
 	if len(w.entries) == 1 {
-		w.alarm(w.config.Timer.Now().Add(w.config.Period))
+		w.wakeAt(w.config.Timer.Now().Add(w.config.Period))
 	}
 	return func() { w.remove(e) }
 }
@@ -75,39 +78,40 @@
 	delete(w.entries, e)
 }
 
-// look asks after all connections. It runs on the timer's goroutine.
-func (w *Watch) look() {
-	for _, e := range w.collect() {
-		e.gone()
+// check polls all connections and reports those that are disconnected. It runs on
+// the timer's goroutine.
+func (w *Watch) check() {
+	for _, e := range w.takeDisconnected() {
+		e.onDisconnect()
 	}
 }
 
-// collect takes out the connections whose other end is gone.
-func (w *Watch) collect() []*entry {
+// takeDisconnected removes the disconnected connections and returns them.
+func (w *Watch) takeDisconnected() []*entry {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	var gone []*entry
+	var disconnected []*entry
 	for e := range w.entries {
-		if hungUp(e.raw) {
-			gone = append(gone, e)
+		if isDisconnected(e.raw) {
+			disconnected = append(disconnected, e)
 			delete(w.entries, e)
 		}
 	}
 	if len(w.entries) > 0 {
-		w.alarm(w.config.Timer.Now().Add(w.config.Period))
+		w.wakeAt(w.config.Timer.Now().Add(w.config.Period))
 	}
-	return gone
+	return disconnected
 }
 
-// hungUp reports whether the other end has closed its side, or the connection is
-// broken or closed here.
-func hungUp(raw syscall.RawConn) bool {
-	const over = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR | unix.POLLNVAL
-	gone := false
+// isDisconnected reports whether the other end has closed its sending side, or
+// the connection is broken or was closed by this node.
+func isDisconnected(raw syscall.RawConn) bool {
+	const closedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR | unix.POLLNVAL
+	disconnected := false
 	err := raw.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}} //nolint:gosec // descriptors are small
-		n, errPoll := unix.Poll(fds, 0)
-		gone = errPoll == nil && n > 0 && fds[0].Revents&over != 0
+		n, pollErr := unix.Poll(fds, 0)
+		disconnected = pollErr == nil && n > 0 && fds[0].Revents&closedEvents != 0
 	})
-	return err != nil || gone
+	return err != nil || disconnected
 }
