--- a/internal/carobanswer/answer.go
+++ b/internal/carobanswer/answer.go
@@ -1,4 +1,5 @@
-// Package carobanswer holds the head of an answer with its body still to come.
+// Package carobanswer holds an answer whose header has been received and whose
+// body can be read.
 package carobanswer
 
 import (
@@ -10,29 +11,30 @@
 	"github.com/carobknot/carobknot/pkg/carobreport"
 )
 
-// Answer is an answer whose head is here and whose body is read by whoever
-// passes it on.
+// Answer is an answer of a target. The body is read while it is forwarded.
 type Answer struct {
-	// Response has the status and headers. Its body is not used.
+	// Response has the status and the headers. Its body is not used.
 	Response *fasthttp.Response
-	// Bodiless says that there is no body, whatever Length says.
+	// Bodiless is true if there is no body, even if Length is above 0, as in an
+	// answer to HEAD.
 	Bodiless bool
-	// Length is the length of the body; negative if it is chunked.
+	// Length is the length of the body in bytes; negative if it is chunked.
 	Length int
-	// Body gives the whole body or an error. It must be closed.
+	// Body returns the body, or an error if it is cut off. It must be closed.
 	Body io.ReadCloser
-	// Report is the load of the target; nil if none came.
+	// Report is the target's load; nil if the answer has no report.
 	Report *carobreport.Report
 }
 
-// Gather reads a body that is not longer than most to its end, so that an answer
-// that was cut short is found before any of it is passed on. A longer body is
-// left as it is.
-func (a *Answer) Gather(most int) error {
-	if a.Bodiless || a.Length > most {
+// Gather reads a body of at most maxSize bytes completely, so that an answer that
+// is cut off is detected before any of it is forwarded. It returns the error of
+// such a body, which it closes. A longer body is still to be read afterwards,
+// from its beginning.
+func (a *Answer) Gather(maxSize int) error {
+	if a.Bodiless || a.Length > maxSize {
 		return nil
 	}
-	data, err := io.ReadAll(io.LimitReader(a.Body, int64(most)+1))
+	data, err := io.ReadAll(io.LimitReader(a.Body, int64(maxSize)+1))
 	if err == nil && a.Length >= 0 && len(data) != a.Length {
 		err = io.ErrUnexpectedEOF
 	}
@@ -40,8 +42,8 @@
 		_ = a.Body.Close()
 		return err
 	}
-	if len(data) > most {
-		a.Body = &resumed{Reader: io.MultiReader(bytes.NewReader(data), a.Body), Closer: a.Body}
+	if len(data) > maxSize {
+		a.Body = &partlyReadBody{Reader: io.MultiReader(bytes.NewReader(data), a.Body), Closer: a.Body}
 		return nil
 	}
 	err = a.Body.Close()
@@ -49,8 +51,9 @@
 	return err
 }
 
-// resumed is a body of which the beginning was read before.
-type resumed struct {
+// partlyReadBody returns first the bytes that Gather has read and then the rest
+// of the body.
+type partlyReadBody struct {
 	io.Reader
 	io.Closer
 }
--- a/internal/carobrelay/relay.go
+++ b/internal/carobrelay/relay.go
@@ -1,4 +1,4 @@
-// Package carobrelay carries attempts from the entry to a target's node.
+// Package carobrelay sends attempts from the entry node to the target's node.
 package carobrelay
 
 import (
@@ -17,26 +17,27 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// exchanger sends a request to another node and returns the head of its answer.
-type exchanger interface {
-	Do(cx context.Context, ad carobaddress.Address, rq *fasthttp.Request, careful bool) (*carobanswer.Answer, error)
+// peerClient sends a request to another node and returns the answer once its
+// header is received. runOnce is true if the request must not run twice.
+type peerClient interface {
+	Do(ctx context.Context, address carobaddress.Address, req *fasthttp.Request, runOnce bool) (*carobanswer.Answer, error)
 }
 
-// admitter offers a job to this node's own target.
+// admitter runs attempts as jobs on this node's own targets.
 type admitter interface {
-	Do(cx context.Context, of caroboffer.Offer, rq *fasthttp.Request) (*carobanswer.Answer, error)
+	Do(ctx context.Context, offer caroboffer.Offer, req *fasthttp.Request) (*carobanswer.Answer, error)
 	Report(target carobtargetid.ID) *carobreport.Report
 }
 
-// Config is how a relay is made.
+// Config holds the parameters of a Relay.
 type Config struct {
-	// Peers reaches other nodes.
-	Peers exchanger
-	// Own takes the attempts for this node's own targets.
+	// Peers sends requests to other nodes.
+	Peers peerClient
+	// Own runs attempts on this node's own targets.
 	Own admitter
 }
 
-// Relay carries attempts to targets' nodes, this one included.
+// Relay sends attempts to the nodes of their targets, including this node.
 type Relay struct {
 	config Config
 }
@@ -46,41 +47,44 @@
 	return &Relay{config: c}
 }
 
-// Do carries an attempt and returns the head of the answer, or an error of the
-// kind that the target's node told. The report may come with either.
-func (r *Relay) Do(cx context.Context, sd carobsend.Send, rq *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error) {
-	if sd.Trace != "" {
-		rq.Header.Set(carobheader.Trace, sd.Trace)
+// Do sends an attempt. It returns the answer once its header is received, or an
+// error of the kind that the target's node returned. The load report may be
+// present with either; nil if there is none.
+func (r *Relay) Do(ctx context.Context, send carobsend.Send, req *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error) {
+	if send.Trace != "" {
+		req.Header.Set(carobheader.Trace, send.Trace)
 	}
-	if sd.Peer == "" {
-		return r.own(cx, sd, rq)
+	if send.Peer == "" {
+		return r.sendToOwn(ctx, send, req)
 	}
-	rq.Header.Set(carobheader.Offer, carobheader.FormatOffer(sd))
-	an, err := r.config.Peers.Do(cx, sd.Peer, rq, sd.Once != carobonce.No)
+	req.Header.Set(carobheader.Offer, carobheader.FormatOffer(send))
+	answer, err := r.config.Peers.Do(ctx, send.Peer, req, send.Once != carobonce.No)
 	if err != nil {
 		return nil, nil, err
 	}
-	report := carobheader.ParseReport(sd.Target, string(an.Response.Header.Peek(carobheader.Report)))
-	if kind := carobkind.Kind(an.Response.Header.Peek(carobheader.Kind)); kind != carobkind.None {
-		_ = an.Body.Close()
-		return nil, report, told(kind)
+	report := carobheader.ParseReport(send.Target, string(answer.Response.Header.Peek(carobheader.Report)))
+	if kind := carobkind.Kind(answer.Response.Header.Peek(carobheader.Kind)); kind != carobkind.None {
+		_ = answer.Body.Close()
+		return nil, report, peerError(kind)
 	}
-	return an, report, nil
+	return answer, report, nil
 }
 
-// told makes an error of a kind that another node told.
-func told(kind carobkind.Kind) error {
+// peerError returns an error of a kind that another node returned, or of kind
+// Internal if the kind is unknown.
+func peerError(kind carobkind.Kind) error {
 	if !kind.Known() {
-		return carobkind.New(carobkind.Internal, "another node told an unknown kind of error")
+		return carobkind.New(carobkind.Internal, "another node returned an unknown error kind")
 	}
-	return carobkind.New(kind, "told by the target's node")
+	return carobkind.New(kind, "returned by the target's node")
 }
 
-func (r *Relay) own(cx context.Context, sd carobsend.Send, rq *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error) {
-	of := caroboffer.Offer{
-		Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, Patience: sd.Patience, Wish: sd.Wish,
-		Key: string(rq.Header.Peek(carobheader.Key)), Trace: string(rq.Header.Peek(carobheader.Trace)),
+// sendToOwn runs an attempt on a target of this node.
+func (r *Relay) sendToOwn(ctx context.Context, send carobsend.Send, req *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error) {
+	offer := caroboffer.Offer{
+		Job: send.Job, Target: send.Target, Incarnation: send.Incarnation, Patience: send.Patience, Wish: send.Wish,
+		Key: string(req.Header.Peek(carobheader.Key)), Trace: string(req.Header.Peek(carobheader.Trace)),
 	}
-	an, err := r.config.Own.Do(cx, of, rq)
-	return an, r.config.Own.Report(sd.Target), err
+	answer, err := r.config.Own.Do(ctx, offer, req)
+	return answer, r.config.Own.Report(send.Target), err
 }
