--- a/internal/carobentrance/arrival.go
+++ b/internal/carobentrance/arrival.go
@@ -14,8 +14,8 @@
 	"github.com/carobknot/carobknot/pkg/carobservice"
 )
 
-// maxTimeout caps the timeout that a caller may give, so that sums of instants
-// and timeouts cannot overflow.
+// maxTimeout caps the timeout of a call. No caller waits longer, and the sum of an
+// instant and maxTimeout is far from overflowing.
 const maxTimeout = 24 * time.Hour
 
 // parseArrival checks the header of a call and returns the fields that the
@@ -47,8 +47,8 @@
 	return service, service.Check()
 }
 
-// parseTimeout returns the timeout of a deadline header in milliseconds, at most
-// maxTimeout, or 0 if text is empty.
+// parseTimeout parses a number of milliseconds. It returns at most maxTimeout, and
+// 0 if text is empty.
 func parseTimeout(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
--- a/internal/carobserver/server_test.go
+++ b/internal/carobserver/server_test.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// The server still reads such a connection to detect a disconnect, and must not
-// take the end of reading for one.
+// The server goes on reading such a connection to detect a disconnect, and must
+// not mistake its own end of reading requests for a disconnect.
 func TestRequestThatClosesItsConnectionIsAnswered(t *testing.T) {
 	f := newFixture(t)
 	f.send("GET /1 HTTP/1.1\nHost: a\nConnection: close\n\n")
