--- a/internal/carobpool/exchange.go
+++ b/internal/carobpool/exchange.go
@@ -14,68 +14,73 @@
 )
 
 const (
-	expectation = "100-continue"
-	// maxInterim is the most interim answers before the final one.
-	maxInterim = 100
-	// chunkSize is how much of a body is copied at once.
-	chunkSize = 32 * 1024
+	expectContinue = "100-continue"
+	// maxInterimResponses is the largest number of interim (1xx) responses accepted
+	// before the final one.
+	maxInterimResponses = 100
+	// copyBufferSize is the size of the buffer that copies a body, in bytes. It is also
+	// the longest body that discardResponse reads.
+	copyBufferSize = 32 * 1024
 )
 
-// exchange is one request and the head of its answer, on one connection.
+// exchange sends one request on one connection and reads the header of the
+// response.
 //
-// The HTTP library writes the whole request before it reads anything, so that an
-// answer that comes while a long body is still going would be seen too late, or
-// never if the other end has closed its side. Here the body goes in a goroutine
-// of its own.
+// The HTTP library writes the whole request before it reads anything. A response
+// that arrives while a long body is still being sent would be read too late, or
+// never if the peer has closed its side of the connection. Therefore a separate
+// goroutine sends the body here.
 type exchange struct {
 	config  Config
-	conn    *conn
+	conn    *pooledConn
 	request *fasthttp.Request
-	// sent says that the whole request was written.
-	sent atomic.Bool
+	// requestSent is true once the whole request has been written.
+	requestSent atomic.Bool
 }
 
-// run sends the request and returns the head of the final answer.
+// run sends the request and returns the final response, with its body not yet read.
 func (x *exchange) run() (*fasthttp.Response, error) {
 	x.request.Header.SetNoDefaultContentType(true)
 	if !x.request.IsBodyStream() {
-		x.setLength()
-		if len(x.request.Body()) <= bufferSize {
-			return x.runShort()
+		x.setContentLength()
+		if len(x.request.Body()) <= writeBufferSize {
+			return x.runBuffered()
 		}
 	}
 	if x.config.Ask {
-		x.request.Header.Set(fasthttp.HeaderExpect, expectation)
+		x.request.Header.Set(fasthttp.HeaderExpect, expectContinue)
 	}
 	if err := x.write(nil); err != nil {
 		return nil, err
 	}
 	if x.config.Ask {
-		rs, err := x.readHead()
-		if err != nil || rs.StatusCode() != fasthttp.StatusContinue {
-			return rs, err
+		resp, err := x.readHeader()
+		if err != nil || resp.StatusCode() != fasthttp.StatusContinue {
+			return resp, err
 		}
 	}
-	go x.pump()
-	return x.readFinal()
+	go x.sendBody()
+	return x.readFinalResponse()
 }
 
-// setLength names the length of a body that is all here.
-func (x *exchange) setLength() {
+// setContentLength sets Content-Length for a body that is held in memory.
+func (x *exchange) setContentLength() {
 	if length := len(x.request.Body()); length > 0 {
 		x.request.Header.SetContentLength(length)
 	}
 }
 
-func (x *exchange) runShort() (*fasthttp.Response, error) {
+// runBuffered sends a request whose body fits into the write buffer, without a
+// goroutine of its own.
+func (x *exchange) runBuffered() (*fasthttp.Response, error) {
 	if err := x.write(x.request.Body()); err != nil {
 		return nil, err
 	}
-	x.sent.Store(true)
-	return x.readFinal()
+	x.requestSent.Store(true)
+	return x.readFinalResponse()
 }
 
-// write sends the header and a body that is all here.
+// write sends the header, followed by the given body.
 func (x *exchange) write(body []byte) error {
 	if err := x.request.Header.Write(x.conn.writer); err != nil {
 		return err
@@ -86,46 +91,51 @@
 	return x.conn.writer.Flush()
 }
 
-// pump sends the body. If the body's source fails, the connection is closed, so
-// that the other end never takes a part of it for the whole. If the other end
-// does not take it, it may have answered, which is for the reader to see.
-func (x *exchange) pump() {
-	source := x.source()
+// sendBody sends the body. If reading the body from its source fails, the
+// connection is closed, which keeps the peer from taking a truncated body for a
+// complete one. If writing to the peer fails, the peer may have responded early;
+// the goroutine that reads the response finds out.
+func (x *exchange) sendBody() {
+	source := x.newBodySource()
 	err := x.copyBody(source)
 	switch {
 	case source.failed:
 		_ = x.conn.Close()
 	case err == nil:
-		x.sent.Store(true)
+		x.requestSent.Store(true)
 	}
 }
 
-func (x *exchange) source() *source {
+// newBodySource returns the reader of the body of the request.
+func (x *exchange) newBodySource() *bodySource {
 	if x.request.IsBodyStream() {
-		return &source{from: x.request.BodyStream()}
+		return &bodySource{from: x.request.BodyStream()}
 	}
-	return &source{from: bytes.NewReader(x.request.Body())}
+	return &bodySource{from: bytes.NewReader(x.request.Body())}
 }
 
-func (x *exchange) copyBody(from *source) error {
-	into := &sink{exchange: x}
+// copyBody sends the body with the length of the request's header, or in chunks if
+// the header has no length. A body that ends early is an error.
+func (x *exchange) copyBody(from *bodySource) error {
+	into := &bodyWriter{exchange: x}
 	length := x.request.Header.ContentLength()
 	if length < 0 {
-		return x.copyChunks(into, from)
+		return x.copyChunked(into, from)
 	}
-	if err := x.copyAll(into, io.LimitReader(from, int64(length))); err != nil {
+	if err := x.copyAndFlush(into, io.LimitReader(from, int64(length))); err != nil {
 		return err
 	}
-	if from.seen < int64(length) {
+	if from.bytesRead < int64(length) {
 		from.failed = true
 		return io.ErrUnexpectedEOF
 	}
 	return nil
 }
 
-func (x *exchange) copyChunks(into *sink, from *source) error {
+// copyChunked sends the body in chunks.
+func (x *exchange) copyChunked(into *bodyWriter, from *bodySource) error {
 	chunks := httputil.NewChunkedWriter(into)
-	if err := x.copyAll(chunks, from); err != nil {
+	if err := x.copyAndFlush(chunks, from); err != nil {
 		return err
 	}
 	if err := chunks.Close(); err != nil {
@@ -137,10 +147,10 @@
 	return x.conn.writer.Flush()
 }
 
-// copyAll copies until the source ends. What was read is sent before more is
-// waited for.
-func (x *exchange) copyAll(into io.Writer, from io.Reader) error {
-	buffer := make([]byte, chunkSize)
+// copyAndFlush copies until from returns io.EOF. It flushes after each read, so that
+// no bytes wait in the buffer while the next read blocks.
+func (x *exchange) copyAndFlush(into io.Writer, from io.Reader) error {
+	buffer := make([]byte, copyBufferSize)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
@@ -160,131 +170,139 @@
 	}
 }
 
-// readFinal reads the head of the final answer and opens its body.
-func (x *exchange) readFinal() (*fasthttp.Response, error) {
-	for range maxInterim {
-		rs, err := x.readHead()
+// readFinalResponse reads the header of the final response and opens its body. It
+// skips interim responses and, with Config.Mine, responses to earlier requests.
+func (x *exchange) readFinalResponse() (*fasthttp.Response, error) {
+	for range maxInterimResponses {
+		resp, err := x.readHeader()
 		if err != nil {
 			return nil, err
 		}
-		if rs.StatusCode() >= fasthttp.StatusOK {
-			if x.config.Mine == nil || x.config.Mine(x.request, rs) {
-				return rs, nil
+		if resp.StatusCode() >= fasthttp.StatusOK {
+			if x.config.Mine == nil || x.config.Mine(x.request, resp) {
+				return resp, nil
 			}
-			if err := x.passOver(rs); err != nil {
+			if err := x.discardResponse(resp); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		if rs.StatusCode() == fasthttp.StatusSwitchingProtocols {
-			return nil, carobkind.New(carobkind.Cut, "the other end switched protocols unasked")
+		if resp.StatusCode() == fasthttp.StatusSwitchingProtocols {
+			return nil, carobkind.New(carobkind.Cut, "peer switched protocols without being asked to")
 		}
 	}
-	return nil, carobkind.New(carobkind.Cut, "too many interim answers")
+	return nil, carobkind.New(carobkind.Cut, "too many interim responses")
 }
 
-// passOver reads an answer to an earlier request to its end.
-func (x *exchange) passOver(rs *fasthttp.Response) error {
-	length := rs.Header.ContentLength()
-	if length < 0 || length > chunkSize || rs.ConnectionClose() {
-		return carobkind.New(carobkind.Cut, "the answer belongs to another request")
+// discardResponse reads the body of a response to an earlier request. It returns an
+// error if the body is long or if the connection cannot be used afterwards.
+func (x *exchange) discardResponse(resp *fasthttp.Response) error {
+	length := resp.Header.ContentLength()
+	if length < 0 || length > copyBufferSize || resp.ConnectionClose() {
+		return carobkind.New(carobkind.Cut, "response belongs to another request and cannot be skipped")
 	}
-	if rs.BodyStream() == nil {
+	if resp.BodyStream() == nil {
 		return nil
 	}
-	n, err := io.Copy(io.Discard, rs.BodyStream())
+	n, err := io.Copy(io.Discard, resp.BodyStream())
 	if err == nil && n < int64(length) {
 		err = io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// readHead reads the head of the next answer. A final answer whose end could not
-// be told from a broken connection is an error.
-func (x *exchange) readHead() (*fasthttp.Response, error) {
+// readHeader reads the header of the next response. Unless Config.Unframed is set, a
+// final response with neither a length nor chunks is an error, because the end of
+// its body could not be distinguished from a broken connection.
+func (x *exchange) readHeader() (*fasthttp.Response, error) {
 	if err := x.checkFraming(); err != nil {
 		return nil, err
 	}
-	rs := &fasthttp.Response{StreamBody: true}
-	if err := rs.Header.Read(x.conn.reader); err != nil {
+	resp := &fasthttp.Response{StreamBody: true}
+	if err := resp.Header.Read(x.conn.reader); err != nil {
 		return nil, err
 	}
-	if rs.StatusCode() < fasthttp.StatusOK || bodiless(x.request, rs) {
-		return rs, nil
+	if resp.StatusCode() < fasthttp.StatusOK || hasNoBody(x.request, resp) {
+		return resp, nil
 	}
-	if rs.Header.ContentLength() < -1 && !x.config.Unframed {
-		return nil, carobkind.New(carobkind.Cut, "the answer has neither a length nor chunks")
+	if resp.Header.ContentLength() < -1 && !x.config.Unframed {
+		return nil, carobkind.New(carobkind.Cut, "response has neither a Content-Length nor chunks")
 	}
-	return rs, rs.ReadBody(x.conn.reader, 0)
+	return resp, resp.ReadBody(x.conn.reader, 0)
 }
 
 var (
-	headEnd    = []byte("\r\n\r\n")
-	lengthName = []byte("\ncontent-length:")
-	codingName = []byte("\ntransfer-encoding:")
+	headerEnd            = []byte("\r\n\r\n")
+	contentLengthName    = []byte("\ncontent-length:")
+	transferEncodingName = []byte("\ntransfer-encoding:")
 )
 
-// checkFraming refuses an answer that says in two ways where it ends. The
-// library takes the one and forgets the other.
+// checkFraming rejects a response with both Content-Length and Transfer-Encoding.
+// The HTTP library would apply one of the two and ignore the other.
 func (x *exchange) checkFraming() error {
-	head, err := x.peekHead()
+	head, err := x.peekHeader()
 	if err != nil {
 		return err
 	}
 	head = bytes.ToLower(head)
-	if bytes.Contains(head, lengthName) && bytes.Contains(head, codingName) {
-		return carobkind.New(carobkind.Cut, "the answer has both a length and a transfer encoding")
+	if bytes.Contains(head, contentLengthName) && bytes.Contains(head, transferEncodingName) {
+		return carobkind.New(carobkind.Cut, "response has both a Content-Length and a Transfer-Encoding")
 	}
 	return nil
 }
 
-// peekHead waits for the head of an answer. A head that does not fit into the
-// buffer is left to the library to refuse.
-func (x *exchange) peekHead() ([]byte, error) {
+// peekHeader waits for the header of a response and returns it without consuming it.
+// It returns nil for a header that does not fit into the buffer; the HTTP library
+// then rejects that header.
+func (x *exchange) peekHeader() ([]byte, error) {
 	reader := x.conn.reader
-	for wanted := 1; ; wanted = reader.Buffered() + 1 {
-		if _, err := reader.Peek(wanted); err != nil {
+	for needed := 1; ; needed = reader.Buffered() + 1 {
+		if _, err := reader.Peek(needed); err != nil {
 			if errors.Is(err, bufio.ErrBufferFull) {
 				return nil, nil
 			}
 			return nil, err
 		}
-		here, err := reader.Peek(reader.Buffered())
-		if end := bytes.Index(here, headEnd); end >= 0 || err != nil {
-			return here[:max(end, 0)], err
+		buffered, err := reader.Peek(reader.Buffered())
+		if end := bytes.Index(buffered, headerEnd); end >= 0 || err != nil {
+			return buffered[:max(end, 0)], err
 		}
 	}
 }
 
-// bodiless reports whether an answer has no body, whatever its header says.
-func bodiless(rq *fasthttp.Request, rs *fasthttp.Response) bool {
-	status := rs.StatusCode()
-	return rq.Header.IsHead() || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
+// hasNoBody reports whether the method of the request or the status of the response
+// rules out a body, whatever the header of the response says.
+func hasNoBody(req *fasthttp.Request, resp *fasthttp.Response) bool {
+	status := resp.StatusCode()
+	return req.Header.IsHead() || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
 
-// source notes whether it was the source of a body that failed.
-type source struct {
-	from   io.Reader
-	seen   int64
+// bodySource reads the body of a request and records whether reading it failed.
+type bodySource struct {
+	from io.Reader
+	// bytesRead is the number of bytes read so far.
+	bytesRead int64
+	// failed is true after an error other than io.EOF, or if the body ended early.
 	failed bool
 }
 
-func (s *source) Read(into []byte) (int, error) {
+func (s *bodySource) Read(into []byte) (int, error) {
 	n, err := s.from.Read(into)
-	s.seen += int64(n)
+	s.bytesRead += int64(n)
 	if err != nil && err != io.EOF { //nolint:errorlint // readers return io.EOF itself
 		s.failed = true
 	}
 	return n, err
 }
 
-// sink writes to the connection, which must go on taking bytes.
-type sink struct {
+// bodyWriter writes the body of a request to the connection. Each write extends the
+// write deadline by Config.Stall.
+type bodyWriter struct {
 	exchange *exchange
 }
 
-func (s *sink) Write(data []byte) (int, error) {
-	cf := s.exchange.config
-	_ = s.exchange.conn.SetWriteDeadline(cf.Timer.Wall().Add(cf.Stall))
+func (s *bodyWriter) Write(data []byte) (int, error) {
+	config := s.exchange.config
+	_ = s.exchange.conn.SetWriteDeadline(config.Timer.Wall().Add(config.Stall))
 	return s.exchange.conn.writer.Write(data)
 }
--- a/internal/carobpool/pool.go
+++ b/internal/carobpool/pool.go
@@ -1,9 +1,11 @@
-// Package carobpool exchanges requests and answers over pooled connections.
+// Package carobpool sends requests and reads responses over pooled HTTP/1.1
+// connections.
 //
-// The HTTP library's own client is not used: it sends a request again by itself
-// when a kept connection turns out closed, and it cannot give up one exchange
-// by closing its connection. Here a request is written once, to one connection,
-// which serves the next exchange only after its answer was read to the end.
+// The client of the HTTP library is not used: it resends a request by itself when
+// a pooled connection turns out to be closed, and it cannot cancel a single
+// exchange by closing its connection. Here a request is written once, to one
+// connection, which serves the next exchange only after the response has been read
+// to its end.
 package carobpool
 
 import (
@@ -28,253 +30,271 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Config is how a pool is made.
+// Config holds the parameters of a pool.
 type Config struct {
 	Timer *carobtimer.Timer
-	// Dial is how long opening a connection may take.
+	// Dial is the time-out for opening a connection.
 	Dial time.Duration
-	// Idle is how long a connection is kept unused.
+	// Idle is how long an idle connection is kept.
 	Idle time.Duration
-	// Kept is the most unused connections to one address.
+	// Kept is the largest number of idle connections to one address.
 	Kept int
-	// Header is the longest header of an answer.
+	// Header is the size of the read buffer of a connection, in bytes. A response
+	// whose header is longer is rejected. It is 4096 at least.
 	Header int
-	// Stall is how long the other end may take or send nothing while a body is
-	// on its way.
+	// Stall is how long the peer may send or accept nothing while a body is being
+	// transferred.
 	Stall time.Duration
-	// Ask says that the other end is asked whether it takes the request before
-	// a body that needs more than one write is sent to it.
+	// Ask is true if the client sends "Expect: 100-continue" and waits for the
+	// peer's agreement before it sends a body that needs more than one write.
 	Ask bool
-	// Recent is how long a connection may have been unused that gets a request which
-	// must not run twice; 0 is as long as any. The other end may have dropped an
-	// older one without a word, and then nobody knows whether it ran.
+	// Recent is the longest time that a connection may have been idle to get a request
+	// which must not run twice; 0 means no limit. The peer may have dropped an older
+	// connection silently, and then it is unknown whether the request ran.
 	Recent time.Duration
-	// Alive is the time between two signs of life that a connection must give while
-	// nothing comes on it; 0 is the system's default. Three that are missed break it.
+	// Alive is the interval between TCP keep-alive probes on a connection without
+	// traffic; 0 means the operating system's default. The connection breaks after
+	// three probes without an answer.
 	Alive time.Duration
-	// Unframed says that an answer may have neither a length nor chunks, and end
-	// with its connection.
+	// Unframed is true if a response may have neither a length nor chunks, so that
+	// its body ends when the connection closes.
 	Unframed bool
-	// Mine reports whether an answer belongs to the request; nil takes all. Others
-	// are passed over, since they answer earlier requests on the connection.
-	Mine func(rq *fasthttp.Request, rs *fasthttp.Response) bool
+	// Mine reports whether a response belongs to the request; nil accepts every
+	// response. Other responses are discarded: they answer earlier requests on the
+	// connection.
+	Mine func(req *fasthttp.Request, resp *fasthttp.Response) bool
 }
 
-// Pool keeps connections to several addresses.
+// Pool keeps idle connections to several addresses.
 type Pool struct {
 	config Config
 	dialer net.Dialer
-	mutex  sync.Mutex
-	// idle has the unused connections, the one used last at the end.
-	idle map[carobaddress.Address][]*conn
+	mu     sync.Mutex
+	// idle has the idle connections of each address, the most recently used one last.
+	idle map[carobaddress.Address][]*pooledConn
 }
 
-type conn struct {
+// pooledConn is a connection with its buffers.
+type pooledConn struct {
 	net.Conn
 	address carobaddress.Address
 	reader  *bufio.Reader
 	writer  *bufio.Writer
-	// idle is how long the connection is kept unused.
-	idle time.Duration
-	// since is when the connection was last used.
-	since carobinstant.Instant
+	// idleTimeout is how long the connection may stay idle.
+	idleTimeout time.Duration
+	// lastUsed is when the last exchange ended.
+	lastUsed carobinstant.Instant
 }
 
 const (
-	// bufferSize is the longest request that is sent in one write.
-	bufferSize = 4096
-	// missed is how many signs of life may be missing before a connection breaks.
-	missed = 3
-	// smallestHeader is the least room for the header of an answer.
-	smallestHeader = 4096
+	// writeBufferSize is the size of a connection's write buffer, and the longest body
+	// held in memory that is sent without a goroutine of its own, in bytes.
+	writeBufferSize = 4096
+	// keepAliveProbes is the number of unanswered keep-alive probes after which a
+	// connection breaks.
+	keepAliveProbes = 3
+	// minReadBufferSize is the smallest read buffer of a connection, in bytes.
+	minReadBufferSize = 4096
 )
 
 // NewPool returns a pool without connections.
 func NewPool(c Config) *Pool {
-	p := &Pool{config: c, dialer: net.Dialer{Timeout: c.Dial}, idle: map[carobaddress.Address][]*conn{}}
+	p := &Pool{config: c, dialer: net.Dialer{Timeout: c.Dial}, idle: map[carobaddress.Address][]*pooledConn{}}
 	if c.Alive > 0 {
-		p.dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: c.Alive, Interval: c.Alive, Count: missed}
-		p.dialer.Control = bound(missed * c.Alive)
+		p.dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: c.Alive, Interval: c.Alive, Count: keepAliveProbes}
+		p.dialer.Control = setUserTimeout(keepAliveProbes * c.Alive)
 	}
 	return p
 }
 
-// Do sends a request and returns the head of its answer. When cx ends, the
-// connection is closed, which the other end sees as cancellation. An error is
-// Unreachable if nothing was sent, Cancelled if cx ended, and Cut otherwise.
+// Do sends a request and returns the response, with its body not yet read. When
+// ctx ends, the connection is closed, which the peer sees as cancellation. The kind
+// of an error is Unreachable if nothing was sent, Cancelled if ctx ended, and Cut
+// otherwise.
 //
-// careful says that the request must not run twice.
+// nonIdempotent is true if the request must not run twice; it then gets no
+// connection that has been idle for longer than Config.Recent.
 //
-// The request's body may still be on its way when Do returns. It is until the
-// answer's body is closed.
-func (p *Pool) Do(cx context.Context, ad carobaddress.Address, rq *fasthttp.Request, careful bool) (*carobanswer.Answer, error) {
-	cn, err := p.get(cx, ad, careful)
+// The body of the request may still be being sent when Do returns, until the body
+// of the response is closed.
+func (p *Pool) Do(ctx context.Context, address carobaddress.Address, req *fasthttp.Request, nonIdempotent bool) (*carobanswer.Answer, error) {
+	conn, err := p.get(ctx, address, nonIdempotent)
 	if err != nil {
 		return nil, carobkind.Wrap(carobkind.Unreachable, err, "open connection")
 	}
-	stop := context.AfterFunc(cx, func() { _ = cn.Close() })
-	x := &exchange{config: p.config, conn: cn, request: rq}
-	rs, err := x.run()
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
+	x := &exchange{config: p.config, conn: conn, request: req}
+	resp, err := x.run()
 	if err != nil {
 		stop()
-		_ = cn.Close()
-		if cx.Err() != nil {
+		_ = conn.Close()
+		if ctx.Err() != nil {
 			return nil, carobkind.Wrap(carobkind.Cancelled, err, "exchange")
 		}
 		return nil, carobkind.Wrap(carobkind.Cut, err, "exchange")
 	}
-	bd := &body{pool: p, conn: cn, stop: stop, exchange: x, keep: !rs.ConnectionClose(), stream: rs.BodyStream()}
-	length := max(rs.Header.ContentLength(), -1)
-	cn.idle = p.idleOf(rs)
-	bd.left, bd.ended = length, bd.stream == nil || length == 0
-	return &carobanswer.Answer{Response: rs, Bodiless: bd.stream == nil, Length: length, Body: bd}, nil
+	respBody := &body{pool: p, conn: conn, stop: stop, exchange: x, reusable: !resp.ConnectionClose(), stream: resp.BodyStream()}
+	length := max(resp.Header.ContentLength(), -1)
+	conn.idleTimeout = p.idleTimeoutOf(resp)
+	respBody.bytesLeft, respBody.ended = length, respBody.stream == nil || length == 0
+	return &carobanswer.Answer{Response: resp, Bodiless: respBody.stream == nil, Length: length, Body: respBody}, nil
 }
 
-// await bounds the next read of a body. Bytes that are here already need no
-// bound.
-func (c *conn) await(cf Config) {
+// extendReadDeadline sets the deadline of the next read of a body. It leaves the
+// deadline as it is while buffered bytes are left, since reading those cannot block.
+func (c *pooledConn) extendReadDeadline(config Config) {
 	if c.reader.Buffered() == 0 {
-		_ = c.SetReadDeadline(cf.Timer.Wall().Add(cf.Stall))
+		_ = c.SetReadDeadline(config.Timer.Wall().Add(config.Stall))
 	}
 }
 
-// get returns an unused connection or opens one.
-func (p *Pool) get(cx context.Context, ad carobaddress.Address, careful bool) (*conn, error) {
+// get returns an idle connection or opens one. Idle connections that cannot be used
+// any more are closed.
+func (p *Pool) get(ctx context.Context, address carobaddress.Address, nonIdempotent bool) (*pooledConn, error) {
 	for {
-		cn := p.pop(ad)
-		if cn == nil {
-			return p.open(cx, ad)
+		conn := p.pop(address)
+		if conn == nil {
+			return p.open(ctx, address)
 		}
-		age := p.config.Timer.Now().Sub(cn.since)
-		if age < cn.idle && quiet(cn) {
-			if careful && p.config.Recent > 0 && age > p.config.Recent {
-				p.keep(cn)
-				return p.open(cx, ad)
+		age := p.config.Timer.Now().Sub(conn.lastUsed)
+		if age < conn.idleTimeout && isReusable(conn) {
+			if nonIdempotent && p.config.Recent > 0 && age > p.config.Recent {
+				p.addIdle(conn)
+				return p.open(ctx, address)
 			}
-			return cn, nil
+			return conn, nil
 		}
-		_ = cn.Close()
+		_ = conn.Close()
 	}
 }
 
-func (p *Pool) pop(ad carobaddress.Address) *conn {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	idle := p.idle[ad]
+// pop removes and returns the most recently used idle connection to an address, or
+// nil if there is none.
+func (p *Pool) pop(address carobaddress.Address) *pooledConn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	idle := p.idle[address]
 	if len(idle) == 0 {
 		return nil
 	}
-	cn := idle[len(idle)-1]
-	p.idle[ad] = idle[:len(idle)-1]
-	return cn
+	conn := idle[len(idle)-1]
+	p.idle[address] = idle[:len(idle)-1]
+	return conn
 }
 
-func (p *Pool) put(cn *conn) {
-	cn.since = p.config.Timer.Now()
-	_ = cn.SetDeadline(time.Time{})
-	p.keep(cn)
+// put returns a connection to the pool after an exchange.
+func (p *Pool) put(conn *pooledConn) {
+	conn.lastUsed = p.config.Timer.Now()
+	_ = conn.SetDeadline(time.Time{})
+	p.addIdle(conn)
 }
 
-// keep holds a connection for a later request.
-func (p *Pool) keep(cn *conn) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if len(p.idle[cn.address]) >= p.config.Kept {
-		_ = cn.Close()
+// addIdle keeps a connection for a later exchange, or closes it if the pool holds
+// Config.Kept idle connections to its address.
+func (p *Pool) addIdle(conn *pooledConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.idle[conn.address]) >= p.config.Kept {
+		_ = conn.Close()
 		return
 	}
-	p.idle[cn.address] = append(p.idle[cn.address], cn)
+	p.idle[conn.address] = append(p.idle[conn.address], conn)
 }
 
-func (p *Pool) open(cx context.Context, ad carobaddress.Address) (*conn, error) {
-	nc, err := p.dialer.DialContext(cx, "tcp", string(ad))
+// open opens a connection.
+func (p *Pool) open(ctx context.Context, address carobaddress.Address) (*pooledConn, error) {
+	conn, err := p.dialer.DialContext(ctx, "tcp", string(address))
 	if err != nil {
 		return nil, err
 	}
-	return &conn{
-		Conn: nc, address: ad, idle: p.config.Idle,
-		reader: bufio.NewReaderSize(nc, max(p.config.Header, smallestHeader)), writer: bufio.NewWriterSize(nc, bufferSize),
+	return &pooledConn{
+		Conn: conn, address: address, idleTimeout: p.config.Idle,
+		reader: bufio.NewReaderSize(conn, max(p.config.Header, minReadBufferSize)), writer: bufio.NewWriterSize(conn, writeBufferSize),
 	}, nil
 }
 
-// Close closes the unused connections.
+// Close closes the idle connections.
 func (p *Pool) Close() {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	for ad, idle := range p.idle {
-		for _, cn := range idle {
-			_ = cn.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for address, idle := range p.idle {
+		for _, conn := range idle {
+			_ = conn.Close()
 		}
-		delete(p.idle, ad)
+		delete(p.idle, address)
 	}
 }
 
-// body reads an answer's body and gives its connection back.
+// body reads the body of a response and returns its connection to the pool.
 type body struct {
 	pool   *Pool
-	conn   *conn
+	conn   *pooledConn
 	stream io.Reader
-	// exchange tells whether the whole request was sent.
+	// exchange records whether the whole request was sent.
 	exchange *exchange
-	// stop ends the watch for cancellation; it reports whether it was in time.
+	// stop ends the watch for cancellation. It reports false if the connection has been
+	// closed because the context ended.
 	stop func() bool
-	// keep says that the connection may serve another exchange.
-	keep bool
-	// left is the number of bytes still to come; negative if it is not known.
-	left int
-	// ended says that the whole body was read.
+	// reusable is false if the response has "Connection: close".
+	reusable bool
+	// bytesLeft is the number of bytes still to be read; negative if it is not known.
+	bytesLeft int
+	// ended is true once the whole body has been read.
 	ended  bool
 	closed bool
 }
 
-// Read reads on.
+// Read reads the next bytes of the body. It fails if the peer sends nothing for
+// Config.Stall.
 func (b *body) Read(into []byte) (int, error) {
 	if b.ended {
 		return 0, io.EOF
 	}
-	b.conn.await(b.pool.config)
+	b.conn.extendReadDeadline(b.pool.config)
 	n, err := b.stream.Read(into)
-	b.left -= n
-	if err == io.EOF || b.left == 0 { //nolint:errorlint // readers return io.EOF itself
+	b.bytesLeft -= n
+	if err == io.EOF || b.bytesLeft == 0 { //nolint:errorlint // readers return io.EOF itself
 		b.ended = true
 	}
 	return n, err
 }
 
-// Close gives the connection back if the body was read to its end, and closes
-// it otherwise.
+// Close returns the connection to the pool if the whole request was sent, the body
+// was read to its end and the peer keeps the connection open. Otherwise it closes
+// the connection.
 func (b *body) Close() error {
 	if b.closed {
 		return nil
 	}
 	b.closed = true
-	if !b.stop() || !b.ended || !b.keep || !b.exchange.sent.Load() {
+	if !b.stop() || !b.ended || !b.reusable || !b.exchange.requestSent.Load() {
 		return b.conn.Close()
 	}
 	b.pool.put(b.conn)
 	return nil
 }
 
-// idleOf returns how long a connection may be kept unused: a part of what the
-// other end says, if it says so.
-func (p *Pool) idleOf(rs *fasthttp.Response) time.Duration {
-	_, text, found := strings.Cut(string(rs.Header.Peek("Keep-Alive")), "timeout=")
+// idleTimeoutOf returns how long the connection of a response may stay idle: half
+// of the time-out in its Keep-Alive header, and Config.Idle at most or without one.
+func (p *Pool) idleTimeoutOf(resp *fasthttp.Response) time.Duration {
+	_, text, found := strings.Cut(string(resp.Header.Peek("Keep-Alive")), "timeout=")
 	text, _, _ = strings.Cut(text, ",")
 	seconds, err := strconv.Atoi(strings.TrimSpace(text))
 	if !found || err != nil {
 		return p.config.Idle
 	}
-	const part = 2
-	return min(p.config.Idle, time.Duration(seconds)*time.Second/part)
+	const divisor = 2
+	return min(p.config.Idle, time.Duration(seconds)*time.Second/divisor)
 }
 
-// bound has a connection break when the other end acknowledges nothing for a
-// time.
-func bound(silence time.Duration) func(network, address string, raw syscall.RawConn) error {
+// setUserTimeout returns a control function for net.Dialer that sets
+// TCP_USER_TIMEOUT. A connection then breaks when the peer acknowledges none of the
+// bytes sent for this time.
+func setUserTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var err error
 		errControl := raw.Control(func(fd uintptr) {
-			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence/time.Millisecond)) //nolint:gosec // descriptors are small
+			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout/time.Millisecond)) //nolint:gosec // descriptors are small
 		})
 		return errors.Join(errControl, err)
 	}
--- a/internal/carobpool/pool_test.go
+++ b/internal/carobpool/pool_test.go
@@ -21,44 +21,46 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// peer is the other end of a pool's connections.
-type peer struct {
+// testServer is the server of a pool's connections.
+type testServer struct {
 	address carobaddress.Address
-	// opened and requests count the connections and the requests on them.
+	// opened and requests count the connections that were opened and the requests that
+	// were read.
 	opened, requests atomic.Int64
 }
 
-// listen has serve answer the requests of each connection, counted from 1. The
-// connection closes when it returns false.
-func listen(t *testing.T, serve func(cn net.Conn, rq *http.Request, connection, request int64) bool) *peer {
+// startServer starts a server that calls serve for each request. Connections and
+// requests are numbered from 1. A connection is closed when serve returns false.
+func startServer(t *testing.T, serve func(conn net.Conn, req *http.Request, connection, request int64) bool) *testServer {
 	t.Helper()
-	ls, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = ls.Close() })
-	p := &peer{address: carobaddress.Address(ls.Addr().String())}
+	t.Cleanup(func() { _ = listener.Close() })
+	p := &testServer{address: carobaddress.Address(listener.Addr().String())}
 	go func() {
 		for {
-			cn, err := ls.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go p.serve(cn, p.opened.Add(1), serve)
+			go p.serve(conn, p.opened.Add(1), serve)
 		}
 	}()
 	return p
 }
 
-func (p *peer) serve(cn net.Conn, connection int64, serve func(cn net.Conn, rq *http.Request, connection, request int64) bool) {
-	defer func() { _ = cn.Close() }()
-	reader := bufio.NewReader(cn)
+func (p *testServer) serve(conn net.Conn, connection int64, serve func(conn net.Conn, req *http.Request, connection, request int64) bool) {
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
 	for {
-		rq, err := http.ReadRequest(reader)
-		if err != nil || !serve(cn, rq, connection, p.requests.Add(1)) {
+		req, err := http.ReadRequest(reader)
+		if err != nil || !serve(conn, req, connection, p.requests.Add(1)) {
 			return
 		}
 	}
 }
 
+// newPool returns a pool; change, which may be nil, changes its parameters.
 func newPool(t *testing.T, change func(c *Config)) *Pool {
 	t.Helper()
 	timer := carobtimer.NewTimer()
@@ -72,324 +74,337 @@
 	return p
 }
 
-func request(method, path string) *fasthttp.Request {
-	rq := &fasthttp.Request{}
-	rq.Header.SetMethod(method)
-	rq.Header.SetRequestURI(path)
-	rq.Header.SetHost("lookups")
-	return rq
+// newRequest returns a request without a body.
+func newRequest(method, path string) *fasthttp.Request {
+	req := &fasthttp.Request{}
+	req.Header.SetMethod(method)
+	req.Header.SetRequestURI(path)
+	req.Header.SetHost("lookups")
+	return req
 }
 
-// ask exchanges one request and reads the whole answer.
-func ask(t *testing.T, p *Pool, pr *peer, rq *fasthttp.Request) (status int, body string, err error) {
+// roundTrip sends one request and reads the whole response.
+func roundTrip(t *testing.T, p *Pool, server *testServer, req *fasthttp.Request) (status int, body string, err error) {
 	t.Helper()
-	cx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	an, err := p.Do(cx, pr.address, rq, false)
+	answer, err := p.Do(ctx, server.address, req, false)
 	if err != nil {
 		return 0, "", err
 	}
-	data, err := io.ReadAll(an.Body)
-	require.NoError(t, an.Body.Close())
-	return an.Response.StatusCode(), string(data), err
+	data, err := io.ReadAll(answer.Body)
+	require.NoError(t, answer.Body.Close())
+	return answer.Response.StatusCode(), string(data), err
 }
 
-func reply(cn net.Conn, body string) bool {
-	_, err := fmt.Fprintf(cn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+// respond writes a response with a length, and reports whether that succeeded.
+func respond(conn net.Conn, body string) bool {
+	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err == nil
 }
 
-// A connection serves the next exchange only after an end beyond doubt. Each
-// case answers the first request in its own way and the second as it should be.
-func TestReuse(t *testing.T) {
+// TestConnectionReuse guards against a client that receives the response to another
+// request. That happens if a connection is reused although the end of the previous
+// response is uncertain. In each case the server answers the first request as
+// described and the second one correctly.
+func TestConnectionReuse(t *testing.T) {
 	for name, c := range map[string]struct {
-		first  func(cn net.Conn) bool
+		first  func(conn net.Conn) bool
 		opened int64
 		broken bool
 	}{
-		"clean end": {first: func(cn net.Conn) bool { return reply(cn, "/1") }, opened: 1},
-		"chunks": {first: func(cn net.Conn) bool {
-			_, _ = io.WriteString(cn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n/1\r\n0\r\n\r\n")
+		"clean end": {first: func(conn net.Conn) bool { return respond(conn, "/1") }, opened: 1},
+		"chunks": {first: func(conn net.Conn) bool {
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n/1\r\n0\r\n\r\n")
 			return true
 		}, opened: 1},
-		"interim answers first": {first: func(cn net.Conn) bool {
-			_, _ = io.WriteString(cn, "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
-			return reply(cn, "/1")
+		"interim responses first": {first: func(conn net.Conn) bool {
+			_, _ = io.WriteString(conn, "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
+			return respond(conn, "/1")
 		}, opened: 1},
-		"second answer nobody asked for": {first: func(cn net.Conn) bool {
-			_, _ = io.WriteString(cn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n/1HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil")
+		"second response without a request": {first: func(conn net.Conn) bool {
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n/1HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil")
 			return true
 		}, opened: 2},
-		"body longer than said": {first: func(cn net.Conn) bool {
-			_, _ = io.WriteString(cn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n/1more")
+		"body longer than its length": {first: func(conn net.Conn) bool {
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n/1more")
 			return true
 		}, opened: 2},
-		"said to close": {first: func(cn net.Conn) bool {
-			_, _ = io.WriteString(cn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\n/1")
+		"Connection: close": {first: func(conn net.Conn) bool {
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\n/1")
 			return true
 		}, opened: 2},
-		"closed afterwards": {first: func(cn net.Conn) bool {
-			reply(cn, "/1")
+		"closed after the response": {first: func(conn net.Conn) bool {
+			respond(conn, "/1")
 			return false
 		}, opened: 2},
-		"short body": {first: func(cn net.Conn) bool {
-			_, _ = io.WriteString(cn, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n/1")
+		"short body": {first: func(conn net.Conn) bool {
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n/1")
 			return false
 		}, opened: 2, broken: true},
-		"chunks without an end": {first: func(cn net.Conn) bool {
-			_, _ = io.WriteString(cn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n/1\r\n")
+		"chunks without an end": {first: func(conn net.Conn) bool {
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n/1\r\n")
 			return false
 		}, opened: 2, broken: true},
-		"no length": {first: func(cn net.Conn) bool {
-			_, _ = io.WriteString(cn, "HTTP/1.1 200 OK\r\n\r\n/1")
+		"no length": {first: func(conn net.Conn) bool {
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n/1")
 			return false
 		}, opened: 2, broken: true},
-		"two lengths": {first: func(cn net.Conn) bool {
-			_, _ = io.WriteString(cn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n/1")
+		"two lengths": {first: func(conn net.Conn) bool {
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n/1")
 			return true
 		}, opened: 2, broken: true},
-		"length and chunks": {first: func(cn net.Conn) bool {
-			_, _ = io.WriteString(cn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n/1\r\n0\r\n\r\n")
+		"length and chunks": {first: func(conn net.Conn) bool {
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n/1\r\n0\r\n\r\n")
 			return true
 		}, opened: 2, broken: true},
-		"switched protocols": {first: func(cn net.Conn) bool {
-			_, _ = io.WriteString(cn, "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n")
+		"switched protocols": {first: func(conn net.Conn) bool {
+			_, _ = io.WriteString(conn, "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n")
 			return true
 		}, opened: 2, broken: true},
-		"closed without an answer": {first: func(net.Conn) bool { return false }, opened: 2, broken: true},
+		"closed without a response": {first: func(net.Conn) bool { return false }, opened: 2, broken: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			pr := listen(t, func(cn net.Conn, rq *http.Request, _, request int64) bool {
+			server := startServer(t, func(conn net.Conn, req *http.Request, _, request int64) bool {
 				if request == 1 {
-					return c.first(cn)
+					return c.first(conn)
 				}
-				return reply(cn, rq.URL.Path)
+				return respond(conn, req.URL.Path)
 			})
 			p := newPool(t, nil)
-			_, body, err := ask(t, p, pr, request(fasthttp.MethodGet, "/1"))
+			_, body, err := roundTrip(t, p, server, newRequest(fasthttp.MethodGet, "/1"))
 			if c.broken {
 				require.Error(t, err)
 			} else {
 				require.NoError(t, err)
 				require.Equal(t, "/1", body)
 			}
-			// A close from the other end needs a moment to arrive here.
-			require.Eventually(t, func() bool { return c.opened == 1 || idleQuiet(p, pr) == 0 }, 5*time.Second, time.Millisecond)
-			_, body, err = ask(t, p, pr, request(fasthttp.MethodGet, "/2"))
+			// The server's close takes a moment to arrive.
+			require.Eventually(t, func() bool { return c.opened == 1 || reusableConns(p, server) == 0 }, 5*time.Second, time.Millisecond)
+			_, body, err = roundTrip(t, p, server, newRequest(fasthttp.MethodGet, "/2"))
 			require.NoError(t, err)
-			require.Equal(t, "/2", body, "the next asker gets its own answer")
-			require.Equal(t, c.opened, pr.opened.Load())
-			require.Equal(t, int64(2), pr.requests.Load(), "no request is sent again by itself")
+			require.Equal(t, "/2", body, "the next request gets its own response")
+			require.Equal(t, c.opened, server.opened.Load())
+			require.Equal(t, int64(2), server.requests.Load(), "the pool resends no request")
 		})
 	}
 }
 
-// idleQuiet returns how many unused connections could serve an exchange now.
-func idleQuiet(p *Pool, pr *peer) int {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+// reusableConns returns how many idle connections could serve an exchange now.
+func reusableConns(p *Pool, server *testServer) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	n := 0
-	for _, cn := range p.idle[pr.address] {
-		if quiet(cn) {
+	for _, conn := range p.idle[server.address] {
+		if isReusable(conn) {
 			n++
 		}
 	}
 	return n
 }
 
-// Bytes that come on an unused connection are nobody's answer.
-func TestUnsolicitedBytes(t *testing.T) {
-	more := make(chan struct{})
-	pr := listen(t, func(cn net.Conn, rq *http.Request, connection, _ int64) bool {
-		reply(cn, rq.URL.Path)
+// TestUnsolicitedBytesOnIdleConnection guards against taking bytes that arrive on an
+// idle connection for the response to the next request.
+func TestUnsolicitedBytesOnIdleConnection(t *testing.T) {
+	sendMore := make(chan struct{})
+	server := startServer(t, func(conn net.Conn, req *http.Request, connection, _ int64) bool {
+		respond(conn, req.URL.Path)
 		if connection == 1 {
-			<-more
-			return reply(cn, "evil")
+			<-sendMore
+			return respond(conn, "evil")
 		}
 		return true
 	})
 	p := newPool(t, nil)
-	_, _, err := ask(t, p, pr, request(fasthttp.MethodGet, "/1"))
+	_, _, err := roundTrip(t, p, server, newRequest(fasthttp.MethodGet, "/1"))
 	require.NoError(t, err)
-	close(more)
-	require.Eventually(t, func() bool { return idleQuiet(p, pr) == 0 }, 5*time.Second, time.Millisecond)
-	_, body, err := ask(t, p, pr, request(fasthttp.MethodGet, "/2"))
+	close(sendMore)
+	require.Eventually(t, func() bool { return reusableConns(p, server) == 0 }, 5*time.Second, time.Millisecond)
+	_, body, err := roundTrip(t, p, server, newRequest(fasthttp.MethodGet, "/2"))
 	require.NoError(t, err)
 	require.Equal(t, "/2", body)
 }
 
-// The answer to an exchange that was given up never reaches the next asker, and
-// the other end sees the connection close.
-func TestAbandonedExchange(t *testing.T) {
-	asked, closed, late := make(chan struct{}), make(chan error, 1), make(chan struct{})
-	pr := listen(t, func(cn net.Conn, rq *http.Request, connection, _ int64) bool {
+// TestCancelledExchangeClosesConnection guards against taking the response to a
+// cancelled request for the response to the next one. The server sees that the
+// connection closes.
+func TestCancelledExchangeClosesConnection(t *testing.T) {
+	requestRead, closed, respondLate := make(chan struct{}), make(chan error, 1), make(chan struct{})
+	server := startServer(t, func(conn net.Conn, req *http.Request, connection, _ int64) bool {
 		if connection > 1 {
-			return reply(cn, rq.URL.Path)
+			return respond(conn, req.URL.Path)
 		}
-		close(asked)
-		<-late
-		_, err := cn.Read(make([]byte, 1))
-		reply(cn, "evil")
+		close(requestRead)
+		<-respondLate
+		_, err := conn.Read(make([]byte, 1))
+		respond(conn, "evil")
 		closed <- err
 		return false
 	})
 	p := newPool(t, nil)
-	cx, cancel := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-asked
+		<-requestRead
 		cancel()
 	}()
-	_, err := p.Do(cx, pr.address, request(fasthttp.MethodPost, "/1"), false)
+	_, err := p.Do(ctx, server.address, newRequest(fasthttp.MethodPost, "/1"), false)
 	require.Equal(t, carobkind.Cancelled, carobkind.Of(err))
-	close(late)
+	close(respondLate)
 	require.ErrorIs(t, <-closed, io.EOF)
-	_, body, err := ask(t, p, pr, request(fasthttp.MethodPost, "/2"))
+	_, body, err := roundTrip(t, p, server, newRequest(fasthttp.MethodPost, "/2"))
 	require.NoError(t, err)
 	require.Equal(t, "/2", body)
 }
 
-// An answer whose body nobody read to the end takes its connection with it.
-func TestUnreadAnswer(t *testing.T) {
-	pr := listen(t, func(cn net.Conn, rq *http.Request, _, _ int64) bool {
-		return reply(cn, rq.URL.Path+strings.Repeat("x", 10_000))
+// TestUnreadResponseClosesConnection guards against reusing a connection on which
+// part of a response's body has not been read.
+func TestUnreadResponseClosesConnection(t *testing.T) {
+	server := startServer(t, func(conn net.Conn, req *http.Request, _, _ int64) bool {
+		return respond(conn, req.URL.Path+strings.Repeat("x", 10_000))
 	})
 	p := newPool(t, nil)
-	an, err := p.Do(t.Context(), pr.address, request(fasthttp.MethodGet, "/1"), false)
+	answer, err := p.Do(t.Context(), server.address, newRequest(fasthttp.MethodGet, "/1"), false)
 	require.NoError(t, err)
-	_, err = an.Body.Read(make([]byte, 10))
+	_, err = answer.Body.Read(make([]byte, 10))
 	require.NoError(t, err)
-	require.NoError(t, an.Body.Close())
-	_, body, err := ask(t, p, pr, request(fasthttp.MethodGet, "/2"))
+	require.NoError(t, answer.Body.Close())
+	_, body, err := roundTrip(t, p, server, newRequest(fasthttp.MethodGet, "/2"))
 	require.NoError(t, err)
 	require.True(t, strings.HasPrefix(body, "/2"))
-	require.Equal(t, int64(2), pr.opened.Load())
+	require.Equal(t, int64(2), server.opened.Load())
 }
 
-// touched is a body that tells whether a byte of it was asked for.
-type touched struct {
+// countingBody is a body that counts how often it is read.
+type countingBody struct {
 	io.Reader
 	reads atomic.Int64
 }
 
-func (b *touched) Read(into []byte) (int, error) {
+func (b *countingBody) Read(into []byte) (int, error) {
 	b.reads.Add(1)
 	return b.Reader.Read(into)
 }
 
-// A refusal uses nothing of a body up that waits to be asked for.
-func TestRefusedBeforeBody(t *testing.T) {
-	pr := listen(t, func(cn net.Conn, rq *http.Request, _, _ int64) bool {
-		if rq.Header.Get("Expect") == "" {
+// TestRefusalReadsNoBody guards against reading the body of a request that the server
+// refuses instead of sending 100 Continue. Such a body can be sent to another target.
+func TestRefusalReadsNoBody(t *testing.T) {
+	server := startServer(t, func(conn net.Conn, req *http.Request, _, _ int64) bool {
+		if req.Header.Get("Expect") == "" {
 			return false
 		}
-		_, _ = io.WriteString(cn, "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		return false
 	})
 	p := newPool(t, func(c *Config) { c.Ask = true })
-	bd := &touched{Reader: strings.NewReader(strings.Repeat("x", 100_000))}
-	rq := request(fasthttp.MethodPost, "/1")
-	rq.SetBodyStream(bd, 100_000)
-	status, _, err := ask(t, p, pr, rq)
+	body := &countingBody{Reader: strings.NewReader(strings.Repeat("x", 100_000))}
+	req := newRequest(fasthttp.MethodPost, "/1")
+	req.SetBodyStream(body, 100_000)
+	status, _, err := roundTrip(t, p, server, req)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, status)
-	require.Zero(t, bd.reads.Load())
+	require.Zero(t, body.reads.Load())
 }
 
-// A body that waits goes once it is asked for, whatever its length says.
-func TestAskedBody(t *testing.T) {
-	pr := listen(t, func(cn net.Conn, rq *http.Request, _, _ int64) bool {
-		if rq.Header.Get("Expect") != "100-continue" {
+// TestBodyIsSentAfterContinue checks that the body is sent after 100 Continue, both
+// with a length and in chunks.
+func TestBodyIsSentAfterContinue(t *testing.T) {
+	server := startServer(t, func(conn net.Conn, req *http.Request, _, _ int64) bool {
+		if req.Header.Get("Expect") != "100-continue" {
 			return false
 		}
-		_, _ = io.WriteString(cn, "HTTP/1.1 100 Continue\r\n\r\n")
-		data, err := io.ReadAll(rq.Body)
-		return err == nil && reply(cn, fmt.Sprint(len(data)))
+		_, _ = io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n")
+		data, err := io.ReadAll(req.Body)
+		return err == nil && respond(conn, fmt.Sprint(len(data)))
 	})
 	p := newPool(t, func(c *Config) { c.Ask = true })
 	for _, length := range []int{100_000, -1} {
-		rq := request(fasthttp.MethodPost, "/1")
-		rq.SetBodyStream(strings.NewReader(strings.Repeat("x", 100_000)), length)
-		_, body, err := ask(t, p, pr, rq)
+		req := newRequest(fasthttp.MethodPost, "/1")
+		req.SetBodyStream(strings.NewReader(strings.Repeat("x", 100_000)), length)
+		_, body, err := roundTrip(t, p, server, req)
 		require.NoError(t, err)
 		require.Equal(t, "100000", body)
 	}
 }
 
-// endless is a body that never ends.
-type endless struct{}
+// endlessBody is a body that never ends.
+type endlessBody struct{}
 
-func (endless) Read(into []byte) (int, error) { return len(into), nil }
+func (endlessBody) Read(into []byte) (int, error) { return len(into), nil }
 
-// An answer that comes while the body is still going is seen, and the
-// connection is not used again.
-func TestEarlyAnswer(t *testing.T) {
-	pr := listen(t, func(cn net.Conn, rq *http.Request, connection, _ int64) bool {
+// TestResponseDuringBody guards against missing a response that arrives while the
+// body is still being sent, and against reusing the connection afterwards.
+func TestResponseDuringBody(t *testing.T) {
+	server := startServer(t, func(conn net.Conn, req *http.Request, connection, _ int64) bool {
 		if connection > 1 {
-			return reply(cn, rq.URL.Path)
+			return respond(conn, req.URL.Path)
 		}
-		_, _ = io.WriteString(cn, "HTTP/1.1 413 Content Too Large\r\nContent-Length: 0\r\n\r\n")
-		_, _ = io.Copy(io.Discard, rq.Body)
+		_, _ = io.WriteString(conn, "HTTP/1.1 413 Content Too Large\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.Copy(io.Discard, req.Body)
 		return false
 	})
 	p := newPool(t, nil)
-	rq := request(fasthttp.MethodPost, "/1")
-	rq.SetBodyStream(endless{}, 1<<50)
-	status, _, err := ask(t, p, pr, rq)
+	req := newRequest(fasthttp.MethodPost, "/1")
+	req.SetBodyStream(endlessBody{}, 1<<50)
+	status, _, err := roundTrip(t, p, server, req)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusRequestEntityTooLarge, status)
-	_, body, err := ask(t, p, pr, request(fasthttp.MethodGet, "/2"))
+	_, body, err := roundTrip(t, p, server, newRequest(fasthttp.MethodGet, "/2"))
 	require.NoError(t, err)
 	require.Equal(t, "/2", body)
-	require.Equal(t, int64(2), pr.opened.Load())
+	require.Equal(t, int64(2), server.opened.Load())
 }
 
-// A body whose source fails is never ended as if it were whole.
-func TestBrokenSource(t *testing.T) {
+// TestFailedBodyIsNotCompleted guards against a server that takes the first part of a
+// body for the whole when reading the rest from its source fails.
+func TestFailedBodyIsNotCompleted(t *testing.T) {
 	for name, length := range map[string]int{"length": 100_000, "chunks": -1} {
 		t.Run(name, func(t *testing.T) {
 			seen := make(chan error, 1)
-			pr := listen(t, func(_ net.Conn, rq *http.Request, _, _ int64) bool {
-				_, err := io.Copy(io.Discard, rq.Body)
+			server := startServer(t, func(_ net.Conn, req *http.Request, _, _ int64) bool {
+				_, err := io.Copy(io.Discard, req.Body)
 				seen <- err
 				return false
 			})
-			rq := request(fasthttp.MethodPost, "/1")
-			broken := io.MultiReader(strings.NewReader(strings.Repeat("x", 50_000)), failing{})
-			rq.SetBodyStream(broken, length)
-			_, _, err := ask(t, newPool(t, nil), pr, rq)
+			req := newRequest(fasthttp.MethodPost, "/1")
+			broken := io.MultiReader(strings.NewReader(strings.Repeat("x", 50_000)), failingReader{})
+			req.SetBodyStream(broken, length)
+			_, _, err := roundTrip(t, newPool(t, nil), server, req)
 			require.Equal(t, carobkind.Cut, carobkind.Of(err))
 			require.Error(t, <-seen)
 		})
 	}
 }
 
-type failing struct{}
+// failingReader is a body that fails at once.
+type failingReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, errors.New("cut") }
+func (failingReader) Read([]byte) (int, error) { return 0, errors.New("cut") }
 
-// A body that stands still is cut, in both directions.
-func TestStall(t *testing.T) {
+// TestStalledResponseBody guards against waiting forever for the rest of a response
+// body that the server stops sending.
+func TestStalledResponseBody(t *testing.T) {
 	stuck := make(chan struct{})
 	t.Cleanup(func() { close(stuck) })
-	pr := listen(t, func(cn net.Conn, rq *http.Request, _, _ int64) bool {
-		if rq.URL.Path == "/answer" {
-			_, _ = io.WriteString(cn, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n/1")
+	server := startServer(t, func(conn net.Conn, req *http.Request, _, _ int64) bool {
+		if req.URL.Path == "/answer" {
+			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n/1")
 		}
 		<-stuck
 		return false
 	})
 	p := newPool(t, func(c *Config) { c.Stall = 100 * time.Millisecond })
-	_, _, err := ask(t, p, pr, request(fasthttp.MethodGet, "/answer"))
+	_, _, err := roundTrip(t, p, server, newRequest(fasthttp.MethodGet, "/answer"))
 	require.Error(t, err)
 }
 
-// Nothing was sent if no connection could be opened.
+// TestUnreachable checks that the error for a connection that cannot be opened says
+// that the call did not run.
 func TestUnreachable(t *testing.T) {
-	ls, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	address := carobaddress.Address(ls.Addr().String())
-	require.NoError(t, ls.Close())
-	_, err = newPool(t, nil).Do(t.Context(), address, request(fasthttp.MethodGet, "/1"), false)
+	address := carobaddress.Address(listener.Addr().String())
+	require.NoError(t, listener.Close())
+	_, err = newPool(t, nil).Do(t.Context(), address, newRequest(fasthttp.MethodGet, "/1"), false)
 	require.Equal(t, carobkind.Unreachable, carobkind.Of(err))
 	require.True(t, carobkind.Of(err).NotRun())
 }
