--- a/internal/carobtransport/cost_test.go
+++ b/internal/carobtransport/cost_test.go
@@ -21,67 +21,69 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// counted counts the bytes of its connections, both ways.
-type counted struct {
+// countingListener counts the bytes of its connections in both directions.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-func (c counted) Accept() (net.Conn, error) {
-	cn, err := c.Listener.Accept()
-	return countedConn{Conn: cn, bytes: c.bytes}, err
+func (c countingListener) Accept() (net.Conn, error) {
+	conn, err := c.Listener.Accept()
+	return countingConn{Conn: conn, bytes: c.bytes}, err
 }
 
-type countedConn struct {
+// countingConn adds the bytes that it reads and writes to a counter.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c countedConn) Read(into []byte) (int, error) {
+func (c countingConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(data []byte) (int, error) {
+func (c countingConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// What the budget of measuring takes for a message is more than the message and
-// its answer cost on the wire, both ways together.
-func TestMeasuringCostsLessThanItsPrice(t *testing.T) {
+// TestLoadMessageCostsLessThanItsPrice guards against probes and reports that exceed
+// the byte limit of probing. That happens if a message and its response take more bytes
+// on the wire, in both directions together, than the limiter charges for the message.
+func TestLoadMessageCostsLessThanItsPrice(t *testing.T) {
 	codec, err := carobcodec.NewCodec()
 	require.NoError(t, err)
-	ls, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var bytes atomic.Int64
 	mailbox := carobmailbox.NewMailbox()
-	r := NewTransport(Config{Mailbox: mailbox, Codec: codec})
-	go func() { _ = r.Serve(counted{Listener: ls, bytes: &bytes}) }()
-	t.Cleanup(func() { require.NoError(t, r.Shutdown(context.Background())) })
+	transport := NewTransport(Config{Mailbox: mailbox, Codec: codec})
+	go func() { _ = transport.Serve(countingListener{Listener: listener, bytes: &bytes}) }()
+	t.Cleanup(func() { require.NoError(t, transport.Shutdown(context.Background())) })
 
 	target := carobtargetid.ID{Service: "declarations", Name: "target-17"}
-	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{
+	world := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{
 		Node: "node-in-a-data-centre-17", Peer: "192.168.100.100:65535", Incarnation: 1 << 60,
 	}})
 	const messages = 40
 	for i := range messages {
-		ms := carobmessage.Message{
-			To: carobaddress.Address(ls.Addr().String()), From: w.Self.Node, Incarnation: w.Self.Incarnation, Back: w.Self.Peer,
+		message := carobmessage.Message{
+			To: carobaddress.Address(listener.Addr().String()), From: world.Self.Node, Incarnation: world.Self.Incarnation, Back: world.Self.Peer,
 		}
 		if i%2 == 0 {
-			ms.Poll = &carobpoll.Poll{Target: target}
+			message.Poll = &carobpoll.Poll{Target: target}
 		} else {
-			ms.Report = &carobreport.Report{Target: target, Running: 1 << 20, Queued: 1 << 20, Slots: 1 << 20, Latency: 1<<62 + 1}
+			message.Report = &carobreport.Report{Target: target, Running: 1 << 20, Queued: 1 << 20, Slots: 1 << 20, Latency: 1<<62 + 1}
 		}
-		r.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{ms}})
+		transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{message}})
 		ok := mailbox.Await(t.Context())
-		in := mailbox.Take()
+		inbox := mailbox.Take()
 		require.True(t, ok)
-		require.Len(t, in.Messages, 1)
+		require.Len(t, inbox.Messages, 1)
 	}
-	require.Less(t, float64(bytes.Load()), messages*carobprobing.Price(w, target))
-	t.Logf("%d bytes a message, priced at %.0f", bytes.Load()/messages, carobprobing.Price(w, target))
+	require.Less(t, float64(bytes.Load()), messages*carobprobing.Price(world, target))
+	t.Logf("%d bytes a message, charged as %.0f", bytes.Load()/messages, carobprobing.Price(world, target))
 }
--- a/internal/carobtransport/messages_test.go
+++ b/internal/carobtransport/messages_test.go
@@ -22,118 +22,132 @@
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
 )
 
-type end struct {
+// endpoint is a transport that listens, with its mailbox and address.
+type endpoint struct {
 	transport *carobtransport.Transport
 	mailbox   *carobmailbox.Mailbox
 	address   carobaddress.Address
 }
 
-func newEnd(t *testing.T) *end {
+func newEndpoint(t *testing.T) *endpoint {
 	t.Helper()
 	codec, err := carobcodec.NewCodec()
 	require.NoError(t, err)
-	ls, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	mailbox := carobmailbox.NewMailbox()
-	e := &end{mailbox: mailbox, address: carobaddress.Address(ls.Addr().String())}
+	e := &endpoint{mailbox: mailbox, address: carobaddress.Address(listener.Addr().String())}
 	e.transport = carobtransport.NewTransport(carobtransport.Config{Mailbox: mailbox, Codec: codec})
-	go func() { _ = e.transport.Serve(ls) }()
+	go func() { _ = e.transport.Serve(listener) }()
 	t.Cleanup(func() { _ = e.transport.Shutdown(context.Background()) })
 	return e
 }
 
-func fetch(from *end, to carobaddress.Address) carobmessage.Message {
+// fetch returns a valid message.
+func fetch(from *endpoint, to carobaddress.Address) carobmessage.Message {
 	return carobmessage.Message{To: to, From: "first", Back: from.address, Fetch: &carobfetch.Fetch{From: 3}}
 }
 
-func (e *end) take(t *testing.T) []carobmessage.Message {
+// take waits for messages and returns them.
+func (e *endpoint) take(t *testing.T) []carobmessage.Message {
 	t.Helper()
-	cx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	ok := e.mailbox.Await(cx)
-	in := e.mailbox.Take()
+	ok := e.mailbox.Await(ctx)
+	inbox := e.mailbox.Take()
 	require.True(t, ok)
-	return in.Messages
+	return inbox.Messages
 }
 
+// TestMessagesArrive checks that the messages of a tick to one node arrive together
+// and unchanged.
 func TestMessagesArrive(t *testing.T) {
-	a, b := newEnd(t), newEnd(t)
-	a.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{fetch(a, b.address), fetch(a, b.address)}})
-	got := b.take(t)
+	sender, receiver := newEndpoint(t), newEndpoint(t)
+	sender.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{fetch(sender, receiver.address), fetch(sender, receiver.address)}})
+	got := receiver.take(t)
 	require.Len(t, got, 2)
 	require.EqualValues(t, 3, got[0].Fetch.From)
-	require.Equal(t, a.address, got[0].Back)
+	require.Equal(t, sender.address, got[0].Back)
 }
 
-func TestShutdownSendsWhatIsLeft(t *testing.T) {
-	a, b := newEnd(t), newEnd(t)
-	a.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{fetch(a, b.address)}})
-	require.NoError(t, a.transport.Shutdown(t.Context()))
-	require.Len(t, b.take(t), 1)
+// TestShutdownSendsPendingMessages guards against losing the last messages of a node
+// that shuts down, such as its announcement that it leaves.
+func TestShutdownSendsPendingMessages(t *testing.T) {
+	sender, receiver := newEndpoint(t), newEndpoint(t)
+	sender.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{fetch(sender, receiver.address)}})
+	require.NoError(t, sender.transport.Shutdown(t.Context()))
+	require.Len(t, receiver.take(t), 1)
 }
 
-func TestMessagesThatBreakTheirRulesAreDropped(t *testing.T) {
-	a, b := newEnd(t), newEnd(t)
-	bad := fetch(a, b.address)
-	bad.Fetch = &carobfetch.Fetch{From: -1}
-	unnamed := fetch(a, b.address)
-	unnamed.Back = ""
-	crowd := fetch(a, b.address)
-	crowd.Gossip = &carobgossip.Gossip{Members: make([]carobmember.Member, carobgossip.Most+1)}
-	a.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{bad, fetch(a, b.address)}})
-	require.Len(t, b.take(t), 1, "the good one gets through")
-	require.EqualValues(t, 1, b.transport.Broken())
-	a.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{crowd}})
-	a.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{unnamed, fetch(a, b.address)}})
-	require.Eventually(t, func() bool { return b.transport.Broken() == 3 }, 10*time.Second, time.Millisecond)
+// TestInvalidMessagesAreDropped guards against an invalid message that reaches the
+// control goroutine. The valid messages of the same request must still be received.
+func TestInvalidMessagesAreDropped(t *testing.T) {
+	sender, receiver := newEndpoint(t), newEndpoint(t)
+	invalid := fetch(sender, receiver.address)
+	invalid.Fetch = &carobfetch.Fetch{From: -1}
+	withoutReplyAddress := fetch(sender, receiver.address)
+	withoutReplyAddress.Back = ""
+	tooManyMembers := fetch(sender, receiver.address)
+	tooManyMembers.Gossip = &carobgossip.Gossip{Members: make([]carobmember.Member, carobgossip.Most+1)}
+	sender.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{invalid, fetch(sender, receiver.address)}})
+	require.Len(t, receiver.take(t), 1, "the valid message is received")
+	require.EqualValues(t, 1, receiver.transport.Broken())
+	sender.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{tooManyMembers}})
+	sender.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{withoutReplyAddress, fetch(sender, receiver.address)}})
+	require.Eventually(t, func() bool { return receiver.transport.Broken() == 3 }, 10*time.Second, time.Millisecond)
 }
 
-func TestGarbageIsRefused(t *testing.T) {
-	e := newEnd(t)
+// TestUndecodableRequestIsRejected checks that a request that cannot be decoded as a
+// batch gets status 400 and is counted.
+func TestUndecodableRequestIsRejected(t *testing.T) {
+	e := newEndpoint(t)
 	protocols := &http.Protocols{}
 	protocols.SetUnencryptedHTTP2(true)
 	client := &http.Client{Transport: &http.Transport{Protocols: protocols}}
-	for _, garbage := range [][]byte{{0xff}, bytes.Repeat([]byte{0x81}, 1000), []byte("hello"), {0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}} {
-		rq, err := http.NewRequest(http.MethodPost, "http://"+string(e.address)+"/carobknot.v1.Peer/Tell", bytes.NewReader(garbage))
+	for _, data := range [][]byte{{0xff}, bytes.Repeat([]byte{0x81}, 1000), []byte("hello"), {0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}} {
+		req, err := http.NewRequest(http.MethodPost, "http://"+string(e.address)+"/carobknot.v1.Peer/Tell", bytes.NewReader(data))
 		require.NoError(t, err)
-		rq.Header.Set("Content-Type", "application/cbor")
-		rs, err := client.Do(rq)
+		req.Header.Set("Content-Type", "application/cbor")
+		resp, err := client.Do(req)
 		require.NoError(t, err)
-		require.NoError(t, rs.Body.Close())
-		require.Equal(t, http.StatusBadRequest, rs.StatusCode)
+		require.NoError(t, resp.Body.Close())
+		require.Equal(t, http.StatusBadRequest, resp.StatusCode)
 	}
 	require.EqualValues(t, 4, e.transport.Broken())
 }
 
-// A node that does not answer costs a bounded number of requests on their way.
-func TestSilentNodeCostsLittle(t *testing.T) {
-	a := newEnd(t)
-	ls, err := net.Listen("tcp", "127.0.0.1:0")
+// TestUnresponsiveNodeHasLimitedRequests guards against goroutines and connections that
+// pile up for a node that accepts connections but does not answer.
+func TestUnresponsiveNodeHasLimitedRequests(t *testing.T) {
+	sender := newEndpoint(t)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer func() { _ = ls.Close() }()
-	silent := carobaddress.Address(ls.Addr().String())
+	defer func() { _ = listener.Close() }()
+	silent := carobaddress.Address(listener.Addr().String())
 	for range 100 {
-		a.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{fetch(a, silent)}})
+		sender.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{fetch(sender, silent)}})
 	}
-	require.EqualValues(t, 100-64, a.transport.Dropped())
+	require.EqualValues(t, 100-64, sender.transport.Dropped())
 }
 
+// FuzzUnmarshal checks that no input makes the codec panic, and that a decoded batch
+// with a valid message can be encoded again.
 func FuzzUnmarshal(f *testing.F) {
 	codec, err := carobcodec.NewCodec()
 	require.NoError(f, err)
-	seed, err := codec.Marshal(&carobbatch.Batch{Messages: []carobmessage.Message{{From: "first", Back: "127.0.0.1:1", Fetch: &carobfetch.Fetch{From: 1}}}})
+	encoded, err := codec.Marshal(&carobbatch.Batch{Messages: []carobmessage.Message{{From: "first", Back: "127.0.0.1:1", Fetch: &carobfetch.Fetch{From: 1}}}})
 	require.NoError(f, err)
-	f.Add(seed)
+	f.Add(encoded)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var bt carobbatch.Batch
-		if codec.Unmarshal(data, &bt) != nil {
+		var batch carobbatch.Batch
+		if codec.Unmarshal(data, &batch) != nil {
 			return
 		}
-		for i := range bt.Messages {
-			if bt.Messages[i].Check() != nil {
+		for i := range batch.Messages {
+			if batch.Messages[i].Check() != nil {
 				continue
 			}
-			_, err := codec.Marshal(bt)
+			_, err := codec.Marshal(batch)
 			require.NoError(t, err)
 			return
 		}
--- a/internal/carobtransport/transport.go
+++ b/internal/carobtransport/transport.go
@@ -1,4 +1,4 @@
-// Package carobtransport carries control messages between nodes.
+// Package carobtransport sends and receives the control messages between nodes.
 package carobtransport
 
 import (
@@ -21,171 +21,179 @@
 
 const (
 	procedure = "/carobknot.v1.Peer/Tell"
-	// patience is how long a request may take.
-	patience = 2 * time.Second
-	// silence is how long a connection may be quiet before it is checked.
-	silence = time.Second
-	// inFlight is the most requests on their way to one node.
-	inFlight = 64
-	// idle is how long a connection is kept that carries nothing.
-	idle = 30 * time.Second
-	// spoken is the most addresses that are remembered.
-	spoken = 4096
-	// longest is the most bytes of one request.
-	longest = 4 << 20
+	// requestTimeout is the time-out of a request, and of reading the header of one.
+	requestTimeout = 2 * time.Second
+	// pingTimeout is how long a connection may be without traffic before the client pings the
+	// peer, and how long the answer to the ping may take.
+	pingTimeout = time.Second
+	// maxInFlight is the largest number of concurrent requests to one node.
+	maxInFlight = 64
+	// idleTimeout is how long the client keeps an idle connection; the server keeps it twice
+	// as long.
+	idleTimeout = 30 * time.Second
+	// maxClients is the largest number of addresses for which a client is kept.
+	maxClients = 4096
+	// maxRequestSize is the largest size of a request, in bytes.
+	maxRequestSize = 4 << 20
 )
 
-// Config is how a transport is made.
+// Config holds the parameters of a transport.
 type Config struct {
 	Mailbox *carobmailbox.Mailbox
 	Codec   *carobcodec.Codec
 }
 
-// Transport sends and takes control messages.
+// Transport sends and receives control messages.
 type Transport struct {
 	config Config
 	client *http.Client
 	server *http.Server
-	mutex  sync.Mutex
-	// flying has how many requests are on their way to each address.
-	flying map[carobaddress.Address]int
-	// sends is done when no request is on its way.
-	sends sync.WaitGroup
-	// dropped counts messages that were not sent, since too many were on their way
-	// to a node; broken counts those that came and break their own rules.
+	mu     sync.Mutex
+	// inFlight has the number of concurrent requests to each address.
+	inFlight map[carobaddress.Address]int
+	// pending counts the requests in flight.
+	pending sync.WaitGroup
+	// dropped counts the messages that were not sent because too many requests to their
+	// node were in flight; broken counts the received messages that were rejected as
+	// invalid.
 	dropped, broken atomic.Uint64
-	// clients has a client for each address that was spoken to.
-	clients map[carobaddress.Address]*connect.Client[carobbatch.Batch, empty]
+	// clients has a client for each address that messages were sent to.
+	clients map[carobaddress.Address]*connect.Client[carobbatch.Batch, emptyResponse]
 }
 
-// empty answers requests.
-type empty struct{}
+// emptyResponse is the response to a request.
+type emptyResponse struct{}
 
 // NewTransport returns a transport that does not listen yet.
 func NewTransport(c Config) *Transport {
 	protocols := &http.Protocols{}
 	protocols.SetUnencryptedHTTP2(true)
-	http2 := &http.HTTP2Config{SendPingTimeout: silence, PingTimeout: silence}
-	r := &Transport{
-		config:  c,
-		client:  &http.Client{Transport: &http.Transport{Protocols: protocols, HTTP2: http2, IdleConnTimeout: idle}},
-		flying:  map[carobaddress.Address]int{},
-		clients: map[carobaddress.Address]*connect.Client[carobbatch.Batch, empty]{},
+	http2 := &http.HTTP2Config{SendPingTimeout: pingTimeout, PingTimeout: pingTimeout}
+	t := &Transport{
+		config:   c,
+		client:   &http.Client{Transport: &http.Transport{Protocols: protocols, HTTP2: http2, IdleConnTimeout: idleTimeout}},
+		inFlight: map[carobaddress.Address]int{},
+		clients:  map[carobaddress.Address]*connect.Client[carobbatch.Batch, emptyResponse]{},
 	}
 	mux := http.NewServeMux()
-	mux.Handle(procedure, connect.NewUnaryHandler(procedure, r.take,
-		connect.WithCodec(c.Codec), connect.WithReadMaxBytes(longest)))
-	r.server = &http.Server{Handler: mux, Protocols: protocols, ReadHeaderTimeout: patience, IdleTimeout: 2 * idle}
-	return r
+	mux.Handle(procedure, connect.NewUnaryHandler(procedure, t.receive,
+		connect.WithCodec(c.Codec), connect.WithReadMaxBytes(maxRequestSize)))
+	t.server = &http.Server{Handler: mux, Protocols: protocols, ReadHeaderTimeout: requestTimeout, IdleTimeout: 2 * idleTimeout}
+	return t
 }
 
-// Serve takes messages until Shutdown.
-func (r *Transport) Serve(ls net.Listener) error {
-	return r.server.Serve(ls)
+// Serve receives messages until Shutdown.
+func (t *Transport) Serve(listener net.Listener) error {
+	return t.server.Serve(listener)
 }
 
-// Dropped returns how many messages were not sent.
-func (r *Transport) Dropped() uint64 { return r.dropped.Load() }
+// Dropped returns how many messages were not sent because too many requests to their
+// node were in flight.
+func (t *Transport) Dropped() uint64 { return t.dropped.Load() }
 
-// Broken returns how many messages were refused that came.
-func (r *Transport) Broken() uint64 { return r.broken.Load() + r.config.Codec.Broken() }
+// Broken returns how many received messages and requests were rejected because they
+// were invalid or could not be decoded.
+func (t *Transport) Broken() uint64 { return t.broken.Load() + t.config.Codec.Broken() }
 
-// Shutdown waits until what was to be sent is sent, stops taking messages and
-// closes all connections.
-func (r *Transport) Shutdown(cx context.Context) error {
+// Shutdown waits until all messages have been sent, stops receiving messages and
+// closes all connections. When ctx ends, it returns its error without waiting any longer.
+func (t *Transport) Shutdown(ctx context.Context) error {
 	sent := make(chan struct{})
 	go func() {
-		r.sends.Wait()
+		t.pending.Wait()
 		close(sent)
 	}()
 	select {
 	case <-sent:
-	case <-cx.Done():
+	case <-ctx.Done():
 	}
-	r.client.CloseIdleConnections()
-	return r.server.Shutdown(cx)
+	t.client.CloseIdleConnections()
+	return t.server.Shutdown(ctx)
 }
 
-// Carry sends the messages of a tick, those to one address together.
-func (r *Transport) Carry(out *caroboutbox.Outbox) {
+// Carry sends the messages of a tick, with one request for each address.
+func (t *Transport) Carry(out *caroboutbox.Outbox) {
 	if len(out.Messages) == 0 {
 		return
 	}
 	batches := map[carobaddress.Address]*carobbatch.Batch{}
-	for _, ms := range out.Messages {
-		bt, ok := batches[ms.To]
+	for _, message := range out.Messages {
+		batch, ok := batches[message.To]
 		if !ok {
-			bt = &carobbatch.Batch{}
-			batches[ms.To] = bt
+			batch = &carobbatch.Batch{}
+			batches[message.To] = batch
 		}
-		bt.Messages = append(bt.Messages, ms)
+		batch.Messages = append(batch.Messages, message)
 	}
-	for ad, bt := range batches {
-		if !r.enter(ad) {
-			r.dropped.Add(uint64(len(bt.Messages)))
+	for address, batch := range batches {
+		if !t.acquire(address) {
+			t.dropped.Add(uint64(len(batch.Messages)))
 			continue
 		}
-		go r.send(ad, bt)
+		go t.send(address, batch)
 	}
 }
 
-// enter counts a request to an address, unless there are too many on their way.
-func (r *Transport) enter(ad carobaddress.Address) bool {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if r.flying[ad] >= inFlight {
+// acquire counts a request to an address. It reports false if too many are in flight.
+func (t *Transport) acquire(address carobaddress.Address) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.inFlight[address] >= maxInFlight {
 		return false
 	}
-	r.flying[ad]++
-	r.sends.Add(1)
+	t.inFlight[address]++
+	t.pending.Add(1)
 	return true
 }
 
-func (r *Transport) leave(ad carobaddress.Address) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.flying[ad]--
-	if r.flying[ad] == 0 {
-		delete(r.flying, ad)
+// release removes a request that has ended from the count.
+func (t *Transport) release(address carobaddress.Address) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.inFlight[address]--
+	if t.inFlight[address] == 0 {
+		delete(t.inFlight, address)
 	}
-	r.sends.Done()
+	t.pending.Done()
 }
 
-// send tells one node. Messages may get lost; the systems that send them say
-// them again where that matters.
-func (r *Transport) send(ad carobaddress.Address, bt *carobbatch.Batch) {
-	defer r.leave(ad)
-	cx, cancel := context.WithTimeout(context.Background(), patience)
+// send sends a batch to one node. Messages may get lost; where that matters, the
+// systems that send them send them again.
+func (t *Transport) send(address carobaddress.Address, batch *carobbatch.Batch) {
+	defer t.release(address)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	_, _ = r.clientOf(ad).CallUnary(cx, connect.NewRequest(bt))
+	_, _ = t.clientFor(address).CallUnary(ctx, connect.NewRequest(batch))
 }
 
-func (r *Transport) clientOf(ad carobaddress.Address) *connect.Client[carobbatch.Batch, empty] {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	cl, ok := r.clients[ad]
+// clientFor returns the client for an address. When there are too many clients, all
+// are dropped; they share their connections, which stay open.
+func (t *Transport) clientFor(address carobaddress.Address) *connect.Client[carobbatch.Batch, emptyResponse] {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	client, ok := t.clients[address]
 	if !ok {
-		if len(r.clients) >= spoken {
-			clear(r.clients)
+		if len(t.clients) >= maxClients {
+			clear(t.clients)
 		}
-		cl = connect.NewClient[carobbatch.Batch, empty](r.client, "http://"+string(ad)+procedure, connect.WithCodec(r.config.Codec))
-		r.clients[ad] = cl
+		client = connect.NewClient[carobbatch.Batch, emptyResponse](t.client, "http://"+string(address)+procedure, connect.WithCodec(t.config.Codec))
+		t.clients[address] = client
 	}
-	return cl
+	return client
 }
 
-// take passes on the messages of a request that keep their own rules.
-func (r *Transport) take(_ context.Context, rq *connect.Request[carobbatch.Batch]) (*connect.Response[empty], error) {
-	good := rq.Msg.Messages[:0]
-	for i := range rq.Msg.Messages {
-		if rq.Msg.Messages[i].Check() != nil {
-			r.broken.Add(1)
+// receive posts the valid messages of a request to the mailbox and counts the others.
+func (t *Transport) receive(_ context.Context, req *connect.Request[carobbatch.Batch]) (*connect.Response[emptyResponse], error) {
+	valid := req.Msg.Messages[:0]
+	for i := range req.Msg.Messages {
+		if req.Msg.Messages[i].Check() != nil {
+			t.broken.Add(1)
 			continue
 		}
-		good = append(good, rq.Msg.Messages[i])
+		valid = append(valid, req.Msg.Messages[i])
 	}
-	if len(good) > 0 {
-		r.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Messages = append(in.Messages, good...) })
+	if len(valid) > 0 {
+		t.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Messages = append(in.Messages, valid...) })
 	}
-	return connect.NewResponse(&empty{}), nil
+	return connect.NewResponse(&emptyResponse{}), nil
 }
