--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -1,6 +1,6 @@
-// Package carobadmitter moves the bytes of jobs between entry nodes and the
-// node's own targets. Whether and when a job starts is decided by the control
-// goroutine.
+// Package carobadmitter transfers the requests and responses of jobs between entry
+// nodes and the node's own targets. The control goroutine decides whether and when
+// a job starts.
 package carobadmitter
 
 import (
@@ -33,149 +33,160 @@
 	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
-// exchanger sends a request to a target and returns the head of its answer.
+// exchanger sends a request to a target and returns the response, with its body not
+// yet read. nonIdempotent is true if the request must not run twice.
 type exchanger interface {
-	Do(cx context.Context, ad carobaddress.Address, rq *fasthttp.Request, careful bool) (*carobanswer.Answer, error)
+	Do(ctx context.Context, address carobaddress.Address, req *fasthttp.Request, nonIdempotent bool) (*carobanswer.Answer, error)
 }
 
-// dialect is how targets are spoken to.
+// dialect is the HTTP interface of the targets: which headers requests and responses
+// carry.
 type dialect interface {
-	// Ask readies a request for its target.
-	Ask(rq *fasthttp.Request, st *carobstart.Start, target carobtargetid.ID)
-	// Check fills in a request that asks the target at an address how it is.
-	Check(rq *fasthttp.Request, address carobaddress.Address)
-	// Identity reads which target answered such a request, and how many slots it has.
-	Identity(rs *fasthttp.Response) (carobword.Word, int)
-	// Judge reads what an answer says besides: None if it is the target's answer to
-	// the call, or why it is not; and the target's load, or nil.
-	Judge(rs *fasthttp.Response) (carobkind.Kind, *carobpressure.Pressure)
+	// Ask sets the headers of a request that starts a job at a target.
+	Ask(req *fasthttp.Request, start *carobstart.Start, target carobtargetid.ID)
+	// Check fills in a health check of the target at an address.
+	Check(req *fasthttp.Request, address carobaddress.Address)
+	// Identity returns the name and the number of slots of a target, from its response
+	// to a health check.
+	Identity(resp *fasthttp.Response) (carobword.Word, int)
+	// Judge classifies a response. The kind is None if the response answers the call, and
+	// the reason otherwise, for example that the target refused the call. The load is nil
+	// if the response does not report it.
+	Judge(resp *fasthttp.Response) (carobkind.Kind, *carobpressure.Pressure)
 }
 
-// Config is how an admitter is made.
+// Config holds the parameters of an admitter.
 type Config struct {
 	Mailbox *carobmailbox.Mailbox
-	// Targets reaches the node's own targets.
+	// Targets sends requests to the node's own targets.
 	Targets exchanger
-	// Dialect is how the targets are spoken to; nil is the system's own.
+	// Dialect is the HTTP interface of the targets; nil means carobknot's own headers.
 	Dialect dialect
-	// Gather is the longest answer that is read to its end before it is passed on;
-	// 0 if all are passed on as they come.
+	// Gather is the size of the largest response body that is read to its end before
+	// the response is forwarded; 0 means that every response is forwarded as it is
+	// received.
 	Gather carobsize.Size
-	// Watch notices entry nodes that hang up.
+	// Watch detects that entry nodes close their connections.
 	Watch *carobwatch.Watch
 	Timer *carobtimer.Timer
-	// Stall is how long an entry node may send nothing of a body.
+	// Stall is how long an entry node may send or accept no bytes of a body.
 	Stall time.Duration
 }
 
-// Admitter carries jobs to the node's own targets.
+// Admitter runs jobs at the node's own targets.
 type Admitter struct {
 	config     Config
-	dispatcher *carobdispatcher.Dispatcher[carobjobid.ID, order]
-	// reports has the newest report of each target.
+	dispatcher *carobdispatcher.Dispatcher[carobjobid.ID, decision]
+	// reports has the newest report of each target, a *carobreport.Report by
+	// carobtargetid.ID.
 	reports sync.Map
 }
 
-// order is what the control goroutine decided on a job.
-type order struct {
+// decision is the control goroutine's decision on a job: to start or to refuse it.
+type decision struct {
 	// start is nil if the job is refused.
 	start *carobstart.Start
-	// kind says why the job is refused.
+	// kind is the reason of a refusal.
 	kind carobkind.Kind
 }
 
 // NewAdmitter returns an admitter.
 func NewAdmitter(c Config) *Admitter {
 	if c.Dialect == nil {
-		c.Dialect = native{}
+		c.Dialect = nativeDialect{}
 	}
-	return &Admitter{config: c, dispatcher: carobdispatcher.NewDispatcher[carobjobid.ID, order]()}
+	return &Admitter{config: c, dispatcher: carobdispatcher.NewDispatcher[carobjobid.ID, decision]()}
 }
 
-// Carry passes on what the control goroutine decided.
+// Carry carries out the effects of a tick that concern the node's own targets: it
+// stores reports, starts health checks, and hands the decisions on jobs to the
+// goroutines that wait for them.
 func (a *Admitter) Carry(out *caroboutbox.Outbox) {
-	for _, rp := range out.Reports {
-		a.reports.Store(rp.Target, &rp)
+	for _, report := range out.Reports {
+		a.reports.Store(report.Target, &report)
 	}
-	for _, ck := range out.Checks {
-		go a.check(ck)
+	for _, check := range out.Checks {
+		go a.checkHealth(check)
 	}
-	for _, rf := range out.Refusals {
-		a.dispatcher.Give(rf.Job, order{kind: rf.Kind})
+	for _, refusal := range out.Refusals {
+		a.dispatcher.Give(refusal.Job, decision{kind: refusal.Kind})
 	}
-	for _, st := range out.Starts {
-		a.dispatcher.Give(st.Job, order{start: &st})
+	for _, start := range out.Starts {
+		a.dispatcher.Give(start.Job, decision{start: &start})
 	}
 }
 
-// Do offers a job and, once it is started, sends its request to the target.
-// Every answer and error comes with the target's newest report.
-func (a *Admitter) Do(cx context.Context, of caroboffer.Offer, rq *fasthttp.Request) (*carobanswer.Answer, error) {
-	st, err := a.admit(cx, of)
+// Do offers a job to the control goroutine and, once it is started, sends its
+// request to the target. The response carries the target's newest report; after an
+// error Report returns it.
+func (a *Admitter) Do(ctx context.Context, offer caroboffer.Offer, req *fasthttp.Request) (*carobanswer.Answer, error) {
+	start, err := a.admit(ctx, offer)
 	if err != nil {
 		return nil, err
 	}
-	return a.run(cx, st, rq, of.Target)
+	return a.run(ctx, start, req, offer.Target)
 }
 
-// admit offers a job and waits until it is started or refused.
-func (a *Admitter) admit(cx context.Context, of caroboffer.Offer) (*carobstart.Start, error) {
-	orders := a.dispatcher.Open(of.Job)
-	defer a.dispatcher.Close(of.Job)
-	a.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Offers = append(in.Offers, of) })
+// admit offers a job and waits until it is started or refused. The kind of an error
+// is that of the refusal, or Cancelled if ctx has ended.
+func (a *Admitter) admit(ctx context.Context, offer caroboffer.Offer) (*carobstart.Start, error) {
+	decisions := a.dispatcher.Open(offer.Job)
+	defer a.dispatcher.Close(offer.Job)
+	a.config.Mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.Offers = append(inbox.Offers, offer) })
 	select {
-	case <-cx.Done():
-		a.finish(carobfinish.Finish{Job: of.Job, Kind: carobkind.Cancelled})
-		return nil, carobkind.New(carobkind.Cancelled, "wait for admission")
-	case od := <-orders:
-		if od.start == nil {
-			return nil, carobkind.New(od.kind, "offer refused")
+	case <-ctx.Done():
+		a.postFinish(carobfinish.Finish{Job: offer.Job, Kind: carobkind.Cancelled})
+		return nil, carobkind.New(carobkind.Cancelled, "request cancelled while the job waited for admission")
+	case decided := <-decisions:
+		if decided.start == nil {
+			return nil, carobkind.New(decided.kind, "job refused")
 		}
-		return od.start, nil
+		return decided.start, nil
 	}
 }
 
-// Report returns the newest report of a target, or nil.
+// Report returns the newest report of a target, or nil if there is none.
 func (a *Admitter) Report(target carobtargetid.ID) *carobreport.Report {
-	if rp, ok := a.reports.Load(target); ok {
-		return rp.(*carobreport.Report) //nolint:forcetypeassert // the map holds nothing else
+	if report, ok := a.reports.Load(target); ok {
+		return report.(*carobreport.Report) //nolint:forcetypeassert // the map holds no other type
 	}
 	return nil
 }
 
-// run sends a started job to its target. The job has ended when the target is
-// done with it.
-func (a *Admitter) run(cx context.Context, st *carobstart.Start, rq *fasthttp.Request, target carobtargetid.ID) (*carobanswer.Answer, error) {
-	carobheader.CleanRequest(&rq.Header)
-	a.config.Dialect.Ask(rq, st, target)
-	an, err := a.config.Targets.Do(cx, st.Address, rq, st.Once != carobonce.No)
+// run sends the request of a started job to its target. It posts the end of the job
+// after an error, and otherwise once the body of the response is closed.
+func (a *Admitter) run(ctx context.Context, start *carobstart.Start, req *fasthttp.Request, target carobtargetid.ID) (*carobanswer.Answer, error) {
+	carobheader.CleanRequest(&req.Header)
+	a.config.Dialect.Ask(req, start, target)
+	answer, err := a.config.Targets.Do(ctx, start.Address, req, start.Once != carobonce.No)
 	if err != nil {
-		a.finish(carobfinish.Finish{Job: st.Job, Kind: carobkind.Of(err)})
+		a.postFinish(carobfinish.Finish{Job: start.Job, Kind: carobkind.Of(err)})
 		return nil, err
 	}
-	fn := carobfinish.Finish{Job: st.Job, Status: an.Response.StatusCode()}
-	kind, pressure := a.config.Dialect.Judge(an.Response)
-	fn.Pressure = pressure
-	if most := int(a.config.Gather); most > 0 && an.Length <= most {
-		if errGather := an.Gather(most); errGather != nil && kind == carobkind.None {
+	finish := carobfinish.Finish{Job: start.Job, Status: answer.Response.StatusCode()}
+	kind, pressure := a.config.Dialect.Judge(answer.Response)
+	finish.Pressure = pressure
+	if limit := int(a.config.Gather); limit > 0 && answer.Length <= limit {
+		if errGather := answer.Gather(limit); errGather != nil && kind == carobkind.None {
 			kind = carobkind.Cut
 		}
 	}
 	if kind != carobkind.None {
-		_ = an.Body.Close()
-		fn.Kind = kind
-		a.finish(fn)
-		return nil, carobkind.New(kind, "the target's answer is not one to the call")
+		_ = answer.Body.Close()
+		finish.Kind = kind
+		a.postFinish(finish)
+		return nil, carobkind.New(kind, "target's response does not answer the call")
 	}
-	carobheader.CleanResponse(&an.Response.Header)
-	an.Report = a.Report(target)
-	an.Body = carobbody.NewBody(carobbody.Config{Stream: an.Body, Length: an.Length, Over: func(kind carobkind.Kind) {
-		fn.Kind = kind
-		a.finish(fn)
+	carobheader.CleanResponse(&answer.Response.Header)
+	answer.Report = a.Report(target)
+	answer.Body = carobbody.NewBody(carobbody.Config{Stream: answer.Body, Length: answer.Length, Over: func(kind carobkind.Kind) {
+		finish.Kind = kind
+		a.postFinish(finish)
 	}})
-	return an, nil
+	return answer, nil
 }
 
-func (a *Admitter) finish(fn carobfinish.Finish) {
-	a.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Finishes = append(in.Finishes, fn) })
+// postFinish posts the end of a job to the control goroutine.
+func (a *Admitter) postFinish(finish carobfinish.Finish) {
+	a.config.Mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.Finishes = append(inbox.Finishes, finish) })
 }
--- /dev/null
+++ b/internal/carobadmitter/incoming_job.go
@@ -0,0 +1,99 @@
+package carobadmitter
+
+import (
+	"context"
+	"sync/atomic"
+
+	"github.com/valyala/fasthttp"
+
+	"github.com/carobknot/carobknot/internal/carobanswer"
+	"github.com/carobknot/carobknot/internal/carobbody"
+	"github.com/carobknot/carobknot/internal/carobupload"
+	"github.com/carobknot/carobknot/pkg/carobfinish"
+	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/caroboffer"
+	"github.com/carobknot/carobknot/pkg/carobsize"
+	"github.com/carobknot/carobknot/pkg/carobstart"
+)
+
+// incomingJobKey is the key of the user value that keeps an admitted job from Expect
+// until the HTTP library calls Serve.
+type incomingJobKey struct{}
+
+// maxBufferedBody is the largest body that is read before the request is sent to the
+// target. Such a body is sent in one write with the header.
+const maxBufferedBody = 4 * carobsize.KiB
+
+// incomingJob is a job that another node sent, from its offer until the response has
+// been forwarded. It is cancelled when the entry node closes its connection.
+type incomingJob struct {
+	admitter *Admitter
+	offer    caroboffer.Offer
+	start    *carobstart.Start
+	context  context.Context //nolint:containedctx // spans two calls of the HTTP library
+	cancel   context.CancelFunc
+	// unwatch ends the watch of the entry node's connection.
+	unwatch func()
+	// acquired is true once Serve runs the job or abandon has ended it.
+	acquired atomic.Bool
+}
+
+// acquire reports whether the caller is the first one, which runs or ends the job.
+func (j *incomingJob) acquire() bool {
+	return j.acquired.CompareAndSwap(false, true)
+}
+
+// abandon ends the job if its entry node closed the connection before Serve was
+// called.
+func (j *incomingJob) abandon() {
+	if j.acquire() {
+		j.close()
+		j.admitter.postFinish(carobfinish.Finish{Job: j.offer.Job, Kind: carobkind.Cancelled})
+	}
+}
+
+// close ends the watch of the entry node's connection and the job's context.
+func (j *incomingJob) close() {
+	j.unwatch()
+	j.cancel()
+}
+
+// run sends the request to the target and forwards the response. The time left to the
+// call limits the wait for the header of the response, not the transfer of its body.
+func (j *incomingJob) run(ctx *fasthttp.RequestCtx) error {
+	config := j.admitter.config
+	upload, err := carobupload.NewUpload(carobupload.Config{
+		Stream: ctx.RequestBodyStream(), Length: ctx.Request.Header.ContentLength(), Keep: maxBufferedBody,
+		Conn: ctx.Conn(), Timer: config.Timer, Stall: config.Stall,
+	})
+	if err != nil {
+		j.admitter.postFinish(carobfinish.Finish{Job: j.offer.Job, Kind: carobkind.Cut})
+		return carobkind.Wrap(carobkind.Cut, err, "read request body from entry node")
+	}
+	req := &fasthttp.Request{}
+	ctx.Request.Header.CopyTo(&req.Header)
+	if err := upload.Attach(req); err != nil {
+		return err
+	}
+	setDeadline := config.Timer.Subscribe(j.cancel)
+	setDeadline(config.Timer.Now().Add(j.start.Patience))
+	answer, err := j.admitter.run(j.context, j.start, req, j.offer.Target)
+	setDeadline(carobinstant.Never)
+	if err != nil {
+		upload.Release()
+		return err
+	}
+	j.forward(ctx, answer, upload)
+	return nil
+}
+
+// forward sends a response to the entry node.
+func (j *incomingJob) forward(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, upload *carobupload.Upload) {
+	answer.Response.Header.CopyTo(&ctx.Response.Header)
+	j.admitter.addReport(ctx, j.offer.Target)
+	carobbody.Attach(ctx, answer, j.admitter.config.Timer, j.admitter.config.Stall, func(carobkind.Kind) {
+		upload.Release()
+		j.close()
+	})
+}
--- a/internal/carobadmitter/serve.go
+++ b/internal/carobadmitter/serve.go
@@ -11,79 +11,84 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Serve answers an attempt that an entry node sent to the peer address.
-func (a *Admitter) Serve(rc *fasthttp.RequestCtx) {
-	v, ok := rc.UserValue(visitKey{}).(*visit)
+// Serve handles an attempt that an entry node sent to the peer address.
+func (a *Admitter) Serve(ctx *fasthttp.RequestCtx) {
+	job, ok := ctx.UserValue(incomingJobKey{}).(*incomingJob)
 	if !ok {
 		var err error
-		if v, err = a.receive(rc); err != nil {
-			a.refuse(rc, nil, err)
+		if job, err = a.receive(ctx); err != nil {
+			a.refuse(ctx, nil, err)
 			return
 		}
 	}
-	if !v.take() {
-		a.refuse(rc, v, carobkind.Cancelled)
+	if !job.acquire() {
+		a.refuse(ctx, job, carobkind.Cancelled)
 		return
 	}
-	if err := v.run(rc); err != nil {
-		v.close()
-		a.refuse(rc, v, err)
+	if err := job.run(ctx); err != nil {
+		job.close()
+		a.refuse(ctx, job, err)
 	}
 }
 
-// Expect decides on an attempt whose body waits for it. A job that is refused
-// has used nothing of its body up.
-func (a *Admitter) Expect(rc *fasthttp.RequestCtx) int {
-	v, err := a.receive(rc)
+// Expect handles the header of an attempt with "Expect: 100-continue". It returns 100
+// once the job is started, and otherwise the status of the refusal; the entry node then
+// sends no body and can send it to another target.
+func (a *Admitter) Expect(ctx *fasthttp.RequestCtx) int {
+	job, err := a.receive(ctx)
 	if err != nil {
-		a.refuse(rc, nil, err)
-		return rc.Response.StatusCode()
+		a.refuse(ctx, nil, err)
+		return ctx.Response.StatusCode()
 	}
-	context.AfterFunc(v.context, v.abandon)
-	rc.SetUserValue(visitKey{}, v)
+	context.AfterFunc(job.context, job.abandon)
+	ctx.SetUserValue(incomingJobKey{}, job)
 	return fasthttp.StatusContinue
 }
 
-// receive offers the job of an attempt and waits until it is started.
-func (a *Admitter) receive(rc *fasthttp.RequestCtx) (*visit, error) {
-	of, err := parseOffer(&rc.Request.Header)
+// receive offers the job of an attempt and waits until it is started. It cancels the
+// job if the entry node closes the connection.
+func (a *Admitter) receive(ctx *fasthttp.RequestCtx) (*incomingJob, error) {
+	offer, err := parseOffer(&ctx.Request.Header)
 	if err != nil {
 		return nil, err
 	}
-	v := &visit{admitter: a, offer: of}
-	v.context, v.cancel = context.WithCancel(context.Background())
-	v.unwatch = a.config.Watch.Add(rc.Conn(), v.cancel)
-	if v.start, err = a.admit(v.context, of); err != nil {
-		v.close()
-		a.report(rc, of.Target)
+	job := &incomingJob{admitter: a, offer: offer}
+	job.context, job.cancel = context.WithCancel(context.Background())
+	job.unwatch = a.config.Watch.Add(ctx.Conn(), job.cancel)
+	if job.start, err = a.admit(job.context, offer); err != nil {
+		job.close()
+		a.addReport(ctx, offer.Target)
 		return nil, err
 	}
-	return v, nil
+	return job, nil
 }
 
-func (a *Admitter) report(rc *fasthttp.RequestCtx, target carobtargetid.ID) {
-	if rp := a.Report(target); rp != nil {
-		rc.Response.Header.Set(carobheader.Report, carobheader.FormatReport(*rp))
+// addReport adds the newest report of a target to the response.
+func (a *Admitter) addReport(ctx *fasthttp.RequestCtx, target carobtargetid.ID) {
+	if report := a.Report(target); report != nil {
+		ctx.Response.Header.Set(carobheader.Report, carobheader.FormatReport(*report))
 	}
 }
 
-// refuse answers an error as its kind.
-func (a *Admitter) refuse(rc *fasthttp.RequestCtx, v *visit, err error) {
+// refuse responds with the kind of an error and its status, and adds the report of the
+// job's target. job is nil if the attempt could not be read or was not admitted.
+func (a *Admitter) refuse(ctx *fasthttp.RequestCtx, job *incomingJob, err error) {
 	kind := carobkind.Of(err)
-	rc.Response.SetStatusCode(kind.Status())
-	rc.Response.Header.Set(carobheader.Kind, string(kind))
-	if v != nil {
-		a.report(rc, v.offer.Target)
+	ctx.Response.SetStatusCode(kind.Status())
+	ctx.Response.Header.Set(carobheader.Kind, string(kind))
+	if job != nil {
+		a.addReport(ctx, job.offer.Target)
 	}
 }
 
-// Fail answers what the HTTP library could not read as a request.
-func (a *Admitter) Fail(rc *fasthttp.RequestCtx, _ error) {
-	a.refuse(rc, nil, carobkind.Invalid)
+// Fail handles a request that the HTTP library could not read.
+func (a *Admitter) Fail(ctx *fasthttp.RequestCtx, _ error) {
+	a.refuse(ctx, nil, carobkind.Invalid)
 }
 
-func parseOffer(hd *fasthttp.RequestHeader) (caroboffer.Offer, error) {
-	of, err := carobheader.ParseOffer(string(hd.Peek(carobheader.Offer)))
-	of.Key, of.Trace = string(hd.Peek(carobheader.Key)), string(hd.Peek(carobheader.Trace))
-	return of, err
+// parseOffer reads the offer of a job from the header of an attempt.
+func parseOffer(header *fasthttp.RequestHeader) (caroboffer.Offer, error) {
+	offer, err := carobheader.ParseOffer(string(header.Peek(carobheader.Offer)))
+	offer.Key, offer.Trace = string(header.Peek(carobheader.Key)), string(header.Peek(carobheader.Trace))
+	return offer, err
 }
