--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -1,4 +1,4 @@
-// Package carobnode puts the parts of a node together and runs them.
+// Package carobnode assembles the parts of a node and runs them.
 package carobnode
 
 import (
@@ -44,145 +44,167 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// Config is how a node is made.
+// Config holds the parameters of a node.
 type Config struct {
 	Settings carobsettings.Settings
 	Logger   *logrus.Logger
-	// Dialect and Store are those of a platform; nil both for the system's own
+	// Dialect and Store belong to a platform. Both are nil for carobknot's own HTTP
 	// interface and log.
 	Dialect dialect
 	Store   store
-	// Beside is a target that may run on the VM already; its name and slots are asked
-	// for. Without an address nothing is asked.
+	// Beside describes a target that may already run on the VM; a health check finds out
+	// its name and slots. No health check is sent if the address is empty.
 	Beside carobannouncement.Announcement
 }
 
-// dialect is how a platform's callers and targets are spoken to.
+// dialect is the HTTP interface to a platform's callers and targets. The interfaces
+// of the same name in carobingress and carobadmitter describe the methods.
 type dialect interface {
-	Arrival(rq *fasthttp.Request) (carobarrival.Arrival, error)
-	Refuse(rs *fasthttp.Response, rq *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
-	Ask(rq *fasthttp.Request, st *carobstart.Start, target carobtargetid.ID)
-	Check(rq *fasthttp.Request, address carobaddress.Address)
-	Identity(rs *fasthttp.Response) (carobword.Word, int)
-	Mine(rq *fasthttp.Request, rs *fasthttp.Response) bool
-	Judge(rs *fasthttp.Response) (carobkind.Kind, *carobpressure.Pressure)
+	Arrival(req *fasthttp.Request) (carobarrival.Arrival, error)
+	Refuse(resp *fasthttp.Response, req *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
+	Ask(req *fasthttp.Request, start *carobstart.Start, target carobtargetid.ID)
+	Check(req *fasthttp.Request, address carobaddress.Address)
+	Identity(resp *fasthttp.Response) (carobword.Word, int)
+	Mine(req *fasthttp.Request, resp *fasthttp.Response) bool
+	Judge(resp *fasthttp.Response) (carobkind.Kind, *carobpressure.Pressure)
 }
 
-// store is where a platform keeps route tables and lets nodes find each other.
+// store keeps a platform's route tables, and the descriptions by which nodes find each
+// other.
 type store interface {
-	Routes(cx context.Context, wait time.Duration) (*carobroutes.Routes, error)
-	Enrol(cx context.Context, node carobnodeid.ID, word []byte) error
-	Words(cx context.Context) ([][]byte, error)
+	Routes(ctx context.Context, wait time.Duration) (*carobroutes.Routes, error)
+	Enrol(ctx context.Context, node carobnodeid.ID, member []byte) error
+	Words(ctx context.Context) ([][]byte, error)
 }
 
-// front takes calls.
-type front interface {
+// callServer receives the calls of callers.
+type callServer interface {
 	Carry(out *caroboutbox.Outbox)
-	Serve(ls net.Listener) error
+	Serve(listener net.Listener) error
 	Drain()
-	Shutdown(cx context.Context) error
+	Shutdown(ctx context.Context) error
 }
 
 // Node is one node: its listeners and its parts.
 type Node struct {
-	config   Config
-	call     net.Listener
-	peer     net.Listener
-	admin    net.Listener
-	injector do.Injector
-	// leaving says that a graceful shutdown has begun.
+	config        Config
+	callListener  net.Listener
+	peerListener  net.Listener
+	adminListener net.Listener
+	injector      do.Injector
+	// leaving is true once a graceful shutdown has begun.
 	leaving atomic.Bool
-	// stopped is closed when a graceful shutdown is complete.
+	// stopped is closed when the control goroutine reports that a graceful shutdown is
+	// complete.
 	stopped chan struct{}
 }
 
 const (
-	// failureLines is how many lines a second are logged of calls that failed.
+	// failureLines is the largest number of log lines a second for failed calls.
 	failureLines = 200
-	logPatience  = 2 * time.Second
-	sortPatience = 5 * time.Second
-	// goodbye is how long the last messages to other nodes have to leave.
-	goodbye       = 200 * time.Millisecond
-	closePatience = 2 * time.Second
+	// logTimeout is the time-out of a request to the platform's log.
+	logTimeout = 2 * time.Second
+	// protocolDetectionTimeout is how long a new connection to the peer address may take
+	// to send the bytes by which its protocol is detected.
+	protocolDetectionTimeout = 5 * time.Second
+	// finalSendDelay is the delay before the servers are closed, in which the last
+	// messages to other nodes are sent.
+	finalSendDelay = 200 * time.Millisecond
+	// closeTimeout is the longest time for closing the servers. A tenth of
+	// Settings.Grace applies if it is shorter.
+	closeTimeout = 2 * time.Second
 
-	// alive is the time between two signs of life on a quiet connection.
-	alive = 500 * time.Millisecond
-	// recent is how long a connection may have been unused that gets a call which
-	// must not run twice.
-	recent = time.Second
-	// gather is the longest answer that is read to its end before it is passed on.
-	gather = 256 * carobsize.KiB
+	// keepAliveInterval is the interval of TCP keep-alive probes on a connection without
+	// traffic.
+	keepAliveInterval = 500 * time.Millisecond
+	// maxReuseAge is the longest time that a connection may have been idle to get a call
+	// which must not run twice.
+	maxReuseAge = time.Second
+	// maxBufferedResponse is the size of the largest response body that is read to its
+	// end before the response is forwarded, in bytes.
+	maxBufferedResponse = 256 * carobsize.KiB
 
-	// dialPatience is how long opening a connection may take.
-	dialPatience = time.Second
-	// peerPatience is that for a platform's nodes, which are few round trips away.
-	peerPatience = 300 * time.Millisecond
-	// targetIdle and peerIdle are how long a connection is kept unused. Targets
-	// close theirs sooner than nodes do.
-	targetIdle = 5 * time.Second
-	peerIdle   = 30 * time.Second
-	// idleConns is the most unused connections to one address.
-	idleConns = 256
+	// dialTimeout is the time-out for opening a connection.
+	dialTimeout = time.Second
+	// peerDialTimeout is the time-out for opening a connection to another node of a
+	// platform. It is shorter, since those nodes are few round trips away.
+	peerDialTimeout = 300 * time.Millisecond
+	// targetIdleTimeout and peerIdleTimeout are how long an idle connection is
+	// kept. Targets close idle connections earlier than nodes do.
+	targetIdleTimeout = 5 * time.Second
+	peerIdleTimeout   = 30 * time.Second
+	// maxIdleConns is the largest number of idle connections to one address.
+	maxIdleConns = 256
 )
 
-// keepAlive finds connections that went silent.
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: alive, Interval: alive, Count: 3}
+// keepAliveConfig configures the TCP keep-alive probes on accepted connections, which
+// detect that a peer has become unreachable.
+var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: 3}
 
-// NewNode opens a node's listeners and makes its parts.
-func NewNode(cx context.Context, c Config) (*Node, error) {
+// NewNode opens the listeners of a node and assembles its parts. The error
+// has the kind Invalid if a listener cannot be opened.
+func NewNode(ctx context.Context, c Config) (*Node, error) {
 	n := &Node{config: c, stopped: make(chan struct{})}
-	listen := net.ListenConfig{KeepAliveConfig: keepAlive}
-	for _, l := range []struct {
+	listen := net.ListenConfig{KeepAliveConfig: keepAliveConfig}
+	for _, endpoint := range []struct {
 		address carobaddress.Address
 		into    *net.Listener
-	}{{c.Settings.Call, &n.call}, {c.Settings.Peer, &n.peer}, {c.Settings.Admin, &n.admin}} {
-		ls, err := listen.Listen(cx, "tcp", string(l.address))
+	}{{c.Settings.Call, &n.callListener}, {c.Settings.Peer, &n.peerListener}, {c.Settings.Admin, &n.adminListener}} {
+		listener, err := listen.Listen(ctx, "tcp", string(endpoint.address))
 		if err != nil {
 			n.closeListeners()
 			return nil, carobkind.Wrap(carobkind.Invalid, err, "listen")
 		}
-		*l.into = ls
+		*endpoint.into = listener
 	}
-	n.injector = n.wire()
+	n.injector = n.provide()
 	return n, nil
 }
 
-// Call returns where callers reach the node.
-func (n *Node) Call() carobaddress.Address { return carobaddress.Address(n.call.Addr().String()) }
+// Call returns the address at which the node receives calls.
+func (n *Node) Call() carobaddress.Address {
+	return carobaddress.Address(n.callListener.Addr().String())
+}
 
-// Peer returns where other nodes reach the node.
-func (n *Node) Peer() carobaddress.Address { return carobaddress.Address(n.peer.Addr().String()) }
+// Peer returns the address at which the node receives attempts and control messages
+// of other nodes.
+func (n *Node) Peer() carobaddress.Address {
+	return carobaddress.Address(n.peerListener.Addr().String())
+}
 
-// Admin returns where the VM's own targets reach the node.
-func (n *Node) Admin() carobaddress.Address { return carobaddress.Address(n.admin.Addr().String()) }
+// Admin returns the address at which the node receives the announcements of the VM's
+// own targets and the requests of operators.
+func (n *Node) Admin() carobaddress.Address {
+	return carobaddress.Address(n.adminListener.Addr().String())
+}
 
-// Announce takes in what a target on the VM tells of itself, and returns once the
-// node goes by it.
-func (n *Node) Announce(cx context.Context, an carobannouncement.Announcement) error {
-	do.MustInvoke[*carobmailbox.Mailbox](n.injector).Post(func(in *carobinbox.Inbox) {
-		in.Announcements = append(in.Announcements, an)
+// Announce processes the announcement of a target on the VM, and returns after the
+// tick that applied it.
+func (n *Node) Announce(ctx context.Context, announcement carobannouncement.Announcement) error {
+	do.MustInvoke[*carobmailbox.Mailbox](n.injector).Post(func(inbox *carobinbox.Inbox) {
+		inbox.Announcements = append(inbox.Announcements, announcement)
 	})
-	return do.MustInvoke[*carobcontrol.Control](n.injector).Ask(cx, func(*carobworld.World) {})
+	return do.MustInvoke[*carobcontrol.Control](n.injector).Ask(ctx, func(*carobworld.World) {})
 }
 
-// Ready reports whether the node can route calls by a route table.
-func (n *Node) Ready(cx context.Context) bool {
+// Ready reports whether the node has a route table and is not shutting down.
+func (n *Node) Ready(ctx context.Context) bool {
 	ready := false
-	err := do.MustInvoke[*carobcontrol.Control](n.injector).Ask(cx, func(w *carobworld.World) {
-		ready = w.Routes != nil && !n.leaving.Load()
+	err := do.MustInvoke[*carobcontrol.Control](n.injector).Ask(ctx, func(world *carobworld.World) {
+		ready = world.Routes != nil && !n.leaving.Load()
 	})
 	return err == nil && ready
 }
 
-// Run runs the node until cx ends, and then shuts down gracefully.
-func (n *Node) Run(cx context.Context) error {
-	inner, cancel := context.WithCancel(context.WithoutCancel(cx))
+// Run runs the node until ctx ends, and then shuts down gracefully.
+func (n *Node) Run(ctx context.Context) error {
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	n.attach(inner)
-	n.start(inner)
-	failed := n.serve(inner)
+	n.attachParts(runCtx)
+	n.startBackground(runCtx)
+	failed := n.startServers(runCtx)
 	if n.config.Beside.Address != "" {
-		go n.meet(inner)
+		go n.discoverTarget(runCtx)
 	}
 	n.config.Logger.WithFields(logrus.Fields{
 		"node": n.config.Settings.Name, "call": n.Call(), "peer": n.Peer(), "admin": n.Admin(),
@@ -190,24 +212,24 @@
 	select {
 	case err := <-failed:
 		return err
-	case <-cx.Done():
+	case <-ctx.Done():
 	}
-	n.shutDown(inner)
+	n.shutDown(runCtx)
 	return nil
 }
 
-// meet announces the target that may run on the VM already.
-func (n *Node) meet(cx context.Context) {
-	if err := do.MustInvoke[*carobadmitter.Admitter](n.injector).Meet(cx, n.config.Beside); err != nil {
-		n.config.Logger.WithError(err).Info("target: not met before its announcement")
+// discoverTarget identifies and announces the target that may already run on the VM.
+func (n *Node) discoverTarget(ctx context.Context) {
+	if err := do.MustInvoke[*carobadmitter.Admitter](n.injector).Meet(ctx, n.config.Beside); err != nil {
+		n.config.Logger.WithError(err).Info("target: could not be identified before its own announcement")
 	}
 }
 
-// attach connects the control goroutine with the parts that carry its effects out.
-func (n *Node) attach(cx context.Context) {
+// attachParts connects the control goroutine to the parts that carry out its effects.
+func (n *Node) attachParts(ctx context.Context) {
 	control := do.MustInvoke[*carobcontrol.Control](n.injector)
 	control.Attach(do.MustInvoke[*carobadmitter.Admitter](n.injector))
-	control.Attach(do.MustInvoke[front](n.injector))
+	control.Attach(do.MustInvoke[callServer](n.injector))
 	control.Attach(do.MustInvoke[*carobtransport.Transport](n.injector))
 	control.Attach(do.MustInvoke[*carobmeter.Meter](n.injector))
 	control.Attach(do.MustInvoke[*carobeventlog.EventLog](n.injector))
@@ -215,14 +237,14 @@
 		control.Attach(do.MustInvoke[*carobenroller.Enroller](n.injector))
 		control.Attach(do.MustInvoke[*carobfollower.Follower](n.injector))
 	} else {
-		n.attachLog(cx, control)
+		n.attachLog(ctx, control)
 	}
 	control.Attach(n)
 }
 
-// attachLog connects the control goroutine with what writes into the log.
-func (n *Node) attachLog(cx context.Context, control *carobcontrol.Control) {
-	control.Attach(carobclaimlog.NewClaimLog(cx, carobclaimlog.Config{
+// attachLog connects the control goroutine to the parts that write to the log.
+func (n *Node) attachLog(ctx context.Context, control *carobcontrol.Control) {
+	control.Attach(carobclaimlog.NewClaimLog(ctx, carobclaimlog.Config{
 		Log:     do.MustInvoke[*carobplatform.Client](n.injector),
 		Mailbox: do.MustInvoke[*carobmailbox.Mailbox](n.injector),
 		Timer:   do.MustInvoke[*carobtimer.Timer](n.injector),
@@ -231,83 +253,91 @@
 	control.Attach(do.MustInvoke[*carobtracewriter.TraceWriter](n.injector))
 }
 
-// start starts the goroutines that serve nobody outside.
-func (n *Node) start(cx context.Context) {
-	go do.MustInvoke[*carobtimer.Timer](n.injector).Run(cx)
-	go do.MustInvoke[*carobcontrol.Control](n.injector).Run(cx)
-	go do.MustInvoke[*carobsplitter.Splitter](n.injector).Run(cx)
-	go do.MustInvoke[*carobeventlog.EventLog](n.injector).Run(cx)
+// startBackground starts the goroutines that run beside the servers.
+func (n *Node) startBackground(ctx context.Context) {
+	go do.MustInvoke[*carobtimer.Timer](n.injector).Run(ctx)
+	go do.MustInvoke[*carobcontrol.Control](n.injector).Run(ctx)
+	go do.MustInvoke[*carobsplitter.Splitter](n.injector).Run(ctx)
+	go do.MustInvoke[*carobeventlog.EventLog](n.injector).Run(ctx)
 	if n.config.Store != nil {
-		go do.MustInvoke[*carobenroller.Enroller](n.injector).Run(cx)
-		go do.MustInvoke[*carobfollower.Follower](n.injector).Run(cx)
+		go do.MustInvoke[*carobenroller.Enroller](n.injector).Run(ctx)
+		go do.MustInvoke[*carobfollower.Follower](n.injector).Run(ctx)
 		return
 	}
-	go do.MustInvoke[*carobtracewriter.TraceWriter](n.injector).Run(cx)
-	go n.follow(cx, carobstream.Profiles)
-	go n.follow(cx, carobstream.Nodes)
+	go do.MustInvoke[*carobtracewriter.TraceWriter](n.injector).Run(ctx)
+	go n.readStream(ctx, carobstream.Profiles)
+	go n.readStream(ctx, carobstream.Nodes)
 }
 
-// serve starts the servers, and returns what tells of the first that fails.
-func (n *Node) serve(cx context.Context) <-chan error {
+// startServers starts the servers. The channel receives the error of the first server
+// that fails.
+func (n *Node) startServers(ctx context.Context) <-chan error {
 	splitter := do.MustInvoke[*carobsplitter.Splitter](n.injector)
 	failed := make(chan error, 1)
-	start := func(part string, run func(net.Listener) error, ls net.Listener) {
-		if err := run(ls); err != nil && cx.Err() == nil {
+	start := func(server string, run func(net.Listener) error, listener net.Listener) {
+		if err := run(listener); err != nil && ctx.Err() == nil {
 			select {
-			case failed <- carobkind.Wrap(carobkind.Internal, err, "serve "+part):
+			case failed <- carobkind.Wrap(carobkind.Internal, err, "serve "+server):
 			default:
 			}
 		}
 	}
-	go start("calls", do.MustInvoke[front](n.injector).Serve, n.call)
+	go start("calls", do.MustInvoke[callServer](n.injector).Serve, n.callListener)
 	go start("attempts", do.MustInvoke[*attemptServer](n.injector).Serve, splitter.Calls)
 	go start("control messages", do.MustInvoke[*carobtransport.Transport](n.injector).Serve, splitter.Control)
-	go start("admin", do.MustInvoke[*carobadmin.Admin](n.injector).Serve, n.admin)
+	go start("admin", do.MustInvoke[*carobadmin.Admin](n.injector).Serve, n.adminListener)
 	return failed
 }
 
-// shutDown ends the node gracefully. Callers that may not know yet are served for
-// a while, and so are the nodes that call its target; then callers can open no more
-// connections, and what they have sent is still answered. Other nodes are told, and get refusals for what they send all
-// the same, until none has sent an attempt for a while: one that met a closed
-// connection instead could not be told from one that ran.
-func (n *Node) shutDown(cx context.Context) {
+// shutDown shuts the node down gracefully:
+//
+//   - For Settings.Stay, the node still accepts calls and attempts, since callers and
+//     other nodes may not have noticed that it is shutting down.
+//   - Then callers can open no more connections; calls that have been received are
+//     still answered. The node announces to the other nodes that it leaves and refuses
+//     their attempts, until none has sent an attempt for a while. If an attempt met a
+//     closed connection instead of a refusal, its entry node could not know whether it
+//     ran.
+//   - Calls that are still in flight after Settings.Grace get their last answer.
+//   - Finally the servers are closed, within closeTimeout.
+func (n *Node) shutDown(ctx context.Context) {
 	logger := n.config.Logger.WithField("node", n.config.Settings.Name)
 	logger.Info("node: shutting down")
 	n.leaving.Store(true)
 	mailbox := do.MustInvoke[*carobmailbox.Mailbox](n.injector)
-	last, done := context.WithTimeout(cx, n.config.Settings.Grace.Duration())
-	defer done()
-	callers := do.MustInvoke[front](n.injector)
-	ending := do.MustInvoke[*carobtimer.Timer](n.injector).Now().Add(n.config.Settings.Grace.Duration())
-	mailbox.Post(func(in *carobinbox.Inbox) { in.Ending = ending })
-	callers.Drain()
-	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(last, n.config.Settings.Stay.Duration())
-	mailbox.Post(func(in *carobinbox.Inbox) { in.Stop = true })
-	_ = callers.Shutdown(last)
+	graceCtx, cancelGrace := context.WithTimeout(ctx, n.config.Settings.Grace.Duration())
+	defer cancelGrace()
+	calls := do.MustInvoke[callServer](n.injector)
+	deadline := do.MustInvoke[*carobtimer.Timer](n.injector).Now().Add(n.config.Settings.Grace.Duration())
+	mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.Ending = deadline })
+	calls.Drain()
+	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(graceCtx, n.config.Settings.Stay.Duration())
+	mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.Stop = true })
+	_ = calls.Shutdown(graceCtx)
 	select {
 	case <-n.stopped:
-	case <-last.Done():
+	case <-graceCtx.Done():
 	}
-	const part = 10
-	closing, closed := context.WithTimeout(cx, min(closePatience, n.config.Settings.Grace.Duration()/part))
-	defer closed()
-	if last.Err() != nil {
+	const divisor = 10
+	closeCtx, cancelClose := context.WithTimeout(ctx, min(closeTimeout, n.config.Settings.Grace.Duration()/divisor))
+	defer cancelClose()
+	if graceCtx.Err() != nil {
 		logger.Warn("node: calls still in flight get their last answer")
-		mailbox.Post(func(in *carobinbox.Inbox) { in.End = true })
-		_ = callers.Shutdown(closing)
+		mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.End = true })
+		_ = calls.Shutdown(closeCtx)
 	}
-	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(last, goodbye)
+	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(graceCtx, finalSendDelay)
 	if n.config.Store == nil {
-		do.MustInvoke[*carobtracewriter.TraceWriter](n.injector).Flush(closing)
+		do.MustInvoke[*carobtracewriter.TraceWriter](n.injector).Flush(closeCtx)
 	}
-	_ = do.MustInvoke[*attemptServer](n.injector).ShutdownWithContext(closing)
-	_ = do.MustInvoke[*carobtransport.Transport](n.injector).Shutdown(closing)
-	_ = do.MustInvoke[*carobadmin.Admin](n.injector).Shutdown(closing)
+	_ = do.MustInvoke[*attemptServer](n.injector).ShutdownWithContext(closeCtx)
+	_ = do.MustInvoke[*carobtransport.Transport](n.injector).Shutdown(closeCtx)
+	_ = do.MustInvoke[*carobadmin.Admin](n.injector).Shutdown(closeCtx)
 	logger.Info("node: stopped")
 }
 
-// Carry notes the end of a graceful shutdown.
+// Carry closes stopped when the control goroutine reports the end of a graceful
+// shutdown.
 func (n *Node) Carry(out *caroboutbox.Outbox) {
 	if !out.Stopped {
 		return
@@ -319,22 +349,24 @@
 	}
 }
 
-// follow reads a stream of the platform's log.
-func (n *Node) follow(cx context.Context, stream carobstream.Stream) {
+// readStream reads a stream of the platform's log until ctx ends.
+func (n *Node) readStream(ctx context.Context, stream carobstream.Stream) {
 	carobtail.NewTail(carobtail.Config{
 		Stream: stream, Log: do.MustInvoke[*carobplatform.Client](n.injector),
 		Mailbox: do.MustInvoke[*carobmailbox.Mailbox](n.injector),
 		Timer:   do.MustInvoke[*carobtimer.Timer](n.injector), Logger: logrus.NewEntry(n.config.Logger),
-	}).Run(cx)
+	}).Run(ctx)
 }
 
+// closeListeners closes the listeners that have been opened.
 func (n *Node) closeListeners() {
-	for _, ls := range []net.Listener{n.call, n.peer, n.admin} {
-		if ls != nil {
-			_ = ls.Close()
+	for _, listener := range []net.Listener{n.callListener, n.peerListener, n.adminListener} {
+		if listener != nil {
+			_ = listener.Close()
 		}
 	}
 }
 
-// tracesKept is the most bytes that are kept of each stream while the log is out.
-const tracesKept = 8 * carobsize.MiB
+// maxTraceBacklog is the largest number of bytes that are buffered for each stream
+// while the log is unavailable.
+const maxTraceBacklog = 8 * carobsize.MiB
--- a/internal/carobnode/path_test.go
+++ b/internal/carobnode/path_test.go
@@ -22,123 +22,130 @@
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 )
 
-// BenchmarkPath measures one call after the other: straight to a target, through
+// BenchmarkPath measures the latency of sequential calls: directly to a target, through
 // the target's own node, and through two nodes.
 func BenchmarkPath(b *testing.B) {
-	cx, cancel := context.WithCancel(b.Context())
+	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
 	timer := carobtimer.NewTimer()
-	go timer.Run(cx)
+	go timer.Run(ctx)
 	log := listen(b, carobstandlog.NewLog(carobstandlog.Config{Timer: timer}).Serve)
-	near, far := runNode(b, "near", log), runNode(b, "far", log)
-	server := &fasthttp.Server{Handler: func(rc *fasthttp.RequestCtx) { rc.SetBodyString(strings.Repeat("x", 512)) }}
+	entryNode, targetNode := runNode(b, "near", log), runNode(b, "far", log)
+	server := &fasthttp.Server{Handler: func(reqCtx *fasthttp.RequestCtx) { reqCtx.SetBodyString(strings.Repeat("x", 512)) }}
 	target := listen(b, server.Serve)
 	publish(b, log)
 	go func() {
-		for announce(far, target); timer.Wait(cx, time.Second) == nil; {
-			announce(far, target)
+		for announce(targetNode, target); timer.Wait(ctx, time.Second) == nil; {
+			announce(targetNode, target)
 		}
 	}()
 	for _, run := range []struct {
 		name    string
 		address carobaddress.Address
-	}{{"direct", carobaddress.Address(target)}, {"one-node", far.Call()}, {"two-nodes", near.Call()}} {
+	}{{"direct", carobaddress.Address(target)}, {"one-node", targetNode.Call()}, {"two-nodes", entryNode.Call()}} {
 		b.Run(run.name, func(b *testing.B) { measure(b, timer, string(run.address)) })
 	}
 }
 
-// measure makes calls one after the other and reports their quantiles.
+// measure makes sequential calls and reports quantiles of their latency.
 func measure(b *testing.B, timer *carobtimer.Timer, address string) {
 	b.Helper()
-	cn, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	require.NoError(b, err)
-	defer func() { _ = cn.Close() }()
-	reader := bufio.NewReader(cn)
-	for ask(cn, reader) != nil {
+	defer func() { _ = conn.Close() }()
+	reader := bufio.NewReader(conn)
+	for call(conn, reader) != nil {
 		require.NoError(b, timer.Wait(b.Context(), 10*time.Millisecond))
 	}
-	var took []time.Duration
+	var latencies []time.Duration
 	for b.Loop() {
 		start := timer.Now()
-		require.NoError(b, ask(cn, reader))
-		took = append(took, timer.Now().Sub(start))
+		require.NoError(b, call(conn, reader))
+		latencies = append(latencies, timer.Now().Sub(start))
 	}
-	slices.Sort(took)
-	b.ReportMetric(float64(took[len(took)/2].Nanoseconds()), "p50-ns")
-	b.ReportMetric(float64(took[len(took)*99/100].Nanoseconds()), "p99-ns")
+	slices.Sort(latencies)
+	b.ReportMetric(float64(latencies[len(latencies)/2].Nanoseconds()), "p50-ns")
+	b.ReportMetric(float64(latencies[len(latencies)*99/100].Nanoseconds()), "p99-ns")
 }
 
-func ask(cn net.Conn, reader *bufio.Reader) error {
-	if _, err := io.WriteString(cn, "GET /a HTTP/1.1\r\nHost: lookups\r\n\r\n"); err != nil {
+// call makes one call over an open connection.
+func call(conn net.Conn, reader *bufio.Reader) error {
+	if _, err := io.WriteString(conn, "GET /a HTTP/1.1\r\nHost: lookups\r\n\r\n"); err != nil {
 		return err
 	}
-	rs, err := http.ReadResponse(reader, nil)
+	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = rs.Body.Close() }()
-	if _, err := io.Copy(io.Discard, rs.Body); err != nil {
+	defer func() { _ = resp.Body.Close() }()
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		return err
 	}
-	if rs.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d", rs.StatusCode)
+	if resp.StatusCode != http.StatusOK {
+		return fmt.Errorf("status %d", resp.StatusCode)
 	}
 	return nil
 }
 
-func listen(b *testing.B, serve func(ls net.Listener) error) string {
+// listen starts a server on a free port and returns its address.
+func listen(b *testing.B, serve func(listener net.Listener) error) string {
 	b.Helper()
-	ls, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
-	b.Cleanup(func() { _ = ls.Close() })
-	go func() { _ = serve(ls) }()
-	return ls.Addr().String()
+	b.Cleanup(func() { _ = listener.Close() })
+	go func() { _ = serve(listener) }()
+	return listener.Addr().String()
 }
 
+// runNode runs a node until the benchmark ends.
 func runNode(b *testing.B, name, log string) *Node {
 	b.Helper()
-	st, err := carobsettings.Parse("node.json", fmt.Appendf(nil, `{"name": %q, "region": "bavaria", "centre": "west",
+	settings, err := carobsettings.Parse("node.json", fmt.Appendf(nil, `{"name": %q, "region": "bavaria", "centre": "west",
 		"call": "127.0.0.1:0", "peer": "127.0.0.1:0", "admin": "127.0.0.1:0", "log": "http://%s"}`, name, log))
 	require.NoError(b, err)
-	lg := logrus.New()
-	lg.SetOutput(io.Discard)
-	nd, err := NewNode(b.Context(), Config{Settings: st, Logger: lg})
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
+	node, err := NewNode(b.Context(), Config{Settings: settings, Logger: logger})
 	require.NoError(b, err)
-	cx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = nd.Run(cx)
+		_ = node.Run(ctx)
 	}()
 	b.Cleanup(func() {
 		cancel()
 		<-done
 	})
-	return nd
+	return node
 }
 
+// publish publishes the profile of the service.
 func publish(b *testing.B, log string) {
 	b.Helper()
 	send(b, http.MethodPost, "http://"+log+"/streams/profiles",
 		`{"profile": {"name": "lookups", "once": "no"}, "who": "bench"}`)
 }
 
-func announce(nd *Node, target string) {
+// announce announces a target at the admin address of a node. Errors are ignored, since
+// the caller repeats the announcement.
+func announce(node *Node, target string) {
 	body := fmt.Sprintf(`{"address": %q, "profile": "lookups", "slots": 12, "conns": 100, "state": "ready"}`, target)
-	rq, err := http.NewRequest(http.MethodPut, "http://"+string(nd.Admin())+"/targets/lookups/a", strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPut, "http://"+string(node.Admin())+"/targets/lookups/a", strings.NewReader(body))
 	if err != nil {
 		return
 	}
-	if rs, err := http.DefaultClient.Do(rq); err == nil {
-		_ = rs.Body.Close()
+	if resp, err := http.DefaultClient.Do(req); err == nil {
+		_ = resp.Body.Close()
 	}
 }
 
+// send sends a request with a JSON body and ignores the response.
 func send(b *testing.B, method, url, body string) {
 	b.Helper()
-	rq, err := http.NewRequest(method, url, strings.NewReader(body))
+	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	require.NoError(b, err)
-	rs, err := http.DefaultClient.Do(rq)
+	resp, err := http.DefaultClient.Do(req)
 	require.NoError(b, err)
-	require.NoError(b, rs.Body.Close())
+	require.NoError(b, resp.Body.Close())
 }
--- /dev/null
+++ b/internal/carobnode/providers.go
@@ -0,0 +1,95 @@
+package carobnode
+
+import (
+	"cmp"
+
+	"github.com/samber/do/v2"
+	"github.com/sirupsen/logrus"
+
+	"github.com/carobknot/carobknot/internal/carobadmin"
+	"github.com/carobknot/carobknot/internal/carobcodec"
+	"github.com/carobknot/carobknot/internal/carobcontrol"
+	"github.com/carobknot/carobknot/internal/carobeventlog"
+	"github.com/carobknot/carobknot/internal/carobmailbox"
+	"github.com/carobknot/carobknot/internal/carobmeter"
+	"github.com/carobknot/carobknot/internal/carobplatform"
+	"github.com/carobknot/carobknot/internal/carobsplitter"
+	"github.com/carobknot/carobknot/internal/carobtimer"
+	"github.com/carobknot/carobknot/internal/carobtracewriter"
+	"github.com/carobknot/carobknot/internal/carobtransport"
+	"github.com/carobknot/carobknot/pkg/carobcore"
+	"github.com/carobknot/carobknot/pkg/carobincarnation"
+	"github.com/carobknot/carobknot/pkg/carobmember"
+	"github.com/carobknot/carobknot/pkg/carobworld"
+)
+
+// provide returns an injector with the constructors of all parts. A part is made when
+// it is first invoked.
+func (n *Node) provide() do.Injector {
+	settings := n.config.Settings
+	injector := do.New()
+	do.ProvideValue(injector, carobtimer.NewTimer())
+	do.ProvideValue(injector, carobmailbox.NewMailbox())
+	do.ProvideValue(injector, carobmeter.NewMeter())
+	do.Provide(injector, func(injector do.Injector) (carobmember.Member, error) {
+		startTime := do.MustInvoke[*carobtimer.Timer](injector).Wall()
+		return carobmember.Member{
+			Node: settings.Name, Incarnation: carobincarnation.Incarnation(startTime.UnixNano()), //nolint:gosec // the year is past 1970
+			Region: settings.Region, Centre: settings.Centre, Peer: cmp.Or(settings.Public, n.Peer()),
+		}, nil
+	})
+	do.Provide(injector, func(injector do.Injector) (*carobcore.Core, error) {
+		self := do.MustInvoke[carobmember.Member](injector)
+		return carobcore.NewCore(carobcore.Config{
+			World: carobworld.Config{Self: self, Limits: settings.Limits, Measure: settings.Measure, Retries: settings.Retries, Seed: uint64(self.Incarnation)},
+			Seeds: settings.Seeds, Profiles: settings.Profiles, Silence: settings.Silence.Duration(),
+			Untraced: n.config.Dialect != nil,
+		}), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (*carobeventlog.EventLog, error) {
+		return carobeventlog.NewEventLog(carobeventlog.Config{
+			Logger: n.config.Logger, Timer: do.MustInvoke[*carobtimer.Timer](injector), Usual: settings.Lines, Failures: failureLines,
+			Audits: n.config.Store != nil,
+		}), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (*carobcontrol.Control, error) {
+		return carobcontrol.NewControl(carobcontrol.Config{
+			Core: do.MustInvoke[*carobcore.Core](injector), Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
+			Timer: do.MustInvoke[*carobtimer.Timer](injector),
+		}), nil
+	})
+	n.provideTraffic(injector)
+	if n.config.Store != nil {
+		n.provideStore(injector)
+	}
+	do.Provide(injector, func(injector do.Injector) (*carobtransport.Transport, error) {
+		codec, err := carobcodec.NewCodec()
+		if err != nil {
+			return nil, err
+		}
+		return carobtransport.NewTransport(carobtransport.Config{
+			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Codec: codec,
+		}), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (*carobsplitter.Splitter, error) {
+		return carobsplitter.NewSplitter(carobsplitter.Config{
+			Listener: n.peerListener, Timer: do.MustInvoke[*carobtimer.Timer](injector), Patience: protocolDetectionTimeout,
+		}), nil
+	})
+	do.Provide(injector, func(do.Injector) (*carobplatform.Client, error) {
+		return carobplatform.NewClient(carobplatform.Config{URL: settings.Log, Patience: logTimeout}), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (*carobtracewriter.TraceWriter, error) {
+		return carobtracewriter.NewTraceWriter(carobtracewriter.Config{
+			Self: do.MustInvoke[carobmember.Member](injector), Log: do.MustInvoke[*carobplatform.Client](injector),
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), Logger: logrus.NewEntry(n.config.Logger), Kept: maxTraceBacklog,
+		}), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (*carobadmin.Admin, error) {
+		return carobadmin.NewAdmin(carobadmin.Config{
+			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Control: do.MustInvoke[*carobcontrol.Control](injector),
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), Metrics: do.MustInvoke[*carobmeter.Meter](injector).Handler(),
+		}), nil
+	})
+	return injector
+}
--- /dev/null
+++ b/internal/carobnode/traffic_providers.go
@@ -0,0 +1,125 @@
+package carobnode
+
+import (
+	"math"
+	"time"
+
+	"github.com/samber/do/v2"
+	"github.com/sirupsen/logrus"
+	"github.com/valyala/fasthttp"
+
+	"github.com/carobknot/carobknot/internal/carobadmitter"
+	"github.com/carobknot/carobknot/internal/carobcontrol"
+	"github.com/carobknot/carobknot/internal/carobenroller"
+	"github.com/carobknot/carobknot/internal/carobentrance"
+	"github.com/carobknot/carobknot/internal/carobexchange"
+	"github.com/carobknot/carobknot/internal/carobfollower"
+	"github.com/carobknot/carobknot/internal/carobingress"
+	"github.com/carobknot/carobknot/internal/carobmailbox"
+	"github.com/carobknot/carobknot/internal/carobpool"
+	"github.com/carobknot/carobknot/internal/carobrelay"
+	"github.com/carobknot/carobknot/internal/carobtimer"
+	"github.com/carobknot/carobknot/internal/carobwatch"
+	"github.com/carobknot/carobknot/pkg/carobmember"
+)
+
+const (
+	// peerHeaderSpace is the space in read buffers for the headers that nodes add to
+	// attempts and to their responses, in bytes.
+	peerHeaderSpace = 4096
+	// disconnectCheckInterval is the interval at which the connections of callers and
+	// entry nodes are checked for disconnects.
+	disconnectCheckInterval = 25 * time.Millisecond
+)
+
+// attemptServer is the HTTP server for the attempts of other nodes.
+type attemptServer struct {
+	*fasthttp.Server
+}
+
+// provideTraffic adds the constructors of the parts that carry calls.
+func (n *Node) provideTraffic(injector do.Injector) {
+	settings := n.config.Settings
+	do.Provide(injector, func(injector do.Injector) (*carobwatch.Watch, error) {
+		return carobwatch.NewWatch(carobwatch.Config{
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), Period: disconnectCheckInterval,
+		}), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (*carobadmitter.Admitter, error) {
+		targets := carobpool.Config{
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), Dial: dialTimeout, Idle: targetIdleTimeout, Kept: maxIdleConns,
+			Header: int(settings.Limits.Header), Stall: settings.Limits.Stall.Duration(),
+		}
+		c := carobadmitter.Config{
+			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
+			Watch:   do.MustInvoke[*carobwatch.Watch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+			Stall: settings.Limits.Stall.Duration(),
+		}
+		if n.config.Dialect != nil {
+			targets.Recent, targets.Alive, targets.Unframed, targets.Mine = maxReuseAge, keepAliveInterval, true, n.config.Dialect.Mine
+			c.Dialect, c.Gather = n.config.Dialect, maxBufferedResponse
+		}
+		c.Targets = carobpool.NewPool(targets)
+		return carobadmitter.NewAdmitter(c), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (*carobrelay.Relay, error) {
+		peers := carobpool.Config{
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), Dial: dialTimeout, Idle: peerIdleTimeout, Kept: maxIdleConns, Ask: true,
+			Header: peerHeaderSpace + int(settings.Limits.Header), Stall: settings.Limits.Stall.Duration(),
+		}
+		if n.config.Dialect != nil {
+			peers.Dial, peers.Recent, peers.Alive = peerDialTimeout, maxReuseAge, keepAliveInterval
+		}
+		return carobrelay.NewRelay(carobrelay.Config{Peers: carobpool.NewPool(peers), Own: do.MustInvoke[*carobadmitter.Admitter](injector)}), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (callServer, error) {
+		self := do.MustInvoke[carobmember.Member](injector)
+		if n.config.Dialect == nil {
+			return carobentrance.NewEntrance(carobentrance.Config{
+				Node: self.Node, Incarnation: self.Incarnation, Limits: settings.Limits,
+				Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Control: do.MustInvoke[*carobcontrol.Control](injector),
+				Watch: do.MustInvoke[*carobwatch.Watch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+				Relay: do.MustInvoke[*carobrelay.Relay](injector),
+			}), nil
+		}
+		return carobingress.NewIngress(carobingress.Config{
+			Node: self.Node, Incarnation: self.Incarnation, Limits: settings.Limits, Dialect: n.config.Dialect,
+			Exchanges: carobexchange.NewExchanges(carobexchange.Config{
+				Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Relay: do.MustInvoke[*carobrelay.Relay](injector), Gather: maxBufferedResponse,
+			}),
+			Timer: do.MustInvoke[*carobtimer.Timer](injector),
+		}), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (*attemptServer, error) {
+		return &attemptServer{Server: &fasthttp.Server{
+			Handler:              do.MustInvoke[*carobadmitter.Admitter](injector).Serve,
+			ExpectHandler:        do.MustInvoke[*carobadmitter.Admitter](injector).Expect,
+			ErrorHandler:         do.MustInvoke[*carobadmitter.Admitter](injector).Fail,
+			ReadBufferSize:       peerHeaderSpace + int(settings.Limits.Header),
+			MaxRequestBodySize:   math.MaxInt,
+			ReadTimeout:          settings.Limits.Head.Duration(),
+			IdleTimeout:          2 * peerIdleTimeout,
+			WriteTimeout:         settings.Limits.Stall.Duration(),
+			StreamRequestBody:    true,
+			NoDefaultContentType: true, NoDefaultServerHeader: true, CloseOnShutdown: true,
+			DisablePreParseMultipartForm: true,
+		}}, nil
+	})
+}
+
+// provideStore adds the constructors of the parts that use a platform's store.
+func (n *Node) provideStore(injector do.Injector) {
+	do.Provide(injector, func(injector do.Injector) (*carobenroller.Enroller, error) {
+		return carobenroller.NewEnroller(carobenroller.Config{
+			Node: n.config.Settings.Name, Directory: n.config.Store,
+			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+			Logger: logrus.NewEntry(n.config.Logger),
+		}), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (*carobfollower.Follower, error) {
+		return carobfollower.NewFollower(carobfollower.Config{
+			Source: n.config.Store, Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), Logger: logrus.NewEntry(n.config.Logger),
+		}), nil
+	})
+}
