--- a/internal/carobbatch/batch.go
+++ b/internal/carobbatch/batch.go
@@ -1,11 +1,11 @@
-// Package carobbatch holds the control messages that go to one node together.
+// Package carobbatch holds the control messages that one request carries to a node.
 package carobbatch
 
 import "github.com/carobknot/carobknot/pkg/carobmessage"
 
-// Batch is what one request between nodes carries.
+// Batch is the body of a request between nodes.
 type Batch struct {
-	// Messages are in the order in which they were sent. None gets an answer
-	// in the same request.
+	// Messages are in the order in which they were sent. The response to the request is
+	// empty; replies come as messages in a request of the receiver.
 	Messages []carobmessage.Message `json:"messages"`
 }
--- a/internal/carobbody/attach.go
+++ b/internal/carobbody/attach.go
@@ -10,22 +10,23 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// oneWrite is the longest body that is sent in one write with its header.
-const oneWrite = 4096
+// maxSingleWriteBody is the size of the largest body that is sent in one write with its
+// header, in bytes. The header of a response with a longer body is sent at once.
+const maxSingleWriteBody = 4096
 
-// Attach makes the body of an answer that of the response to be sent, whose
-// header is set already. The receiver may take no bytes for as long as stall.
-// over is told how the body ended, like Config.Over.
-func Attach(rc *fasthttp.RequestCtx, an *carobanswer.Answer, timer *carobtimer.Timer, stall time.Duration, over func(kind carobkind.Kind)) {
-	rc.Response.Header.SetNoDefaultContentType(true)
-	cn := rc.Conn()
-	allow := func() { _ = cn.SetWriteDeadline(timer.Wall().Add(stall)) }
-	allow()
-	if an.Bodiless {
-		_ = an.Body.Close()
-		over(carobkind.None)
+// Attach forwards the body of answer as the body of the response to ctx, whose header
+// must already be set. Sending fails if the receiver accepts no bytes for the duration
+// stall. onEnd is called like Config.Over.
+func Attach(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, timer *carobtimer.Timer, stall time.Duration, onEnd func(kind carobkind.Kind)) {
+	ctx.Response.Header.SetNoDefaultContentType(true)
+	conn := ctx.Conn()
+	extendDeadline := func() { _ = conn.SetWriteDeadline(timer.Wall().Add(stall)) }
+	extendDeadline()
+	if answer.Bodiless {
+		_ = answer.Body.Close()
+		onEnd(carobkind.None)
 		return
 	}
-	rc.Response.ImmediateHeaderFlush = an.Length > oneWrite
-	rc.Response.SetBodyStream(NewBody(Config{Stream: an.Body, Length: an.Length, Allow: allow, Over: over}), an.Length)
+	ctx.Response.ImmediateHeaderFlush = answer.Length > maxSingleWriteBody
+	ctx.Response.SetBodyStream(NewBody(Config{Stream: answer.Body, Length: answer.Length, Allow: extendDeadline, Over: onEnd}), answer.Length)
 }
--- a/internal/carobbody/body.go
+++ b/internal/carobbody/body.go
@@ -1,4 +1,5 @@
-// Package carobbody watches how the passing on of an answer's body ends.
+// Package carobbody forwards the body of a response and reports whether all of it was
+// read.
 package carobbody
 
 import (
@@ -8,60 +9,63 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Config is how a body is made.
+// Config holds the parameters of a body.
 type Config struct {
+	// Stream is the body that is forwarded.
 	Stream io.ReadCloser
-	// Length is the length of the body; negative if it is not known.
+	// Length is the length of the body in bytes; negative if it is not known.
 	Length int
-	// Allow is called before bytes are handed out, so that the receiver has time
-	// anew to take them. May be nil.
+	// Allow is called after each read of Stream, before the bytes are sent. It extends the
+	// write deadline of the receiver's connection. May be nil.
 	Allow func()
-	// Over is told once, when the body is closed: None if all of it was read,
-	// Cut otherwise.
+	// Over is called once, when the body is closed. The kind is None if the whole body was
+	// read, and Cut otherwise.
 	Over func(kind carobkind.Kind)
 }
 
-// Body is a body on its way. Reading it gives the whole body or an error.
+// Body is the body of a response that is being forwarded.
 type Body struct {
 	stream io.ReadCloser
-	// left is the number of bytes still to come; negative if it is not known.
-	left  int
-	whole bool
-	allow func()
-	over  func(kind carobkind.Kind)
-	once  sync.Once
+	// bytesLeft is the number of bytes still to be read; negative if it is not known.
+	bytesLeft int
+	// complete is true once the whole body has been read.
+	complete       bool
+	extendDeadline func()
+	onEnd          func(kind carobkind.Kind)
+	once           sync.Once
 }
 
-// NewBody returns a body of which nothing was read yet.
+// NewBody returns a body of which nothing has been read.
 func NewBody(c Config) *Body {
-	return &Body{stream: c.Stream, left: c.Length, whole: c.Length == 0, allow: c.Allow, over: c.Over}
+	return &Body{stream: c.Stream, bytesLeft: c.Length, complete: c.Length == 0, extendDeadline: c.Allow, onEnd: c.Over}
 }
 
-// Read reads on.
+// Read reads the next bytes. It returns io.ErrUnexpectedEOF if Stream ends before
+// Config.Length bytes.
 func (b *Body) Read(into []byte) (int, error) {
 	n, err := b.stream.Read(into)
-	b.left -= n
-	if b.allow != nil {
-		b.allow()
+	b.bytesLeft -= n
+	if b.extendDeadline != nil {
+		b.extendDeadline()
 	}
-	if err == io.EOF && b.left > 0 { //nolint:errorlint // readers return io.EOF itself
+	if err == io.EOF && b.bytesLeft > 0 { //nolint:errorlint // readers return io.EOF itself
 		return n, io.ErrUnexpectedEOF
 	}
-	if err == io.EOF || b.left == 0 { //nolint:errorlint // readers return io.EOF itself
-		b.whole = true
+	if err == io.EOF || b.bytesLeft == 0 { //nolint:errorlint // readers return io.EOF itself
+		b.complete = true
 	}
 	return n, err
 }
 
-// Close closes the body and tells how it ended.
+// Close closes Stream. The first call reports to Config.Over how the body ended.
 func (b *Body) Close() error {
 	err := b.stream.Close()
 	b.once.Do(func() {
 		kind := carobkind.Cut
-		if b.whole {
+		if b.complete {
 			kind = carobkind.None
 		}
-		b.over(kind)
+		b.onEnd(kind)
 	})
 	return err
 }
--- a/internal/carobcodec/codec.go
+++ b/internal/carobcodec/codec.go
@@ -1,4 +1,4 @@
-// Package carobcodec encodes the control messages between nodes.
+// Package carobcodec encodes and decodes the control messages between nodes.
 package carobcodec
 
 import (
@@ -9,18 +9,18 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Codec encodes messages as CBOR. Message types carry their tags themselves.
+// Codec encodes messages as CBOR. The struct tags of the message types define the keys.
 type Codec struct {
 	encode cbor.EncMode
 	decode cbor.DecMode
-	// broken counts what could not be decoded.
-	broken atomic.Uint64
+	// decodeErrors counts the inputs that could not be decoded.
+	decodeErrors atomic.Uint64
 }
 
-// NewCodec returns the codec, whose bounds keep a hostile message from costing
-// much memory.
+// NewCodec returns a codec. It limits the nesting and the number of elements of a
+// message, which keeps a malicious message from allocating much memory.
 func NewCodec() (*Codec, error) {
-	const deepest, longest = 16, 1 << 17
+	const maxNesting, maxElements = 16, 1 << 17
 	encode, err := cbor.EncOptions{
 		Time: cbor.TimeRFC3339Nano, TextMarshaler: cbor.TextMarshalerTextString,
 	}.EncMode()
@@ -28,7 +28,7 @@
 		return nil, carobkind.Wrap(carobkind.Internal, err, "make encoder")
 	}
 	decode, err := cbor.DecOptions{
-		MaxNestedLevels: deepest, MaxArrayElements: longest, MaxMapPairs: longest,
+		MaxNestedLevels: maxNesting, MaxArrayElements: maxElements, MaxMapPairs: maxElements,
 		TextUnmarshaler: cbor.TextUnmarshalerTextString,
 	}.DecMode()
 	if err != nil {
@@ -37,12 +37,12 @@
 	return &Codec{encode: encode, decode: decode}, nil
 }
 
-// Name names the codec in the content type.
+// Name returns the name of the codec in the content type.
 func (c *Codec) Name() string {
 	return "cbor"
 }
 
-// Marshal encodes a message.
+// Marshal encodes a message. The kind of an error is Internal.
 func (c *Codec) Marshal(message any) ([]byte, error) {
 	data, err := c.encode.Marshal(message)
 	if err != nil {
@@ -51,16 +51,16 @@
 	return data, nil
 }
 
-// Unmarshal decodes a message.
+// Unmarshal decodes a message. The kind of an error is Invalid.
 func (c *Codec) Unmarshal(data []byte, message any) error {
 	if err := c.decode.Unmarshal(data, message); err != nil {
-		c.broken.Add(1)
+		c.decodeErrors.Add(1)
 		return carobkind.Wrap(carobkind.Invalid, err, "decode message")
 	}
 	return nil
 }
 
-// Broken returns how many messages could not be decoded.
+// Broken returns how many inputs could not be decoded.
 func (c *Codec) Broken() uint64 {
-	return c.broken.Load()
+	return c.decodeErrors.Load()
 }
