--- a/internal/carobcontrol/control.go
+++ b/internal/carobcontrol/control.go
@@ -1,4 +1,4 @@
-// Package carobcontrol runs the control goroutine, which owns all state.
+// Package carobcontrol runs the control goroutine, which owns all control state.
 package carobcontrol
 
 import (
@@ -12,94 +12,99 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// outlet carries out the effects that concern it. It must not block.
-type outlet interface {
+// executor carries out those effects of a tick that concern it. It is called on the
+// control goroutine and must not block.
+type executor interface {
 	Carry(out *caroboutbox.Outbox)
 }
 
-// Config is how the control is made.
+// Config holds the parameters of the control goroutine.
 type Config struct {
 	Core    *carobcore.Core
 	Mailbox *carobmailbox.Mailbox
 	Timer   *carobtimer.Timer
 }
 
-// Control is the control goroutine.
+// Control runs ticks and queries on the control goroutine.
 type Control struct {
-	config  Config
-	outlets []outlet
-	// asks are questions about the world, answered between ticks.
-	asks chan func(w *carobworld.World)
+	config    Config
+	executors []executor
+	// queries are the queries of the world, which run between ticks.
+	queries chan func(world *carobworld.World)
 }
 
-// NewControl returns a control that carries nothing out yet.
+// NewControl returns a control without executors.
 func NewControl(c Config) *Control {
-	return &Control{config: c, asks: make(chan func(w *carobworld.World), 1)}
+	return &Control{config: c, queries: make(chan func(world *carobworld.World), 1)}
 }
 
-// Attach adds an outlet. All are attached before Run.
-func (c *Control) Attach(o outlet) {
-	c.outlets = append(c.outlets, o)
+// Attach adds an executor. It must not be called after Run has started.
+func (c *Control) Attach(o executor) {
+	c.executors = append(c.executors, o)
 }
 
-// Run ticks until cx ends. A tick starts when messages come or the world is due
-// to wake; in between the goroutine blocks.
-func (c *Control) Run(cx context.Context) {
-	alarm := c.config.Timer.Subscribe(c.config.Mailbox.Ring)
+// Run runs ticks until ctx ends. A tick starts when the mailbox has messages, a query
+// waits, or the next wake-up time of the world has come. Between ticks the goroutine
+// blocks.
+func (c *Control) Run(ctx context.Context) {
+	setWakeUp := c.config.Timer.Subscribe(c.config.Mailbox.Ring)
 	c.config.Mailbox.Ring()
 	for {
-		if !c.config.Mailbox.Await(cx) {
+		if !c.config.Mailbox.Await(ctx) {
 			return
 		}
-		// Questions first: what was posted before a question was asked is in the
-		// tick that comes before its answer.
-		questions := c.questions()
+		// Collect the queries before the messages. Messages that were posted before a
+		// query was made are then part of the tick that runs before the query.
+		queries := c.takeQueries()
 		c.tick(c.config.Mailbox.Take())
-		for _, ask := range questions {
-			ask(c.config.Core.World())
+		for _, run := range queries {
+			run(c.config.Core.World())
 		}
-		alarm(c.config.Core.Wake())
+		setWakeUp(c.config.Core.Wake())
 	}
 }
 
-// Ask runs a question on the control goroutine between two ticks, after a tick
-// that took in all that was posted before. The question may read the world and must keep nothing of it.
-func (c *Control) Ask(cx context.Context, question func(w *carobworld.World)) error {
+// Ask runs a query on the control goroutine, after a tick that has processed all
+// messages posted before. The query may read the world, but must not keep references
+// into it. If ctx ends first, Ask returns the cause; the query may still run later.
+func (c *Control) Ask(ctx context.Context, query func(world *carobworld.World)) error {
 	done := make(chan struct{})
-	ask := func(w *carobworld.World) {
-		question(w)
+	run := func(world *carobworld.World) {
+		query(world)
 		close(done)
 	}
 	select {
-	case c.asks <- ask:
+	case c.queries <- run:
 		c.config.Mailbox.Ring()
-	case <-cx.Done():
-		return context.Cause(cx)
+	case <-ctx.Done():
+		return context.Cause(ctx)
 	}
 	select {
 	case <-done:
 		return nil
-	case <-cx.Done():
-		return context.Cause(cx)
+	case <-ctx.Done():
+		return context.Cause(ctx)
 	}
 }
 
-func (c *Control) tick(in carobinbox.Inbox) {
-	out := c.config.Core.Step(c.config.Timer.Now(), in)
-	for _, o := range c.outlets {
+// tick runs all systems over the tables with the inbox as input, and passes their
+// effects to the executors.
+func (c *Control) tick(inbox carobinbox.Inbox) {
+	out := c.config.Core.Step(c.config.Timer.Now(), inbox)
+	for _, o := range c.executors {
 		o.Carry(out)
 	}
 }
 
-// questions takes out what is asked now.
-func (c *Control) questions() []func(w *carobworld.World) {
-	var asks []func(w *carobworld.World)
+// takeQueries removes and returns the queries that wait now.
+func (c *Control) takeQueries() []func(world *carobworld.World) {
+	var queries []func(world *carobworld.World)
 	for {
 		select {
-		case ask := <-c.asks:
-			asks = append(asks, ask)
+		case run := <-c.queries:
+			queries = append(queries, run)
 		default:
-			return asks
+			return queries
 		}
 	}
 }
--- a/internal/carobsplitter/splitter.go
+++ b/internal/carobsplitter/splitter.go
@@ -1,4 +1,5 @@
-// Package carobsplitter lets calls and control messages share the peer address.
+// Package carobsplitter lets the attempts and the control messages of other nodes share
+// the peer address. It detects the protocol of each connection by its first bytes.
 package carobsplitter
 
 import (
@@ -12,120 +13,128 @@
 	"github.com/carobknot/carobknot/internal/carobtimer"
 )
 
-// preface is how every connection of control messages begins; no request line
-// of HTTP/1.1 does.
+// preface is the start of the HTTP/2 connection preface, with which every connection
+// of control messages begins. No request line of HTTP/1.1 begins with it.
 const preface = "PRI "
 
-// Config is how a splitter is made.
+// Config holds the parameters of a splitter.
 type Config struct {
+	// Listener accepts the connections at the peer address.
 	Listener net.Listener
 	Timer    *carobtimer.Timer
-	// Patience is how long a new connection may take to send its first bytes.
+	// Patience is how long a new connection may take to send its first bytes. It is closed
+	// afterwards.
 	Patience time.Duration
 }
 
-// Splitter accepts connections and sorts them by their first bytes.
+// Splitter accepts connections and passes each to the listener of its protocol.
 type Splitter struct {
 	config Config
-	// Calls has the connections of calls, in HTTP/1.1.
+	// Calls accepts the connections for attempts, which use HTTP/1.1.
 	Calls net.Listener
-	// Control has the connections of control messages, in HTTP/2.
+	// Control accepts the connections for control messages, which use HTTP/2.
 	Control net.Listener
 }
 
-// NewSplitter returns a splitter that accepts nothing before Run.
+// NewSplitter returns a splitter. It accepts no connections before Run.
 func NewSplitter(c Config) *Splitter {
 	address := c.Listener.Addr()
-	return &Splitter{config: c, Calls: newQueue(address), Control: newQueue(address)}
+	return &Splitter{config: c, Calls: newQueueListener(address), Control: newQueueListener(address)}
 }
 
-// Run accepts connections until cx ends or the listener fails.
-func (s *Splitter) Run(cx context.Context) {
-	stop := context.AfterFunc(cx, func() { _ = s.config.Listener.Close() })
+// Run accepts connections until ctx ends or the listener fails, and then closes Calls
+// and Control.
+func (s *Splitter) Run(ctx context.Context) {
+	stop := context.AfterFunc(ctx, func() { _ = s.config.Listener.Close() })
 	defer stop()
 	defer func() { _, _ = s.Calls.Close(), s.Control.Close() }()
 	for {
-		cn, err := s.config.Listener.Accept()
+		conn, err := s.config.Listener.Accept()
 		if err != nil {
 			return
 		}
-		go s.sort(cn)
+		go s.dispatch(conn)
 	}
 }
 
-func (s *Splitter) sort(cn net.Conn) {
-	reader := bufio.NewReader(cn)
-	_ = cn.SetReadDeadline(s.config.Timer.Wall().Add(s.config.Patience))
-	first, err := reader.Peek(len(preface))
+// dispatch detects the protocol of a connection and passes the connection to the
+// listener for it. It closes a connection that does not send enough bytes in time.
+func (s *Splitter) dispatch(conn net.Conn) {
+	reader := bufio.NewReader(conn)
+	_ = conn.SetReadDeadline(s.config.Timer.Wall().Add(s.config.Patience))
+	firstBytes, err := reader.Peek(len(preface))
 	if err != nil {
-		_ = cn.Close()
+		_ = conn.Close()
 		return
 	}
-	_ = cn.SetReadDeadline(time.Time{})
-	to := s.Calls
-	if string(first) == preface {
-		to = s.Control
+	_ = conn.SetReadDeadline(time.Time{})
+	listener := s.Calls
+	if string(firstBytes) == preface {
+		listener = s.Control
 	}
-	to.(*queue).put(&peeked{Conn: cn, reader: reader}) //nolint:forcetypeassert // made by NewSplitter
+	listener.(*queueListener).put(&bufferedConn{Conn: conn, reader: reader}) //nolint:forcetypeassert // made by NewSplitter
 }
 
-// peeked is a connection whose first bytes wait in a buffer.
-type peeked struct {
+// bufferedConn is a connection whose first bytes have been read into a buffer.
+type bufferedConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// Read reads the buffered bytes first.
-func (p *peeked) Read(into []byte) (int, error) {
-	return p.reader.Read(into)
+// Read returns the buffered bytes first.
+func (c *bufferedConn) Read(into []byte) (int, error) {
+	return c.reader.Read(into)
 }
 
-// SyscallConn gives access to the file descriptor.
-func (p *peeked) SyscallConn() (syscall.RawConn, error) {
-	sc, ok := p.Conn.(syscall.Conn)
+// SyscallConn gives access to the file descriptor, by which disconnects are detected.
+// The error is net.ErrClosed if the connection has none.
+func (c *bufferedConn) SyscallConn() (syscall.RawConn, error) {
+	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return nil, net.ErrClosed
 	}
-	return sc.SyscallConn()
+	return syscallConn.SyscallConn()
 }
 
-// queue is a listener of the connections put into it.
-type queue struct {
+// queueListener is a net.Listener that returns the connections put into it.
+type queueListener struct {
 	address net.Addr
 	conns   chan net.Conn
-	done    chan struct{}
-	once    sync.Once
+	// closed is closed by Close.
+	closed chan struct{}
+	once   sync.Once
 }
 
-func newQueue(address net.Addr) *queue {
-	return &queue{address: address, conns: make(chan net.Conn), done: make(chan struct{})}
+func newQueueListener(address net.Addr) *queueListener {
+	return &queueListener{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (q *queue) put(cn net.Conn) {
+// put waits until Accept takes the connection, and closes it if the queue is closed.
+func (l *queueListener) put(conn net.Conn) {
 	select {
-	case q.conns <- cn:
-	case <-q.done:
-		_ = cn.Close()
+	case l.conns <- conn:
+	case <-l.closed:
+		_ = conn.Close()
 	}
 }
 
-// Accept waits for the next connection.
-func (q *queue) Accept() (net.Conn, error) {
+// Accept waits for the next connection. It returns net.ErrClosed after Close.
+func (l *queueListener) Accept() (net.Conn, error) {
 	select {
-	case cn := <-q.conns:
-		return cn, nil
-	case <-q.done:
+	case conn := <-l.conns:
+		return conn, nil
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-// Close ends the queue.
-func (q *queue) Close() error {
-	q.once.Do(func() { close(q.done) })
+// Close makes Accept return net.ErrClosed.
+func (l *queueListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-// Addr returns the address that the connections came to.
-func (q *queue) Addr() net.Addr {
-	return q.address
+// Addr returns the address at which the connections were accepted.
+func (l *queueListener) Addr() net.Addr {
+	return l.address
 }
