--- a/internal/carobmailbox/mailbox.go
+++ b/internal/carobmailbox/mailbox.go
@@ -1,5 +1,5 @@
-// Package carobmailbox carries messages from the traffic goroutines to the
-// control goroutine.
+// Package carobmailbox passes the messages of other goroutines to the control
+// goroutine.
 package carobmailbox
 
 import (
@@ -9,50 +9,51 @@
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 )
 
-// Mailbox collects messages until the control goroutine takes them together.
+// Mailbox collects messages until the control goroutine takes all of them at once.
 type Mailbox struct {
-	mutex sync.Mutex
+	mu    sync.Mutex
 	inbox carobinbox.Inbox
-	// rung holds one element while the control goroutine has something to do.
-	rung chan struct{}
+	// tickDue has one element while a tick is due.
+	tickDue chan struct{}
 }
 
 // NewMailbox returns an empty mailbox.
 func NewMailbox() *Mailbox {
-	return &Mailbox{rung: make(chan struct{}, 1)}
+	return &Mailbox{tickDue: make(chan struct{}, 1)}
 }
 
-// Post adds messages. It never blocks on the control goroutine.
-func (m *Mailbox) Post(write func(in *carobinbox.Inbox)) {
-	m.mutex.Lock()
+// Post calls write to add messages and makes a tick due. It does not wait for the
+// control goroutine.
+func (m *Mailbox) Post(write func(inbox *carobinbox.Inbox)) {
+	m.mu.Lock()
 	write(&m.inbox)
-	m.mutex.Unlock()
+	m.mu.Unlock()
 	m.Ring()
 }
 
-// Ring starts a tick though no message came.
+// Ring makes a tick due even if there are no messages. It never blocks.
 func (m *Mailbox) Ring() {
 	select {
-	case m.rung <- struct{}{}:
+	case m.tickDue <- struct{}{}:
 	default:
 	}
 }
 
-// Await waits until the mailbox was rung. It reports false once cx has ended.
-func (m *Mailbox) Await(cx context.Context) bool {
+// Await waits until a tick is due. It returns false if ctx has ended.
+func (m *Mailbox) Await(ctx context.Context) bool {
 	select {
-	case <-cx.Done():
+	case <-ctx.Done():
 		return false
-	case <-m.rung:
+	case <-m.tickDue:
 		return true
 	}
 }
 
-// Take returns what has come together.
+// Take removes and returns all messages.
 func (m *Mailbox) Take() carobinbox.Inbox {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	in := m.inbox
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	inbox := m.inbox
 	m.inbox = carobinbox.Inbox{}
-	return in
+	return inbox
 }
--- a/internal/carobtimer/timer.go
+++ b/internal/carobtimer/timer.go
@@ -1,5 +1,5 @@
-// Package carobtimer is the timer service. All other parts subscribe to it; none
-// reads the clock or sleeps by itself.
+// Package carobtimer provides the clock and the timers of a node. No other part reads
+// the system clock or sleeps by itself.
 package carobtimer
 
 import (
@@ -11,79 +11,81 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
-// Timer tells the time and wakes its subscribers.
+// Timer reads the clock and calls its subscribers at the instants that they set.
 type Timer struct {
-	// start is when the timer was made; its monotonic reading is what counts.
+	// start is when the timer was made. Its monotonic clock reading is the base of Now.
 	start time.Time
-	mutex sync.Mutex
-	// agenda has the subscriptions that are due some time.
-	agenda *carobagenda.Agenda[*subscription]
-	// rung tells the timer's goroutine that another subscription is due first. It holds
-	// one element, so that ringing never blocks.
-	rung chan struct{}
+	mu    sync.Mutex
+	// schedule has the subscriptions for which an instant is set.
+	schedule *carobagenda.Agenda[*subscription]
+	// rescheduled wakes the timer's goroutine after the earliest instant has changed. Its
+	// capacity is 1 and set drops elements beyond that, which keeps set from blocking.
+	rescheduled chan struct{}
 }
 
-// subscription is what is called when it is due.
+// subscription is a function that is called when it is due.
 type subscription struct {
 	call func()
 }
 
-// NewTimer returns a timer. It wakes nobody before Run.
+// NewTimer returns a timer. It calls no subscriber before Run.
 func NewTimer() *Timer {
 	return &Timer{
-		start: time.Now(), agenda: carobagenda.NewAgenda[*subscription](), rung: make(chan struct{}, 1),
+		start: time.Now(), schedule: carobagenda.NewAgenda[*subscription](), rescheduled: make(chan struct{}, 1),
 	}
 }
 
-// Now returns the instant on the node's clock, which never goes back.
+// Now returns the current instant on the node's clock, which never goes back.
 func (t *Timer) Now() carobinstant.Instant {
 	return carobinstant.Instant(t.start.UnixNano()).Add(time.Since(t.start))
 }
 
-// Wall returns the time of day, for logs, traces and deadlines of connections.
+// Wall returns the wall-clock time, for logs, traces and deadlines of connections.
 func (t *Timer) Wall() time.Time {
 	return time.Now()
 }
 
-// Subscribe has call run on the timer's goroutine at the instant last given to
-// set. call must not block.
+// Subscribe returns a function that sets the instant at which call runs on the timer's
+// goroutine. A later set replaces the instant; carobinstant.Never removes it. call must
+// not block.
 func (t *Timer) Subscribe(call func()) (set func(at carobinstant.Instant)) {
-	sb := &subscription{call: call}
-	return func(at carobinstant.Instant) { t.set(sb, at) }
+	sub := &subscription{call: call}
+	return func(at carobinstant.Instant) { t.set(sub, at) }
 }
 
-// Wait returns after d, or at once with an error if cx ends before.
-func (t *Timer) Wait(cx context.Context, d time.Duration) error {
+// Wait returns nil after d. If ctx ends earlier, it returns the cause at once.
+func (t *Timer) Wait(ctx context.Context, d time.Duration) error {
 	done := make(chan struct{})
 	set := t.Subscribe(sync.OnceFunc(func() { close(done) }))
 	set(t.Now().Add(d))
 	select {
 	case <-done:
 		return nil
-	case <-cx.Done():
+	case <-ctx.Done():
 		set(carobinstant.Never)
-		return context.Cause(cx)
+		return context.Cause(ctx)
 	}
 }
 
-// Run wakes subscribers until cx ends.
-func (t *Timer) Run(cx context.Context) {
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+// Run calls subscribers that are due until ctx ends.
+func (t *Timer) Run(ctx context.Context) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
-		case <-cx.Done():
+		case <-ctx.Done():
 			return
-		case <-alarm.C:
-		case <-t.rung:
+		case <-timer.C:
+		case <-t.rescheduled:
 		}
 		if next := t.fire(); next != carobinstant.Never {
-			alarm.Reset(next.Sub(t.Now()))
+			timer.Reset(next.Sub(t.Now()))
 		}
 	}
 }
 
-// fire wakes those that are due and returns when the next one is.
+// fire calls the subscribers that are due. It returns the instant of the next one, or
+// Never if there is none.
 func (t *Timer) fire() carobinstant.Instant {
 	for {
 		call, next := t.pop()
@@ -94,24 +96,28 @@
 	}
 }
 
+// pop removes and returns the function of a subscription that is due. If none is due, it
+// returns nil and the instant of the next one.
 func (t *Timer) pop() (func(), carobinstant.Instant) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if sb, ok := t.agenda.Pop(t.Now()); ok {
-		return sb.call, carobinstant.Never
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if sub, ok := t.schedule.Pop(t.Now()); ok {
+		return sub.call, carobinstant.Never
 	}
-	return nil, t.agenda.Next()
+	return nil, t.schedule.Next()
 }
 
-func (t *Timer) set(sb *subscription, at carobinstant.Instant) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.agenda.Set(sb, at)
-	if first, ok := t.agenda.First(); !ok || first != sb {
+// set sets the instant of a subscription, and wakes the goroutine of Run if that is now
+// the earliest one.
+func (t *Timer) set(sub *subscription, at carobinstant.Instant) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.schedule.Set(sub, at)
+	if first, ok := t.schedule.First(); !ok || first != sub {
 		return
 	}
 	select {
-	case t.rung <- struct{}{}:
+	case t.rescheduled <- struct{}{}:
 	default:
 	}
 }
