--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -296,9 +296,9 @@
 //   - Then callers can open no more connections; calls that have been received are
 //     still answered. The node announces to the other nodes that it leaves and refuses
 //     their attempts, until none has sent an attempt for a while. If an attempt met a
-//     closed connection instead of a refusal, its entry node could not know whether it
-//     ran.
-//   - Calls that are still in flight after Settings.Grace get their last answer.
+//     closed connection instead of a refusal, its entry node could not determine
+//     whether it ran.
+//   - Calls that are still in flight after Settings.Grace get a final response.
 //   - Finally the servers are closed, within closeTimeout.
 func (n *Node) shutDown(ctx context.Context) {
 	logger := n.config.Logger.WithField("node", n.config.Settings.Name)
--- a/internal/carobnode/traffic_providers.go
+++ b/internal/carobnode/traffic_providers.go
@@ -46,31 +46,31 @@
 		}), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobadmitter.Admitter, error) {
-		targets := carobpool.Config{
+		poolConfig := carobpool.Config{
 			Timer: do.MustInvoke[*carobtimer.Timer](injector), Dial: dialTimeout, Idle: targetIdleTimeout, Kept: maxIdleConns,
 			Header: int(settings.Limits.Header), Stall: settings.Limits.Stall.Duration(),
 		}
-		c := carobadmitter.Config{
+		admitterConfig := carobadmitter.Config{
 			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
 			Watch:   do.MustInvoke[*carobwatch.Watch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
 			Stall: settings.Limits.Stall.Duration(),
 		}
 		if n.config.Dialect != nil {
-			targets.Recent, targets.Alive, targets.Unframed, targets.Mine = maxReuseAge, keepAliveInterval, true, n.config.Dialect.Mine
-			c.Dialect, c.Gather = n.config.Dialect, maxBufferedResponse
+			poolConfig.Recent, poolConfig.Alive, poolConfig.Unframed, poolConfig.Mine = maxReuseAge, keepAliveInterval, true, n.config.Dialect.Mine
+			admitterConfig.Dialect, admitterConfig.Gather = n.config.Dialect, maxBufferedResponse
 		}
-		c.Targets = carobpool.NewPool(targets)
-		return carobadmitter.NewAdmitter(c), nil
+		admitterConfig.Targets = carobpool.NewPool(poolConfig)
+		return carobadmitter.NewAdmitter(admitterConfig), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobrelay.Relay, error) {
-		peers := carobpool.Config{
+		poolConfig := carobpool.Config{
 			Timer: do.MustInvoke[*carobtimer.Timer](injector), Dial: dialTimeout, Idle: peerIdleTimeout, Kept: maxIdleConns, Ask: true,
 			Header: peerHeaderSpace + int(settings.Limits.Header), Stall: settings.Limits.Stall.Duration(),
 		}
 		if n.config.Dialect != nil {
-			peers.Dial, peers.Recent, peers.Alive = peerDialTimeout, maxReuseAge, keepAliveInterval
+			poolConfig.Dial, poolConfig.Recent, poolConfig.Alive = peerDialTimeout, maxReuseAge, keepAliveInterval
 		}
-		return carobrelay.NewRelay(carobrelay.Config{Peers: carobpool.NewPool(peers), Own: do.MustInvoke[*carobadmitter.Admitter](injector)}), nil
+		return carobrelay.NewRelay(carobrelay.Config{Peers: carobpool.NewPool(poolConfig), Own: do.MustInvoke[*carobadmitter.Admitter](injector)}), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (callServer, error) {
 		self := do.MustInvoke[carobmember.Member](injector)
--- a/internal/carobpool/exchange.go
+++ b/internal/carobpool/exchange.go
@@ -188,7 +188,7 @@
 			continue
 		}
 		if resp.StatusCode() == fasthttp.StatusSwitchingProtocols {
-			return nil, carobkind.New(carobkind.Cut, "peer switched protocols without being asked to")
+			return nil, carobkind.New(carobkind.Cut, "peer switched protocols although no upgrade was requested")
 		}
 	}
 	return nil, carobkind.New(carobkind.Cut, "too many interim responses")
--- a/internal/carobpool/pool_test.go
+++ b/internal/carobpool/pool_test.go
@@ -36,25 +36,25 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	p := &testServer{address: carobaddress.Address(listener.Addr().String())}
+	server := &testServer{address: carobaddress.Address(listener.Addr().String())}
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go p.serve(conn, p.opened.Add(1), serve)
+			go server.serve(conn, server.opened.Add(1), serve)
 		}
 	}()
-	return p
+	return server
 }
 
-func (p *testServer) serve(conn net.Conn, connection int64, serve func(conn net.Conn, req *http.Request, connection, request int64) bool) {
+func (s *testServer) serve(conn net.Conn, connection int64, serve func(conn net.Conn, req *http.Request, connection, request int64) bool) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
 		req, err := http.ReadRequest(reader)
-		if err != nil || !serve(conn, req, connection, p.requests.Add(1)) {
+		if err != nil || !serve(conn, req, connection, s.requests.Add(1)) {
 			return
 		}
 	}
--- a/internal/carobtimer/timer.go
+++ b/internal/carobtimer/timer.go
@@ -53,11 +53,11 @@
 	return func(at carobinstant.Instant) { t.set(sub, at) }
 }
 
-// Wait returns nil after d. If ctx ends earlier, it returns the cause at once.
-func (t *Timer) Wait(ctx context.Context, d time.Duration) error {
+// Wait returns nil after delay. If ctx ends earlier, it returns the cause at once.
+func (t *Timer) Wait(ctx context.Context, delay time.Duration) error {
 	done := make(chan struct{})
 	set := t.Subscribe(sync.OnceFunc(func() { close(done) }))
-	set(t.Now().Add(d))
+	set(t.Now().Add(delay))
 	select {
 	case <-done:
 		return nil
