--- a/internal/carobtransport/transport.go
+++ b/internal/carobtransport/transport.go
@@ -23,13 +23,13 @@
 	procedure = "/carobknot.v1.Peer/Tell"
 	// requestTimeout is the time-out of a request, and of reading the header of one.
 	requestTimeout = 2 * time.Second
-	// pingTimeout is how long a connection may be without traffic before the client pings the
-	// peer, and how long the answer to the ping may take.
+	// pingTimeout is how long a connection may be without traffic before the client pings
+	// the peer, and how long the response to the ping may take.
 	pingTimeout = time.Second
 	// maxInFlight is the largest number of concurrent requests to one node.
 	maxInFlight = 64
-	// idleTimeout is how long the client keeps an idle connection; the server keeps it twice
-	// as long.
+	// idleTimeout is how long the client keeps an idle connection; the server keeps it
+	// twice as long.
 	idleTimeout = 30 * time.Second
 	// maxClients is the largest number of addresses for which a client is kept.
 	maxClients = 4096
@@ -96,7 +96,7 @@
 func (t *Transport) Broken() uint64 { return t.broken.Load() + t.config.Codec.Broken() }
 
 // Shutdown waits until all messages have been sent, stops receiving messages and
-// closes all connections. When ctx ends, it returns its error without waiting any longer.
+// closes all connections. It stops waiting when ctx ends.
 func (t *Transport) Shutdown(ctx context.Context) error {
 	sent := make(chan struct{})
 	go func() {
