--- a/internal/carobadmin/admin.go
+++ b/internal/carobadmin/admin.go
@@ -17,9 +17,9 @@
 	"github.com/carobknot/carobknot/pkg/carobannouncement"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -19,18 +19,18 @@
 	"github.com/carobknot/carobknot/internal/carobwatch"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
-	"github.com/carobknot/carobknot/pkg/carobtargetload"
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobsize"
 	"github.com/carobknot/carobknot/pkg/carobstart"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 )
 
 // exchanger sends a request to a target and returns the response, with its body not
--- a/internal/carobadmitter/health_check.go
+++ b/internal/carobadmitter/health_check.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobhealthcheck"
 	"github.com/carobknot/carobknot/pkg/carobcheckresult"
+	"github.com/carobknot/carobknot/pkg/carobhealthcheck"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobtargetload"
 )
--- a/internal/carobadmitter/native_dialect.go
+++ b/internal/carobadmitter/native_dialect.go
@@ -9,10 +9,10 @@
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobtargetload"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobstart"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 )
 
 // nativeDialect is the dialect of targets that read carobknot's own headers.
--- a/internal/carobentrance/responder.go
+++ b/internal/carobentrance/responder.go
@@ -9,9 +9,9 @@
 	"github.com/carobknot/carobknot/internal/carobbody"
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboutcome"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
 // responder sends the result of a call to its caller.
--- a/internal/carobentrance/stored.go
+++ b/internal/carobentrance/stored.go
@@ -9,8 +9,8 @@
 	"github.com/carobknot/carobknot/internal/carobanswer"
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/caroboutcome"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
 // writeStored responds with the answer that is stored for the call's idempotency
--- a/internal/carobexchange/exchange.go
+++ b/internal/carobexchange/exchange.go
@@ -14,10 +14,10 @@
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobsend"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
 // exchange is a call in progress. One goroutine applies its orders, and each
--- a/internal/carobexchange/exchanges.go
+++ b/internal/carobexchange/exchanges.go
@@ -17,12 +17,12 @@
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
-	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobsize"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
 // relay sends an attempt to a target's node and returns the answer and the
--- a/internal/carobheader/offer.go
+++ b/internal/carobheader/offer.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobcallid"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
-	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobrequestid"
-	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobrequirements"
+	"github.com/carobknot/carobknot/pkg/carobsend"
 )
 
 const (
--- a/internal/carobheader/offer_test.go
+++ b/internal/carobheader/offer_test.go
@@ -9,12 +9,12 @@
 
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobguarantee"
+	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobrequestid"
+	"github.com/carobknot/carobknot/pkg/carobrequirements"
 	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobrequirements"
 )
 
 func testSend(request carobrequestid.ID) carobsend.Send {
--- a/internal/carobheader/report.go
+++ b/internal/carobheader/report.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
--- a/internal/carobingress/ingress.go
+++ b/internal/carobingress/ingress.go
@@ -22,12 +22,12 @@
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
-	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
 	"github.com/carobknot/carobknot/pkg/carobsize"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
 // dialect decodes the requests and encodes the errors of a platform.
--- a/internal/carobledger/ledger.go
+++ b/internal/carobledger/ledger.go
@@ -11,10 +11,10 @@
 	"github.com/carobknot/carobknot/pkg/carobfold"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobrevision"
 	"github.com/carobknot/carobknot/pkg/carobstream"
-	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -32,15 +32,15 @@
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
-	"github.com/carobknot/carobknot/pkg/carobtargetload"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobsize"
 	"github.com/carobknot/carobknot/pkg/carobstart"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
--- a/internal/carobsettings/settings.go
+++ b/internal/carobsettings/settings.go
@@ -10,14 +10,14 @@
 	"github.com/carobknot/carobknot/internal/carobdocument"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobcentre"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
-	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
+	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobregion"
 	"github.com/carobknot/carobknot/pkg/carobretrylimits"
-	"github.com/carobknot/carobknot/pkg/carobduration"
 )
 
 // Settings are the settings of one node, read when it starts.
--- a/internal/carobstatus/status.go
+++ b/internal/carobstatus/status.go
@@ -7,17 +7,17 @@
 	"slices"
 
 	"github.com/carobknot/carobknot/pkg/carobcentre"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobprobing"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobregion"
-	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -62,7 +62,7 @@
 	Slots   int                      `json:"slots"`
 	Running int                      `json:"running"`
 	Queued  int                      `json:"queued"`
-	Latency carobduration.Duration           `json:"latency"`
+	Latency carobduration.Duration   `json:"latency"`
 	// Age is the age of the report; 0 for own targets and without a report.
 	Age carobduration.Duration `json:"age"`
 	// Known is false if the load is unknown because there is no report.
--- a/internal/carobtail/tail.go
+++ b/internal/carobtail/tail.go
@@ -11,9 +11,9 @@
 	"github.com/carobknot/carobknot/internal/carobpage"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
-	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobstream"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 )
 
 // reader reads records of the log.
--- a/internal/carobtimer/timer.go
+++ b/internal/carobtimer/timer.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobschedule"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobschedule"
 )
 
 // Timer reads the clock and calls its subscribers at the instants that they set.
