--- /dev/null
+++ b/internal/carobadmitter/health_check.go
@@ -0,0 +1,38 @@
+package carobadmitter
+
+import (
+	"context"
+	"time"
+
+	"github.com/carobknot/carobknot/pkg/carobcheckresult"
+	"github.com/carobknot/carobknot/pkg/carobhealthcheck"
+	"github.com/carobknot/carobknot/pkg/carobinbox"
+	"github.com/carobknot/carobknot/pkg/carobtargetload"
+)
+
+const (
+	// healthCheckTimeout is the time-out of a health check.
+	healthCheckTimeout = 100 * time.Millisecond
+	// maxHealthCheckBody is the largest body of a response to a health check that is
+	// read, in bytes.
+	maxHealthCheckBody = 4096
+)
+
+// checkHealth sends a health check to a target and posts the result.
+func (a *Admitter) checkHealth(check carobhealthcheck.HealthCheck) {
+	result := carobcheckresult.CheckResult{Target: check.Target, TargetLoad: a.fetchLoad(check)}
+	a.config.Mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.CheckResults = append(inbox.CheckResults, result) })
+}
+
+// fetchLoad returns the load that a target reports in its response to a health check.
+// It returns nil if there is no response, and a zero load if the response reports none.
+func (a *Admitter) fetchLoad(check carobhealthcheck.HealthCheck) *carobtargetload.TargetLoad {
+	answer, err := a.requestHealth(context.Background(), check.Address, healthCheckTimeout)
+	if err != nil {
+		return nil
+	}
+	if _, pressure := a.config.Dialect.Judge(answer.Response); pressure != nil {
+		return pressure
+	}
+	return &carobtargetload.TargetLoad{}
+}
--- /dev/null
+++ b/internal/carobnode/traffic_providers.go
@@ -0,0 +1,125 @@
+package carobnode
+
+import (
+	"math"
+	"time"
+
+	"github.com/samber/do/v2"
+	"github.com/sirupsen/logrus"
+	"github.com/valyala/fasthttp"
+
+	"github.com/carobknot/carobknot/internal/carobadmitter"
+	"github.com/carobknot/carobknot/internal/carobcontrol"
+	"github.com/carobknot/carobknot/internal/carobenroller"
+	"github.com/carobknot/carobknot/internal/carobentrance"
+	"github.com/carobknot/carobknot/internal/carobexchange"
+	"github.com/carobknot/carobknot/internal/carobfollower"
+	"github.com/carobknot/carobknot/internal/carobingress"
+	"github.com/carobknot/carobknot/internal/carobmailbox"
+	"github.com/carobknot/carobknot/internal/carobpool"
+	"github.com/carobknot/carobknot/internal/carobrelay"
+	"github.com/carobknot/carobknot/internal/carobtimer"
+	"github.com/carobknot/carobknot/internal/carobwatch"
+	"github.com/carobknot/carobknot/pkg/carobmember"
+)
+
+const (
+	// peerHeaderSpace is the space in read buffers for the headers that nodes add to
+	// attempts and to their responses, in bytes.
+	peerHeaderSpace = 4096
+	// disconnectCheckInterval is the interval at which the connections of callers and
+	// entry nodes are checked for disconnects.
+	disconnectCheckInterval = 25 * time.Millisecond
+)
+
+// attemptServer is the HTTP server for the attempts of other nodes.
+type attemptServer struct {
+	*fasthttp.Server
+}
+
+// provideTraffic adds the constructors of the parts that carry calls.
+func (n *Node) provideTraffic(injector do.Injector) {
+	settings := n.config.Settings
+	do.Provide(injector, func(injector do.Injector) (*carobwatch.Watch, error) {
+		return carobwatch.NewWatch(carobwatch.Config{
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), Period: disconnectCheckInterval,
+		}), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (*carobadmitter.Admitter, error) {
+		poolConfig := carobpool.Config{
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), Dial: dialTimeout, Idle: targetIdleTimeout, Kept: maxIdleConns,
+			Header: int(settings.Limits.HeaderSize), Stall: settings.Limits.StallTimeout.Duration(),
+		}
+		admitterConfig := carobadmitter.Config{
+			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
+			Watch:   do.MustInvoke[*carobwatch.Watch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+			Stall: settings.Limits.StallTimeout.Duration(),
+		}
+		if n.config.Dialect != nil {
+			poolConfig.Recent, poolConfig.Alive, poolConfig.Unframed, poolConfig.Mine = maxReuseAge, keepAliveInterval, true, n.config.Dialect.Mine
+			admitterConfig.Dialect, admitterConfig.Gather = n.config.Dialect, maxBufferedResponse
+		}
+		admitterConfig.Targets = carobpool.NewPool(poolConfig)
+		return carobadmitter.NewAdmitter(admitterConfig), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (*carobrelay.Relay, error) {
+		poolConfig := carobpool.Config{
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), Dial: dialTimeout, Idle: peerIdleTimeout, Kept: maxIdleConns, Ask: true,
+			Header: peerHeaderSpace + int(settings.Limits.HeaderSize), Stall: settings.Limits.StallTimeout.Duration(),
+		}
+		if n.config.Dialect != nil {
+			poolConfig.Dial, poolConfig.Recent, poolConfig.Alive = peerDialTimeout, maxReuseAge, keepAliveInterval
+		}
+		return carobrelay.NewRelay(carobrelay.Config{Peers: carobpool.NewPool(poolConfig), Own: do.MustInvoke[*carobadmitter.Admitter](injector)}), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (callServer, error) {
+		self := do.MustInvoke[carobmember.Member](injector)
+		if n.config.Dialect == nil {
+			return carobentrance.NewEntrance(carobentrance.Config{
+				Node: self.Node, Incarnation: self.Incarnation, Limits: settings.Limits,
+				Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Control: do.MustInvoke[*carobcontrol.Control](injector),
+				Watch: do.MustInvoke[*carobwatch.Watch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+				Relay: do.MustInvoke[*carobrelay.Relay](injector),
+			}), nil
+		}
+		return carobingress.NewIngress(carobingress.Config{
+			Node: self.Node, Incarnation: self.Incarnation, Limits: settings.Limits, Dialect: n.config.Dialect,
+			Exchanges: carobexchange.NewExchanges(carobexchange.Config{
+				Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Relay: do.MustInvoke[*carobrelay.Relay](injector), Gather: maxBufferedResponse,
+			}),
+			Timer: do.MustInvoke[*carobtimer.Timer](injector),
+		}), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (*attemptServer, error) {
+		return &attemptServer{Server: &fasthttp.Server{
+			Handler:              do.MustInvoke[*carobadmitter.Admitter](injector).Serve,
+			ExpectHandler:        do.MustInvoke[*carobadmitter.Admitter](injector).Expect,
+			ErrorHandler:         do.MustInvoke[*carobadmitter.Admitter](injector).Fail,
+			ReadBufferSize:       peerHeaderSpace + int(settings.Limits.HeaderSize),
+			MaxRequestBodySize:   math.MaxInt,
+			ReadTimeout:          settings.Limits.HeaderTimeout.Duration(),
+			IdleTimeout:          2 * peerIdleTimeout,
+			WriteTimeout:         settings.Limits.StallTimeout.Duration(),
+			StreamRequestBody:    true,
+			NoDefaultContentType: true, NoDefaultServerHeader: true, CloseOnShutdown: true,
+			DisablePreParseMultipartForm: true,
+		}}, nil
+	})
+}
+
+// provideStore adds the constructors of the parts that use a platform's store.
+func (n *Node) provideStore(injector do.Injector) {
+	do.Provide(injector, func(injector do.Injector) (*carobenroller.Enroller, error) {
+		return carobenroller.NewEnroller(carobenroller.Config{
+			Node: n.config.Settings.Name, Directory: n.config.Store,
+			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+			Logger: logrus.NewEntry(n.config.Logger),
+		}), nil
+	})
+	do.Provide(injector, func(injector do.Injector) (*carobfollower.Follower, error) {
+		return carobfollower.NewFollower(carobfollower.Config{
+			Source: n.config.Store, Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), Logger: logrus.NewEntry(n.config.Logger),
+		}), nil
+	})
+}
--- /dev/null
+++ b/pkg/carobadmissionstate/admissionstate.go
@@ -0,0 +1,57 @@
+// Package carobadmissionstate holds the rows of the table with the admission state of a node's
+// own targets.
+package carobadmissionstate
+
+import (
+	"time"
+
+	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobtokenbucket"
+)
+
+// AdmissionState is the admission state of one of the node's own targets.
+type AdmissionState struct {
+	// Limit is the number of jobs that may run now: the announced slots, or fewer while
+	// the VM is slow. It is at least 1.
+	Limit int
+	// Slots is the announced number of jobs that the target runs at once.
+	Slots int
+	// Running is the number of jobs that have started and not ended.
+	Running int
+	// Queued is the number of jobs that wait for a slot.
+	Queued int
+	// Latency is the estimated time in which the target answers a call; 0 before the
+	// first call.
+	Latency time.Duration
+	// Slowness is the factor by which work on the VM takes longer than usual, by the
+	// newest reading; 1 is the usual speed, 0 means that there is no reading.
+	Slowness float64
+	// SlownessReadAt is when the newest reading arrived; Never before the first.
+	SlownessReadAt carobinstant.Instant
+	// Baseline is the baseline of Slowness: the newest reading that was not slow, or the
+	// level of persistent slowness; 0 before the first reading.
+	Baseline float64
+	// SlowSince is the start of the current uninterrupted series of readings that are
+	// slow in relation to the baseline; Never if there is none.
+	SlowSince carobinstant.Instant
+	// MinSlowness is the lowest reading since SlowSince.
+	MinSlowness float64
+	// CheckSentAt is when the outstanding health check was ordered; Never if there is none.
+	CheckSentAt carobinstant.Instant
+	// CheckBackoffEnd is the end of the backoff of health checks, which begins after a check
+	// without an answer or without a reading; Never before the first.
+	CheckBackoffEnd carobinstant.Instant
+	// CheckBudget is the token bucket that limits the rate of health checks.
+	CheckBudget carobtokenbucket.TokenBucket
+	// LastNestedAt is when the newest nested call arrived, that is, a call for which another
+	// job waits; Never before the first.
+	LastNestedAt carobinstant.Instant
+	// ReportDue reports whether the load has changed since the last published report.
+	ReportDue bool
+	// LatencyStart is when the newest call that contributed to Latency started; Never before
+	// the first call.
+	LatencyStart carobinstant.Instant
+	// AddedAt is when the target was added or last restarted. It is intended for ramping up
+	// cold targets; no system reads it yet.
+	AddedAt carobinstant.Instant
+}
--- a/pkg/carobcall/call.go
+++ b/pkg/carobcall/call.go
@@ -1,80 +1,85 @@
-// Package carobcall holds the rows of the calls that a node is the entry of.
+// Package carobcall defines the row of a call in the table of its entry node.
 package carobcall
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobattempt"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobkey"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobonce"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
+	"github.com/carobknot/carobknot/pkg/carobrequirements"
 	"github.com/carobknot/carobknot/pkg/carobroute"
 	"github.com/carobknot/carobknot/pkg/carobstage"
-	"github.com/carobknot/carobknot/pkg/carobwish"
 )
 
-// Call is a call from its arrival until its caller has the answer or the error.
+// Call is the state of a call from its arrival until the response is sent to the
+// caller.
 type Call struct {
+	// Arrival is the request as the traffic goroutine reported it, with the service
+	// of the route filled in.
 	Arrival carobarrival.Arrival
-	// Profile is the one in force when the call came. It stays for the call.
+	// Profile is the service's profile at the time of arrival, with the settings of
+	// the route applied. Later revisions do not change it.
 	Profile carobprofile.Profile
-	// Route is the one that the call took; nil if its caller named the service.
+	// Route is the route that the call matched; nil if the caller named the service.
 	Route *carobroute.Route
-	// Slo is when the answer is wanted; Never if nobody said.
-	Slo carobinstant.Instant
-	// Came is when the call came.
-	Came carobinstant.Instant
-	// Deadline is when the caller's patience ends.
+	// SLODeadline is the instant by which the caller should have its answer, from the SLO of
+	// the route; Never if there is none.
+	SLODeadline carobinstant.Instant
+	// ArrivedAt is the instant of arrival.
+	ArrivedAt carobinstant.Instant
+	// Deadline is the instant at which the call times out.
 	Deadline carobinstant.Instant
-	// Asked is when its home was last asked for the call's key; Never if the call
-	// needs none, or it was not asked yet.
-	Asked carobinstant.Instant
-	// Contested says that another call holds the key.
-	Contested bool
-	// Grace is when a call whose deadline has come is settled though fence replies
-	// are missing; Never before the deadline.
-	Grace carobinstant.Instant
-	// Stage only ever goes up, but for Placed and Fencing back to Waiting.
+	// ClaimSentAt is when a claim for the call's idempotency key was last sent; Never if
+	// the call needs no key or no claim was sent yet.
+	ClaimSentAt carobinstant.Instant
+	// KeyHeld is set if another call holds the idempotency key.
+	KeyHeld bool
+	// GraceEnd is the instant at which a call that is past its deadline is concluded
+	// even if fence replies are missing; Never before the deadline.
+	GraceEnd carobinstant.Instant
+	// Stage only increases, except that a retry sets it from Attempting or Fencing back
+	// to Waiting.
 	Stage carobstage.Stage
-	// Extra says that a second attempt is wanted beside the one under way.
-	Extra bool
-	// Starved says that no target was found for the call when one was last looked
-	// for.
-	Starved bool
-	// Rest is until when a call waits that all its tries were refused for want of
-	// room; Never if it need not.
-	Rest carobinstant.Instant
-	// Attempts has attempt n at index n-1.
+	// HedgeDue is set if the call should be hedged: the next tick sends a second attempt
+	// beside the open one if a target is free and the retry budget has a token.
+	HedgeDue bool
+	// NoTarget is set if the last tick that tried to place the call found no target.
+	NoTarget bool
+	// BackoffEnd is the end of the call's backoff after its targets refused it as busy;
+	// Never if it does not back off.
+	BackoffEnd carobinstant.Instant
+	// Attempts holds attempt number n at index n-1.
 	Attempts []carobattempt.Attempt
-	// Last is the kind of the newest failed attempt.
-	Last carobkind.Kind
+	// LastKind is the kind of the most recent failure of an attempt.
+	LastKind carobkind.Kind
 }
 
-// Open returns how many attempts have no reply yet.
-func (c *Call) Open() int {
-	n := 0
+// OpenAttempts returns the number of attempts that have not ended.
+func (c *Call) OpenAttempts() int {
+	count := 0
 	for i := range c.Attempts {
-		if !c.Attempts[i].Over {
-			n++
+		if !c.Attempts[i].Ended {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Runs returns on how many targets the call may have run.
-func (c *Call) Runs() int {
-	n := 0
+// PossibleRuns returns the number of attempts that may have run.
+func (c *Call) PossibleRuns() int {
+	count := 0
 	for i := range c.Attempts {
 		if !c.Attempts[i].NotRun() {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// NotRun reports whether the call has certainly not run and never will, unless
-// it is sent again.
+// NotRun reports whether it is certain that no attempt so far has run or ever will.
 func (c *Call) NotRun() bool {
 	for i := range c.Attempts {
 		if !c.Attempts[i].NotRun() {
@@ -84,27 +89,28 @@
 	return true
 }
 
-// Wish returns what the caller wants, as of now.
-func (c *Call) Wish(now carobinstant.Instant) carobwish.Wish {
-	ws := carobwish.Wish{Request: c.Arrival.Request, Rank: c.Rank(), Once: c.Profile.Once}
-	if c.Slo != carobinstant.Never {
-		ws.Slo, ws.Whole = c.Slo.Sub(now), c.Slo.Sub(c.Came)
+// Requirements returns what an attempt that is sent now tells the target's node about the
+// call's priority and SLO.
+func (c *Call) Requirements(now carobinstant.Instant) carobrequirements.Requirements {
+	requirements := carobrequirements.Requirements{Request: c.Arrival.Request, Priority: c.Priority(), Guarantee: c.Profile.Guarantee}
+	if c.SLODeadline != carobinstant.Never {
+		requirements.SLOTimeLeft, requirements.SLO = c.SLODeadline.Sub(now), c.SLODeadline.Sub(c.ArrivedAt)
 	}
-	return ws
+	return requirements
 }
 
-// Rank returns the priority of the call, 0 the highest.
-func (c *Call) Rank() int {
+// Priority returns the priority of the call, from its route; 0 is the highest.
+func (c *Call) Priority() int {
 	if c.Route == nil {
 		return 0
 	}
-	return c.Route.Rank
+	return c.Route.Priority
 }
 
 // Key returns the idempotency key that the call must claim before it runs. It is
-// empty if the call needs none.
+// zero if the call needs none.
 func (c *Call) Key() carobkey.Key {
-	if c.Profile.Once != carobonce.Key || c.Arrival.Key == "" {
+	if c.Profile.Guarantee != carobguarantee.OncePerKey || c.Arrival.Key == "" {
 		return carobkey.Key{}
 	}
 	return carobkey.Key{Service: c.Arrival.Service, Text: c.Arrival.Key}
--- a/pkg/carobcentre/centre.go
+++ b/pkg/carobcentre/centre.go
@@ -1,14 +1,15 @@
-// Package carobcentre names the data centres.
+// Package carobcentre defines the names of data centres.
 package carobcentre
 
-import "github.com/carobknot/carobknot/pkg/carobword"
+import "github.com/carobknot/carobknot/pkg/carobname"
 
 // Centre is the name of a data centre.
 type Centre string
 
-// UnmarshalText decodes a name and checks it.
+// UnmarshalText decodes a name. It returns an Invalid error if the name is
+// malformed.
 func (c *Centre) UnmarshalText(text []byte) error {
-	if err := carobword.Word(text).Check("centre"); err != nil {
+	if err := carobname.Name(text).Check("centre"); err != nil {
 		return err
 	}
 	*c = Centre(text)
--- a/pkg/carobclaimreply/reply.go
+++ b/pkg/carobclaimreply/reply.go
@@ -3,14 +3,14 @@
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobgrant"
-	"github.com/carobknot/carobknot/pkg/carobkept"
+	"github.com/carobknot/carobknot/pkg/carobclaimresult"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
-// Reply tells a call's entry node what became of its claim.
+// Reply is the home's answer to a claim, sent to the entry node of the call.
 type Reply struct {
-	Call  carobcallid.ID   `json:"call"`
-	Grant carobgrant.Grant `json:"grant"`
-	// Kept is the answer of the call that ran; nil if there is none.
-	Kept *carobkept.Kept `json:"kept,omitempty"`
+	Call   carobcallid.ID               `json:"call"`
+	Result carobclaimresult.ClaimResult `json:"grant"`
+	// StoredAnswer is the stored answer of the earlier call that ran, or nil.
+	StoredAnswer *carobstoredanswer.StoredAnswer `json:"kept,omitempty"`
 }
--- /dev/null
+++ b/pkg/carobelection/system.go
@@ -0,0 +1,85 @@
+// Package carobelection selects the nodes that read the operator's records from the
+// store, where each read has a cost.
+//
+// In each data centre one node reads: the one with the lowest id among those that are
+// alive, not leaving, and can read the store. All nodes derive this from their peer
+// tables, without a vote. A node that cannot read the store announces this in its
+// description, and the next one takes over; two readers at once do no harm.
+//
+// A long-poll read that the store holds open can miss a record. This was observed after
+// the store had been slow, for all readers at once. So no read is held open for long, and
+// the readers' polls end at different times; a record found by one reaches all other nodes.
+package carobelection
+
+import (
+	"time"
+
+	"github.com/carobknot/carobknot/pkg/carobcentre"
+	"github.com/carobknot/carobknot/pkg/carobinstant"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
+	"github.com/carobknot/carobknot/pkg/carobpeer"
+	"github.com/carobknot/carobknot/pkg/carobworld"
+)
+
+// readInterval is the mean time between the starts of two reads, over all readers together.
+const readInterval = 750 * time.Millisecond
+
+// System decides whether this node reads from the store.
+type System struct {
+	// readers is the cached number of data centres, and countedAt is 1 above the number of
+	// peer changes at which it was determined; 0 if it was not.
+	readers   int
+	countedAt uint64
+}
+
+// NewSystem returns a System with an empty cache.
+func NewSystem() *System {
+	return &System{}
+}
+
+// Run applies changes in whether the store can be read, and decides whether this node
+// reads from it and for how long each read may be held open.
+func (s *System) Run(w *carobworld.World, _ carobinstant.Instant) {
+	for _, unreadable := range w.Inbox.StoreUnreadable {
+		if unreadable != w.Self.StoreUnreadable {
+			w.Self.StoreUnreadable = unreadable
+			w.Self.Sequence++
+		}
+	}
+	// A node without a route table reads the store itself, even if another node does too.
+	w.Outbox.ReadingStore = !w.Stopping && (w.RouteTable == nil || takesPrecedence(w))
+	if w.Outbox.ReadingStore {
+		w.Outbox.LongPollTimeout = readInterval * time.Duration(s.countReaders(w))
+	}
+}
+
+// countReaders returns the number of nodes that read from the store: one in each data
+// centre with a live node.
+func (s *System) countReaders(w *carobworld.World) int {
+	if s.countedAt == w.PeerChanges+1 {
+		return s.readers
+	}
+	centres := map[carobcentre.Centre]struct{}{w.Self.Centre: {}}
+	for _, pr := range w.Peers.All() {
+		if pr.Member.Liveness == carobliveness.Alive {
+			centres[pr.Member.Centre] = struct{}{}
+		}
+	}
+	s.readers, s.countedAt = len(centres), w.PeerChanges+1
+	return s.readers
+}
+
+// takesPrecedence reports whether this node takes precedence over all other live nodes
+// of its data centre.
+func takesPrecedence(w *carobworld.World) bool {
+	return len(w.SamplePeers(1, func(pr *carobpeer.Peer) bool {
+		mb := &pr.Member
+		if mb.Centre != w.Self.Centre || mb.Liveness != carobliveness.Alive || mb.Leaving {
+			return false
+		}
+		if mb.StoreUnreadable != w.Self.StoreUnreadable {
+			return w.Self.StoreUnreadable
+		}
+		return mb.Node < w.Self.Node
+	})) == 0
+}
--- /dev/null
+++ b/pkg/carobelection/system_test.go
@@ -0,0 +1,94 @@
+package carobelection_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/carobknot/carobknot/pkg/carobcentre"
+	"github.com/carobknot/carobknot/pkg/carobelection"
+	"github.com/carobknot/carobknot/pkg/carobinbox"
+	"github.com/carobknot/carobknot/pkg/caroblimits"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
+	"github.com/carobknot/carobknot/pkg/carobmember"
+	"github.com/carobknot/carobknot/pkg/carobnodeid"
+	"github.com/carobknot/carobknot/pkg/carobpeer"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
+	"github.com/carobknot/carobknot/pkg/carobworld"
+)
+
+// All nodes of a data centre must select the same reader. A reader that leaves, is
+// suspected, or cannot read the store must be replaced, or new route tables reach the data
+// centre late. A node without routes reads in any case.
+func TestOneNodeOfADataCentreReadsTheStore(t *testing.T) {
+	member := func(node carobnodeid.ID, centre carobcentre.Centre, change func(m *carobmember.Member)) carobmember.Member {
+		m := carobmember.Member{Node: node, Centre: centre}
+		if change != nil {
+			change(&m)
+		}
+		return m
+	}
+	for _, c := range []struct {
+		name       string
+		others     []carobmember.Member
+		unreadable bool
+		noRoutes   bool
+		reads      bool
+	}{
+		{"alone", nil, false, false, true},
+		{"another has a lower id", []carobmember.Member{member("a", "x", nil)}, false, false, false},
+		{"another has a higher id", []carobmember.Member{member("z", "x", nil)}, false, false, true},
+		{"another data centre has a lower id", []carobmember.Member{member("a", "y", nil)}, false, false, true},
+		{"the lowest id cannot read the store", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, false, false, true},
+		{"the lowest id is leaving", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Leaving = true })}, false, false, true},
+		{"the lowest id is suspected", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Liveness = carobliveness.Suspect })}, false, false, true},
+		{"cannot read the store, another can", []carobmember.Member{member("z", "x", nil)}, true, false, false},
+		{"none can read the store, the lowest id goes on", []carobmember.Member{member("z", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, true, false, true},
+		{"has no route table", []carobmember.Member{member("a", "x", nil)}, false, true, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			w := carobworld.NewWorld(carobworld.Config{
+				Self: carobmember.Member{Node: "m", Centre: "x"}, Limits: caroblimits.NewLimits(),
+			})
+			if !c.noRoutes {
+				rs, err := carobroutetable.NewRouteTable(1, nil)
+				require.NoError(t, err)
+				w.RouteTable = rs
+			}
+			for _, mb := range c.others {
+				w.Peers.Put(mb.Node, carobpeer.Peer{Member: mb})
+			}
+			in := carobinbox.Inbox{}
+			if c.unreadable {
+				in.StoreUnreadable = []bool{true}
+			}
+			sequence := w.Self.Sequence
+			w.BeginTick(in)
+			carobelection.NewSystem().Run(w, 1)
+			require.Equal(t, c.reads, w.Outbox.ReadingStore)
+			require.Equal(t, c.reads, w.Outbox.LongPollTimeout > 0)
+			require.Equal(t, c.unreadable, w.Self.Sequence != sequence, "other nodes learn whether it can read the store")
+		})
+	}
+}
+
+// Each read has a cost, so the rate of reads over all readers must not depend on the
+// number of data centres: each read is held open in proportion to that number.
+func TestMoreReadersHoldTheirReadsForLonger(t *testing.T) {
+	hold := func(centres ...carobcentre.Centre) time.Duration {
+		w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "a", Centre: "x"}, Limits: caroblimits.NewLimits()})
+		for i, centre := range centres {
+			node := carobnodeid.ID("b" + string(rune('a'+i)))
+			w.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Centre: centre}})
+		}
+		w.BeginTick(carobinbox.Inbox{})
+		carobelection.NewSystem().Run(w, 1)
+		return w.Outbox.LongPollTimeout
+	}
+	alone := hold()
+	require.Positive(t, alone)
+	require.LessOrEqual(t, alone, time.Second)
+	require.Equal(t, alone, hold("x", "x"))
+	require.Equal(t, 3*alone, hold("x", "y", "z", "y"))
+}
--- a/pkg/carobentry/rig_test.go
+++ b/pkg/carobentry/rig_test.go
@@ -12,6 +12,7 @@
 	"github.com/carobknot/carobknot/pkg/carobentry"
 	"github.com/carobknot/carobknot/pkg/carobfencereply"
 	"github.com/carobknot/carobknot/pkg/carobgroup"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
@@ -20,8 +21,8 @@
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
-	"github.com/carobknot/carobknot/pkg/carobonce"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
@@ -31,19 +32,18 @@
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
 const (
-	service  = carobservice.Service("payouts")
-	patience = time.Second
-	// atMost is how long after its deadline a call may be concluded.
-	atMost = 100 * time.Millisecond
-	life   = 5
+	service     = carobservice.Service("payouts")
+	callTimeout = time.Second
+	// maxOverrun is how long after its deadline a call may be concluded.
+	maxOverrun        = 100 * time.Millisecond
+	targetIncarnation = 5
 )
 
-// rig is an entry node with one call, and several targets on other nodes.
+// rig is an entry node with one call, and four targets on other nodes.
 type rig struct {
 	t      *testing.T
 	world  *carobworld.World
@@ -53,40 +53,42 @@
 	router *carobrouting.System
 }
 
-func newRig(t *testing.T, once carobonce.Once) *rig {
+func newRig(t *testing.T, guarantee carobguarantee.Guarantee) *rig {
 	t.Helper()
-	w := carobworld.NewWorld(carobworld.Config{
+	world := carobworld.NewWorld(carobworld.Config{
 		Self: carobmember.Member{Node: "here", Incarnation: 3}, Limits: caroblimits.NewLimits(), Seed: 1,
 	})
-	gp := carobgroup.Group{Profile: "p"}
+	group := carobgroup.Group{Profile: "p"}
 	for _, name := range []string{"a", "b", "c", "d"} {
-		id := carobtargetid.ID{Service: service, Name: carobword.Word(name)}
+		id := carobtargetid.ID{Service: service, Name: carobname.Name(name)}
 		node := carobnodeid.ID("node-" + name)
-		w.Targets.Put(id, carobtarget.Target{ID: id, Node: node, Profile: "p", Slots: 4, State: carobreadiness.Ready})
-		w.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Incarnation: life, Peer: "peer"}})
-		gp.Targets = append(gp.Targets, id)
+		world.Targets.Put(id, carobtarget.Target{ID: id, Node: node, Profile: "p", Slots: 4, Readiness: carobreadiness.Ready})
+		world.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Incarnation: targetIncarnation, PeerAddress: "peer"}})
+		group.Targets = append(group.Targets, id)
 	}
-	w.Groups.Put(service, gp)
-	rv := carobrevision.Revision{}
-	rv.Change.Profile = carobprofile.NewProfile("p")
-	rv.Change.Profile.Once = once
-	w.Profiles.Put("p", rv)
+	world.Groups.Put(service, group)
+	revision := carobrevision.Revision{}
+	revision.Change.Profile = carobprofile.NewProfile("p")
+	revision.Change.Profile.Guarantee = guarantee
+	world.Profiles.Put("p", revision)
 	r := &rig{
-		t: t, world: w, now: 1, entry: carobentry.NewSystem(), router: carobrouting.NewSystem(),
+		t: t, world: world, now: 1, entry: carobentry.NewSystem(), router: carobrouting.NewSystem(),
 		call: carobcallid.ID{Node: "here", Incarnation: 3, Sequence: 1},
 	}
 	return r
 }
 
+// step runs one tick with the given inbox.
 func (r *rig) step(in carobinbox.Inbox) {
 	r.now++
-	r.world.Begin(in)
+	r.world.BeginTick(in)
 	r.entry.Run(r.world, r.now)
 	r.router.Run(r.world, r.now)
 }
 
-// rest lets time pass, with the ticks that are due.
-func (r *rig) rest(d time.Duration) {
+// advance moves the clock by d and runs the ticks that are due. It stops early at the
+// first tick that concludes a call.
+func (r *rig) advance(d time.Duration) {
 	end := r.now.Add(d)
 	for wake := r.world.Wake(); wake.Reached(end); wake = r.world.Wake() {
 		r.now = max(r.now, wake)
@@ -98,11 +100,13 @@
 	r.now = end
 }
 
+// arrive lets a call to the service arrive, and requires that its first attempt is
+// sent.
 func (r *rig) arrive(streamed bool) {
 	r.step(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{
-		{Call: r.call, Service: service, Patience: patience, Streamed: streamed},
+		{Call: r.call, Service: service, Timeout: callTimeout, Streamed: streamed},
 	}})
-	r.sent(1)
+	r.requireSent(1)
 }
 
 func (r *rig) reply(attempt int, kind carobkind.Kind) {
@@ -117,33 +121,36 @@
 
 func (r *rig) job(attempt int) carobjobid.ID { return carobjobid.ID{Call: r.call, Attempt: attempt} }
 
-// sent requires that the last tick sent one attempt of that number.
-func (r *rig) sent(attempt int) {
+// requireSent requires that the last tick sent exactly one attempt, with this number.
+func (r *rig) requireSent(attempt int) {
 	r.t.Helper()
 	require.Len(r.t, r.world.Outbox.Sends, 1)
 	require.Equal(r.t, r.job(attempt), r.world.Outbox.Sends[0].Job)
 }
 
-// fenced returns the attempts that the last tick asked about.
-func (r *rig) fenced() []int {
+// fencedAttempts returns the numbers of the attempts for which the last tick sent a
+// fence.
+func (r *rig) fencedAttempts() []int {
 	var attempts []int
 	for _, ms := range r.world.Outbox.Messages {
 		if ms.Fence != nil {
-			require.EqualValues(r.t, life, ms.Fence.Incarnation)
+			require.EqualValues(r.t, targetIncarnation, ms.Fence.Incarnation)
 			attempts = append(attempts, ms.Fence.Job.Attempt)
 		}
 	}
 	return attempts
 }
 
-// concluded requires that the last tick told the caller an error.
-func (r *rig) concluded(kind carobkind.Kind) {
+// requireConcluded requires that the last tick concluded the call with this kind, and
+// that no call is left.
+func (r *rig) requireConcluded(kind carobkind.Kind) {
 	r.t.Helper()
 	require.Equal(r.t, []carobconclusion.Conclusion{{Call: r.call, Kind: kind}}, r.world.Outbox.Conclusions)
 	require.Zero(r.t, r.world.Calls.Len())
 }
 
-func (r *rig) open() {
+// requireOpen requires that the last tick concluded no call.
+func (r *rig) requireOpen() {
 	r.t.Helper()
 	require.Empty(r.t, r.world.Outbox.Conclusions)
 }
--- /dev/null
+++ b/pkg/carobfetchreply/fetchreply.go
@@ -0,0 +1,40 @@
+// Package carobfetchreply holds the message that sends profile records to another node.
+package carobfetchreply
+
+import (
+	"github.com/carobknot/carobknot/pkg/carobkind"
+	"github.com/carobknot/carobknot/pkg/caroboffset"
+	"github.com/carobknot/carobknot/pkg/carobrecord"
+	"github.com/carobknot/carobknot/pkg/carobsnapshot"
+)
+
+// FetchReply answers a request for profile records.
+type FetchReply struct {
+	// Records have consecutive offsets, beginning with the requested one.
+	Records []carobrecord.Record `json:"records,omitempty"`
+	// Snapshot replaces the records if the sender no longer has all of them; nil
+	// otherwise.
+	Snapshot *carobsnapshot.Snapshot `json:"snapshot,omitempty"`
+	// ProfilesRead is the offset up to which the sender has applied the stream of profiles.
+	ProfilesRead caroboffset.Offset `json:"read"`
+}
+
+// MaxRecords is the maximum number of records in one answer.
+const MaxRecords = 64
+
+// Check returns an error of kind Invalid if the records are too many or not consecutive,
+// or the snapshot is out of bounds.
+func (s FetchReply) Check() error {
+	if len(s.Records) > MaxRecords {
+		return carobkind.New(carobkind.Invalid, "supply: more than %d records", MaxRecords)
+	}
+	for i, rc := range s.Records {
+		if rc.Offset < 0 || rc.Offset != s.Records[0].Offset+caroboffset.Offset(i) {
+			return carobkind.New(carobkind.Invalid, "supply: record %d is out of order", rc.Offset)
+		}
+	}
+	if s.Snapshot != nil {
+		return s.Snapshot.Check()
+	}
+	return nil
+}
--- a/pkg/carobgossip/gossip.go
+++ b/pkg/carobgossip/gossip.go
@@ -1,4 +1,4 @@
-// Package carobgossip holds what nodes tell each other about who is there.
+// Package carobgossip holds the message that carries descriptions of nodes.
 package carobgossip
 
 import (
@@ -6,22 +6,23 @@
 	"github.com/carobknot/carobknot/pkg/carobmember"
 )
 
-// Gossip is some of what the sender knows: the news, or what was asked for.
+// Gossip carries some of the descriptions that the sender has: pending changes, or those
+// that the receiver requested.
 type Gossip struct {
-	// Members have different nodes.
+	// Members are descriptions of different nodes.
 	Members []carobmember.Member `json:"members"`
-	// Asked says that the receiver lacked these words and others do not: they are
-	// no news.
-	Asked bool `json:"asked,omitempty"`
+	// Requested is true if the receiver lacked these descriptions and other nodes have them,
+	// so that they are not gossiped further.
+	Requested bool `json:"asked,omitempty"`
 }
 
-// Most is the most members in one message.
-const Most = 64
+// MaxMembers is the maximum number of members in one message.
+const MaxMembers = 64
 
-// Check tells whether the message is within its bounds.
+// Check returns an error of kind Invalid if the message or a member is out of bounds.
 func (g Gossip) Check() error {
-	if len(g.Members) > Most {
-		return carobkind.New(carobkind.Invalid, "gossip: more than %d members", Most)
+	if len(g.Members) > MaxMembers {
+		return carobkind.New(carobkind.Invalid, "gossip: more than %d members", MaxMembers)
 	}
 	for i := range g.Members {
 		if err := g.Members[i].Check(); err != nil {
--- a/pkg/carobhome/home.go
+++ b/pkg/carobhome/home.go
@@ -1,4 +1,4 @@
-// Package carobhome holds the rows of the shards of keys that a node is home of.
+// Package carobhome holds the rows of the shards that this node is the home of.
 package carobhome
 
 import (
@@ -8,35 +8,36 @@
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobclaim"
 	"github.com/carobknot/carobknot/pkg/carobclaimbatch"
-	"github.com/carobknot/carobknot/pkg/carobclaims"
+	"github.com/carobknot/carobknot/pkg/carobclaimstate"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobsettlement"
 )
 
-// Home is a shard whose claims this node appends.
+// Home is the state of a shard whose claims this node appends to the log.
 type Home struct {
-	Claimed *carobclaims.Claims
-	// Since is when this node took itself for the home.
-	Since carobinstant.Instant
-	// Read says that the stream was read to what was its end then.
-	Read bool
-	// Next is the offset of the record that is folded next. It only grows.
-	Next caroboffset.Offset
-	// Flight is the batch that was sent to the log and has not been read back;
-	// nil if there is none.
-	Flight *carobclaimbatch.Batch
-	// Sent is when a batch was last sent to the log, and Taken when a takeover
-	// was; Never before the first.
-	Sent, Taken carobinstant.Instant
-	// Pause is the time from Taken to the next takeover at the earliest.
-	Pause time.Duration
-	// Due is when Flight is sent again.
-	Due carobinstant.Instant
-	// Claims and Settlements wait for the next batch.
-	Claims      []carobclaim.Claim
-	Settlements []carobsettlement.Settlement
-	// Back has where the entries of the calls in Claims, Settlements and Flight
-	// take answers.
-	Back map[carobcallid.ID]carobaddress.Address
+	// State is the state folded from the records of the stream.
+	State *carobclaimstate.ClaimState
+	// HomeSince is when this node became the home in its own view.
+	HomeSince carobinstant.Instant
+	// CaughtUp is true once the stream has been read up to the end that a read found.
+	CaughtUp bool
+	// NextOffset is the offset of the next record to fold. It only grows.
+	NextOffset caroboffset.Offset
+	// InFlight is the batch that was sent to the log and has not been read back, or
+	// nil.
+	InFlight *carobclaimbatch.Batch
+	// SentAt is when a batch was last sent to the log, and TakeoverAt when a takeover was
+	// last created; both are Never before the first.
+	SentAt, TakeoverAt carobinstant.Instant
+	// TakeoverBackoff is the minimum time between TakeoverAt and the next takeover.
+	TakeoverBackoff time.Duration
+	// ResendAt is when InFlight is sent again.
+	ResendAt carobinstant.Instant
+	// QueuedClaims and QueuedSettlements are queued for the next batch.
+	QueuedClaims      []carobclaim.Claim
+	QueuedSettlements []carobsettlement.Settlement
+	// ReplyTo maps the calls that are queued or in flight to the addresses of their
+	// entry nodes, which get the replies.
+	ReplyTo map[carobcallid.ID]carobaddress.Address
 }
--- a/pkg/carobinbox/inbox.go
+++ b/pkg/carobinbox/inbox.go
@@ -1,61 +1,63 @@
-// Package carobinbox holds the messages that a tick starts with.
+// Package carobinbox holds the input of a tick.
 package carobinbox
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobannouncement"
+	"github.com/carobknot/carobknot/pkg/carobappendresult"
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
-	"github.com/carobknot/carobknot/pkg/carobcommitted"
+	"github.com/carobknot/carobknot/pkg/carobcheckresult"
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobhealth"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
-	"github.com/carobknot/carobknot/pkg/carobmark"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 	"github.com/carobknot/carobknot/pkg/carobreply"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 )
 
-// Inbox has one queue for each kind of message from the traffic goroutines.
-// Systems read the queues that concern them. A later system, or a later message
-// in its queue, sees what the earlier ones did.
+// Inbox has one queue for each kind of input from the traffic goroutines. Systems read the
+// queues that concern them. A later system, or a later entry of a queue, sees the table
+// changes made by the earlier ones.
 type Inbox struct {
-	// Messages are from other nodes.
+	// Messages are control messages from other nodes.
 	Messages []carobmessage.Message
 
 	// Membership, targets and the log.
 
 	Announcements []carobannouncement.Announcement
 	Records       []carobrecord.Record
-	// Marks say how far the streams reach that Records are from.
-	Marks []carobmark.Mark
-	// Routes are the route tables that the store gave.
-	Routes []*carobroutes.Routes
-	// Blind says whether the store could be read, the newest last.
-	Blind []bool
-	// Stop asks the node to shut down gracefully.
+	// StreamBounds are the bounds of the log streams that Records were read from.
+	StreamBounds []carobstreambounds.StreamBounds
+	// RouteTables are the route tables read from the store.
+	RouteTables []*carobroutetable.RouteTable
+	// StoreUnreadable has a value for each change of whether the store can be read, true if it
+	// cannot, the newest last.
+	StoreUnreadable []bool
+	// Stop requests a graceful shutdown of the node.
 	Stop bool
-	// Ending is when the node ends at the latest, if that is known since this tick.
-	Ending carobinstant.Instant
-	// End gives the calls under way their last answer: the node ends now.
-	End bool
+	// ShutdownDeadline is the deadline of the shutdown, in the tick in which it becomes known; Never
+	// otherwise.
+	ShutdownDeadline carobinstant.Instant
+	// Exit requests a final response for all calls in flight, because the node exits now.
+	Exit bool
 
 	// Admission and claims.
 
 	Offers   []caroboffer.Offer
 	Finishes []carobfinish.Finish
-	// Healths are what came of health checks.
-	Healths []carobhealth.Health
-	// Committed has how appends of claims went.
-	Committed []carobcommitted.Committed
+	// CheckResults are the results of health checks.
+	CheckResults []carobcheckresult.CheckResult
+	// AppendResults has the results of appending claims to the log.
+	AppendResults []carobappendresult.AppendResult
 
 	// Entry and routing.
 
 	Arrivals   []carobarrival.Arrival
 	Replies    []carobreply.Reply
 	Deliveries []carobdelivery.Delivery
-	// Hangups are the calls whose callers are gone.
-	Hangups []carobcallid.ID
+	// Disconnects are the calls whose callers have disconnected.
+	Disconnects []carobcallid.ID
 }
--- /dev/null
+++ b/pkg/carobinstance/instance.go
@@ -0,0 +1,34 @@
+// Package carobinstance holds the newest instance of a target at an address on the
+// node's VM.
+package carobinstance
+
+import (
+	"github.com/carobknot/carobknot/pkg/carobincarnation"
+	"github.com/carobknot/carobknot/pkg/carobtargetid"
+)
+
+// Instance is one instance of a target, from its start to its end. The registry
+// uses it to ignore announcements that were overtaken by newer ones.
+type Instance struct {
+	Target carobtargetid.ID
+	// Incarnation counts the starts of the target; it never decreases at one
+	// address. It is 0 for targets that do not announce it; every announcement
+	// of those counts as the newest.
+	Incarnation carobincarnation.Incarnation
+	// Sequence is the number of the newest announcement; it never decreases
+	// within an incarnation. 0 if the target does not number them.
+	Sequence uint64
+	// Withdrawn says that the target has withdrawn: later announcements of this
+	// incarnation are ignored.
+	Withdrawn bool
+}
+
+// Outdated reports whether an announcement is out of date: it is of an earlier
+// incarnation, or of this one after the target withdrew or with a number that
+// is not above Sequence.
+func (l *Instance) Outdated(incarnation carobincarnation.Incarnation, sequence uint64) bool {
+	if incarnation != l.Incarnation {
+		return incarnation < l.Incarnation
+	}
+	return incarnation > 0 && (l.Withdrawn || sequence > 0 && sequence <= l.Sequence)
+}
--- a/pkg/caroblimits/limits.go
+++ b/pkg/caroblimits/limits.go
@@ -1,66 +1,69 @@
-// Package caroblimits holds the bounds of a node's state and of what callers
-// may send.
+// Package caroblimits holds the limits of a node's state and of its callers' calls.
 package caroblimits
 
 import (
 	"time"
 
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobsize"
-	"github.com/carobknot/carobknot/pkg/carobspan"
 )
 
-// Limits bounds every table of a node and every message to it.
+// Limits bounds the tables of a node, and the connections and calls of callers.
 type Limits struct {
-	// Calls is the most calls that the node is the entry of at once.
+	// Calls is the maximum number of concurrent calls with this node as entry.
 	Calls int `json:"calls"`
-	// Jobs is the most jobs at the node's own targets, queued ones included.
+	// Jobs is the maximum number of jobs at the node's own targets, running and
+	// queued.
 	Jobs int `json:"jobs"`
-	// Targets is the most targets that the node knows.
+	// Targets is the maximum number of targets in the node's tables.
 	Targets int `json:"targets"`
-	// Peers is the most other nodes that the node knows.
+	// Peers is the maximum number of other nodes in the node's tables.
 	Peers int `json:"peers"`
-	// Conns is the most connections that callers may open.
-	Conns int `json:"conns"`
-	// Cores is how many processor cores the node's goroutines use at once.
+	// Connections is the maximum number of open connections of callers.
+	Connections int `json:"conns"`
+	// Cores is the maximum number of processor cores that run the node's goroutines
+	// at once (GOMAXPROCS).
 	Cores int `json:"cores"`
-	// Header is the longest header of a call.
-	Header carobsize.Size `json:"header"`
-	// Body is the longest body of a call.
-	Body carobsize.Size `json:"body"`
-	// Kept is the most bytes of bodies that are kept for another attempt, those
-	// of all calls together. Bodies beyond it are streamed.
-	Kept carobsize.Size `json:"kept"`
-	// Head is how long a caller may take to send the header of a call.
-	Head carobspan.Span `json:"head"`
-	// Stall is how long a body may stand still before it counts as cut.
-	Stall carobspan.Span `json:"stall"`
-	// Idle is how long a connection of a caller may be unused.
-	Idle carobspan.Span `json:"idle"`
+	// HeaderSize is the maximum size of the header of a call.
+	HeaderSize carobsize.Size `json:"header"`
+	// BodySize is the maximum size of the body of a call.
+	BodySize carobsize.Size `json:"body"`
+	// BufferedBodySize is the maximum total size of the bodies of all calls that are
+	// buffered for another attempt. A body beyond it is streamed; a front end
+	// that needs whole bodies refuses the call instead.
+	BufferedBodySize carobsize.Size `json:"kept"`
+	// HeaderTimeout is the time-out for receiving the header of a call.
+	HeaderTimeout carobduration.Duration `json:"head"`
+	// StallTimeout is the time without progress after which the transfer of a body counts
+	// as cut.
+	StallTimeout carobduration.Duration `json:"stall"`
+	// IdleTimeout is how long an unused connection of a caller stays open.
+	IdleTimeout carobduration.Duration `json:"idle"`
 }
 
-// NewLimits returns the defaults, which suit several times the size of the
-// largest deployment known.
+// NewLimits returns the default limits, which suffice for several times the size of
+// the largest known deployment.
 func NewLimits() Limits {
 	return Limits{
-		Calls:   20_000,
-		Jobs:    20_000,
-		Targets: 4_000,
-		Peers:   4_000,
-		Conns:   4_000,
-		Cores:   1,
-		Header:  16 * carobsize.KiB,
-		Body:    1024 * carobsize.MiB,
-		Kept:    32 * carobsize.MiB,
-		Head:    carobspan.Span(10 * time.Second),
-		Stall:   carobspan.Span(30 * time.Second),
-		Idle:    carobspan.Span(60 * time.Second),
+		Calls:            20_000,
+		Jobs:             20_000,
+		Targets:          4_000,
+		Peers:            4_000,
+		Connections:      4_000,
+		Cores:            1,
+		HeaderSize:       16 * carobsize.KiB,
+		BodySize:         1024 * carobsize.MiB,
+		BufferedBodySize: 32 * carobsize.MiB,
+		HeaderTimeout:    carobduration.Duration(10 * time.Second),
+		StallTimeout:     carobduration.Duration(30 * time.Second),
+		IdleTimeout:      carobduration.Duration(60 * time.Second),
 	}
 }
 
-// Check tells whether all limits are positive.
+// Check returns an Invalid error that names the first limit below 1.
 func (l Limits) Check() error {
-	for _, f := range []struct {
+	for _, limit := range []struct {
 		key   string
 		value int64
 	}{
@@ -68,17 +71,17 @@
 		{"jobs", int64(l.Jobs)},
 		{"targets", int64(l.Targets)},
 		{"peers", int64(l.Peers)},
-		{"conns", int64(l.Conns)},
+		{"conns", int64(l.Connections)},
 		{"cores", int64(l.Cores)},
-		{"header", int64(l.Header)},
-		{"body", int64(l.Body)},
-		{"kept", int64(l.Kept)},
-		{"head", int64(l.Head)},
-		{"stall", int64(l.Stall)},
-		{"idle", int64(l.Idle)},
+		{"header", int64(l.HeaderSize)},
+		{"body", int64(l.BodySize)},
+		{"kept", int64(l.BufferedBodySize)},
+		{"head", int64(l.HeaderTimeout)},
+		{"stall", int64(l.StallTimeout)},
+		{"idle", int64(l.IdleTimeout)},
 	} {
-		if f.value < 1 {
-			return carobkind.New(carobkind.Invalid, "limits.%s: must be at least 1", f.key)
+		if limit.value < 1 {
+			return carobkind.New(carobkind.Invalid, "limits.%s: must be at least 1", limit.key)
 		}
 	}
 	return nil
--- a/pkg/caroboffer/offer.go
+++ b/pkg/caroboffer/offer.go
@@ -1,4 +1,4 @@
-// Package caroboffer holds the message that a job has come to a target's node.
+// Package caroboffer holds the message that an attempt has arrived at a target's node.
 package caroboffer
 
 import (
@@ -6,22 +6,22 @@
 
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
+	"github.com/carobknot/carobknot/pkg/carobrequirements"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobwish"
 )
 
-// Offer asks a target's node to run a job.
+// Offer is the request to a target's node to run a job.
 type Offer struct {
 	Job    carobjobid.ID
 	Target carobtargetid.ID
-	// Incarnation is the one that the entry meant.
+	// Incarnation is the incarnation of the target's node that the entry node addressed.
 	Incarnation carobincarnation.Incarnation
-	// Patience is the time left to the call.
-	Patience time.Duration
-	// Wish is what the caller wants of the call.
-	Wish carobwish.Wish
+	// TimeLeft is the time left until the call's deadline.
+	TimeLeft time.Duration
+	// Requirements holds the caller's requirements for the call.
+	Requirements carobrequirements.Requirements
 	// Key is the idempotency key; empty if there is none.
 	Key string
-	// Trace is the trace context, as W3C writes it.
-	Trace string
+	// Traceparent is the trace context in W3C format; empty if there is none.
+	Traceparent string
 }
--- a/pkg/carobpause/system_test.go
+++ b/pkg/carobpause/system_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/carobknot/carobknot/pkg/carobadmission"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobgate"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
@@ -28,29 +28,29 @@
 )
 
 const (
-	period    = 200 * time.Millisecond
-	allowance = time.Second
+	tickPeriod = 200 * time.Millisecond
+	threshold  = time.Second
 )
 
-// A node that was paused starts nothing that it took in before, nor what came
-// while it was paused.
-func TestPausedNodeStartsNothingOld(t *testing.T) {
+// Guards against a node that, after a pause, starts jobs which were queued before the
+// pause or arrived during it, although their callers may have given up.
+func TestPausedNodeRefusesOldJobs(t *testing.T) {
 	for name, c := range map[string]struct {
 		gap    time.Duration
 		paused bool
-	}{"in time": {period, false}, "paused": {allowance + 1, true}} {
+	}{"in time": {tickPeriod, false}, "paused": {threshold + 1, true}} {
 		t.Run(name, func(t *testing.T) {
 			w := world()
-			pause := carobpause.NewSystem(carobpause.Config{Period: period, Allowance: allowance})
+			pause := carobpause.NewSystem(carobpause.Config{TickPeriod: tickPeriod, Threshold: threshold})
 			step := func(now carobinstant.Instant, in carobinbox.Inbox) {
-				w.Begin(in)
+				w.BeginTick(in)
 				pause.Run(w, now)
 				carobadmission.NewSystem().Run(w, now)
 			}
 			now := carobinstant.Instant(1)
 			step(now, carobinbox.Inbox{Offers: []caroboffer.Offer{offer(1), offer(2)}})
 			require.Len(t, w.Outbox.Starts, 1)
-			require.True(t, w.Wake().Reached(now.Add(period)), "an idle node ticks too")
+			require.True(t, w.Wake().Reached(now.Add(tickPeriod)), "an idle node schedules its next tick")
 
 			now = now.Add(c.gap)
 			step(now, carobinbox.Inbox{
@@ -66,7 +66,7 @@
 			}, w.Outbox.Refusals)
 
 			step(now+1, carobinbox.Inbox{Offers: []caroboffer.Offer{offer(4)}})
-			require.Len(t, w.Outbox.Starts, 1, "what comes after is served")
+			require.Len(t, w.Outbox.Starts, 1, "a job that is offered after the pause starts")
 		})
 	}
 }
@@ -75,16 +75,16 @@
 
 func offer(sequence uint64) caroboffer.Offer {
 	id := carobjobid.ID{Call: carobcallid.ID{Node: "entry", Incarnation: 1, Sequence: sequence}, Attempt: 1}
-	return caroboffer.Offer{Job: id, Target: target, Incarnation: 7, Patience: time.Minute}
+	return caroboffer.Offer{Job: id, Target: target, Incarnation: 7, TimeLeft: time.Minute}
 }
 
-// world returns the world of a node whose target has one slot.
+// world returns the tables of a node whose target has one slot.
 func world() *carobworld.World {
 	w := carobworld.NewWorld(carobworld.Config{
 		Self: carobmember.Member{Node: "here", Incarnation: 7}, Limits: caroblimits.NewLimits(),
 	})
-	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, State: carobreadiness.Ready})
-	w.Gates.Put(target, carobgate.Gate{Limit: 1})
+	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
+	w.AdmissionStates.Put(target, carobadmissionstate.AdmissionState{Limit: 1})
 	rv := carobrevision.Revision{}
 	rv.Change.Profile = carobprofile.NewProfile("p")
 	w.Profiles.Put("p", rv)
--- a/pkg/carobroute/route.go
+++ b/pkg/carobroute/route.go
@@ -1,70 +1,69 @@
-// Package carobroute holds what an operator says of the calls below one prefix
+// Package carobroute holds an operator's rule for the calls below a path prefix
 // of a host.
 package carobroute
 
 import (
 	"strings"
 
+	"github.com/carobknot/carobknot/pkg/carobduration"
+	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobonce"
-	"github.com/carobknot/carobknot/pkg/carobpart"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
-	"github.com/carobknot/carobknot/pkg/carobspan"
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobweightedservice"
 )
 
-// Route says where calls go and how they are treated.
+// Route selects the services that get the calls and how the calls are treated.
 type Route struct {
-	// Name is the operator's, for logs.
-	Name carobword.Word `json:"name"`
-	// Host is that of the calls, without a port.
+	// Name is given by the operator and used in logs.
+	Name carobname.Name `json:"name"`
+	// Host is the host of the calls, without a port.
 	Host string `json:"host"`
-	// Prefix begins the paths of the calls. It begins and ends with a slash.
+	// Prefix is the path prefix of the calls. It begins and ends with a slash.
 	Prefix string `json:"prefix"`
-	// Once says how often a call may run.
-	Once carobonce.Once `json:"once"`
-	// Tries is on how many targets a call may run at most, at least 1.
-	Tries int `json:"tries"`
-	// Timeout is when a call has its final answer at the latest; 0 is when its
-	// caller's patience ends.
-	Timeout carobspan.Span `json:"timeout"`
-	// Slo is the latency within which callers want their answer; 0 is none.
-	Slo carobspan.Span `json:"slo"`
-	// Rank is the priority, 0 the highest.
-	Rank int `json:"rank"`
-	// Split has at least one part.
-	Split []carobpart.Part `json:"split"`
+	// Guarantee says how often a call may run.
+	Guarantee carobguarantee.Guarantee `json:"once"`
+	// Attempts is the maximum number of targets that a call may run on, at least 1.
+	Attempts int `json:"tries"`
+	// Timeout limits the time until a call's final response; 0 is the caller's
+	// deadline.
+	Timeout carobduration.Duration `json:"timeout"`
+	// SLO is the latency that callers expect; 0 if none is set.
+	SLO carobduration.Duration `json:"slo"`
+	// Priority is the priority, 0 the highest.
+	Priority int `json:"rank"`
+	// WeightedServices has at least one part.
+	WeightedServices []carobweightedservice.WeightedService `json:"split"`
 }
 
-// Check tells whether all fields are within their bounds.
+// Check returns an error of kind Invalid if a field is out of bounds.
 func (r *Route) Check() error {
 	switch {
 	case r.Host == "":
 		return carobkind.New(carobkind.Invalid, "route %s: no host", r.Name)
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
 		return carobkind.New(carobkind.Invalid, "route %s: prefix %q does not begin and end with a slash", r.Name, r.Prefix)
-	case r.Tries < 1 || r.Tries > carobprofile.MaxTries:
-		return carobkind.New(carobkind.Invalid, "route %s: tries: %d is not between 1 and %d", r.Name, r.Tries, carobprofile.MaxTries)
-	case len(r.Split) == 0:
+	case r.Attempts < 1 || r.Attempts > carobprofile.MaxAttempts:
+		return carobkind.New(carobkind.Invalid, "route %s: tries: %d is not between 1 and %d", r.Name, r.Attempts, carobprofile.MaxAttempts)
+	case len(r.WeightedServices) == 0:
 		return carobkind.New(carobkind.Invalid, "route %s: no service", r.Name)
 	}
-	for _, pt := range r.Split {
-		if err := pt.Service.Check(); err != nil {
+	for _, weighted := range r.WeightedServices {
+		if err := weighted.Service.Check(); err != nil {
 			return err
 		}
-		if !(pt.Weight >= 0) {
-			return carobkind.New(carobkind.Invalid, "route %s: weight of %s is negative", r.Name, pt.Service)
+		if !(weighted.Weight >= 0) {
+			return carobkind.New(carobkind.Invalid, "route %s: weight of %s is negative", r.Name, weighted.Service)
 		}
 	}
 	return nil
 }
 
-// Apply returns a profile with what the route says in place of what the profile
-// says for all calls of a service.
-func (r *Route) Apply(pf carobprofile.Profile) carobprofile.Profile {
-	pf.Once, pf.Tries = r.Once, r.Tries
+// Apply returns the profile with those fields replaced that the route sets.
+func (r *Route) Apply(profile carobprofile.Profile) carobprofile.Profile {
+	profile.Guarantee, profile.Attempts = r.Guarantee, r.Attempts
 	if r.Timeout > 0 {
-		pf.Deadline = r.Timeout
+		profile.Deadline = r.Timeout
 	}
-	return pf
+	return profile
 }
--- a/pkg/carobrouting/policies.go
+++ b/pkg/carobrouting/policies.go
@@ -3,17 +3,19 @@
 import (
 	"math/rand/v2"
 
-	"github.com/carobknot/carobknot/pkg/carobword"
+	"github.com/carobknot/carobknot/pkg/carobname"
 )
 
-// policy is a rule that picks a target.
+// policy picks a target for an attempt.
 type policy interface {
-	// pick returns the index of the chosen candidate. There is at least one.
-	pick(r *rand.Rand, candidates []candidate) int
+	// pick returns the index of the chosen candidate. candidates is never
+	// empty.
+	pick(rng *rand.Rand, candidates []candidate) int
 }
 
-// policies is the look-up table of all rules. To add one, add a file and a row.
-var policies = map[carobword.Word]policy{
+// policies has all policies by the name that profiles use. A new policy needs a
+// file and a row here.
+var policies = map[carobname.Name]policy{
 	"expected":   expected{},
 	"leastown":   leastOwn{},
 	"local":      local{},
@@ -23,34 +25,35 @@
 	"twochoices": twoChoices{},
 }
 
-func policyOf(name carobword.Word) policy {
+// policyOf returns the policy of a name, or expected if there is none.
+func policyOf(name carobname.Name) policy {
 	if pl, ok := policies[name]; ok {
 		return pl
 	}
 	return expected{}
 }
 
-// Known reports whether a rule of that name exists.
-func Known(name carobword.Word) bool {
+// HasPolicy reports whether a policy of that name exists.
+func HasPolicy(name carobname.Name) bool {
 	_, ok := policies[name]
 	return ok
 }
 
-// least returns the index of the candidate with the lowest figure. Of equal ones
-// each has the same chance.
-func least(r *rand.Rand, candidates []candidate, figure func(cd *candidate) float64) int {
-	best, lowest, equal := 0, 0.0, 0
+// pickLowest returns the index of the candidate with the lowest cost. Ties are
+// broken at random with equal probability.
+func pickLowest(rng *rand.Rand, candidates []candidate, cost func(cd *candidate) float64) int {
+	chosen, lowest, ties := 0, 0.0, 0
 	for i := range candidates {
-		value := figure(&candidates[i])
+		value := cost(&candidates[i])
 		switch {
-		case equal == 0 || value < lowest:
-			best, lowest, equal = i, value, 1
+		case ties == 0 || value < lowest:
+			chosen, lowest, ties = i, value, 1
 		case value == lowest:
-			equal++
-			if r.IntN(equal) == 0 {
-				best = i
+			ties++
+			if rng.IntN(ties) == 0 {
+				chosen = i
 			}
 		}
 	}
-	return best
+	return chosen
 }
--- a/pkg/carobagenda/agenda_test.go
+++ b/pkg/carobschedule/schedule_test.go
@@ -1,4 +1,4 @@
-package carobagenda
+package carobschedule
 
 import (
 	"slices"
@@ -10,15 +10,16 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
-// An agenda must do as a map does that is searched for its least instant.
-func TestAgendaAsMap(t *testing.T) {
+// Guards against keys that are lost, due too early or returned out of order, by
+// comparing a schedule with a map that is searched for the earliest instant.
+func TestScheduleMatchesMapModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		agenda, model := NewAgenda[int](), map[int]carobinstant.Instant{}
+		schedule, model := NewSchedule[int](), map[int]carobinstant.Instant{}
 		r.Repeat(map[string]func(*rapid.T){
 			"set": func(r *rapid.T) {
 				key := rapid.IntRange(0, 9).Draw(r, "key")
 				at := carobinstant.Instant(rapid.IntRange(0, 20).Draw(r, "at"))
-				agenda.Set(key, at)
+				schedule.Set(key, at)
 				if at == carobinstant.Never {
 					delete(model, key)
 				} else {
@@ -27,8 +28,8 @@
 			},
 			"pop": func(r *rapid.T) {
 				now := carobinstant.Instant(rapid.IntRange(1, 20).Draw(r, "now"))
-				key, ok := agenda.Pop(now)
-				least := leastOf(model)
+				key, ok := schedule.Pop(now)
+				least := earliest(model)
 				require.Equal(r, least.Reached(now), ok)
 				if ok {
 					require.Equal(r, least, model[key])
@@ -36,14 +37,14 @@
 				}
 			},
 			"": func(r *rapid.T) {
-				require.Equal(r, len(model), agenda.Len())
-				require.Equal(r, leastOf(model), agenda.Next())
+				require.Equal(r, len(model), schedule.Len())
+				require.Equal(r, earliest(model), schedule.NextDue())
 			},
 		})
 	})
 }
 
-func leastOf(model map[int]carobinstant.Instant) carobinstant.Instant {
+func earliest(model map[int]carobinstant.Instant) carobinstant.Instant {
 	if len(model) == 0 {
 		return carobinstant.Never
 	}
--- a/pkg/carobtracing/system_test.go
+++ b/pkg/carobtracing/system_test.go
@@ -10,6 +10,7 @@
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
+	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
 	"github.com/carobknot/carobknot/pkg/carobhop"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
@@ -19,10 +20,9 @@
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
-	"github.com/carobknot/carobknot/pkg/carobparent"
 	"github.com/carobknot/carobknot/pkg/carobrefusal"
 	"github.com/carobknot/carobknot/pkg/carobsend"
-	"github.com/carobknot/carobknot/pkg/carobspan"
+	"github.com/carobknot/carobknot/pkg/carobspancontext"
 	"github.com/carobknot/carobknot/pkg/carobstart"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 	"github.com/carobknot/carobknot/pkg/carobworld"
@@ -36,7 +36,7 @@
 
 func job(attempt int) carobjobid.ID { return carobjobid.ID{Call: call, Attempt: attempt} }
 
-// node runs the system over ticks whose messages and effects are given.
+// node runs the tracing system on ticks with a given inbox and outbox.
 type node struct {
 	world  *carobworld.World
 	system *System
@@ -50,54 +50,57 @@
 	}
 }
 
-// tick runs one tick, a millisecond after the last, and returns its hops.
+// tick runs one tick, a millisecond after the previous one, and returns its hops.
 func (n *node) tick(in carobinbox.Inbox, out caroboutbox.Outbox) []carobhop.Hop {
 	n.now = n.now.Add(time.Millisecond)
-	n.world.Begin(in)
+	n.world.BeginTick(in)
 	n.world.Outbox = out
 	n.system.Run(n.world, n.now)
 	return n.world.Outbox.Hops
 }
 
-// parse checks that a header is a trace context.
-func parse(t *testing.T, header string) carobparent.Parent {
+// parse requires a header to be a valid trace context and returns the context.
+func parse(t *testing.T, header string) carobspancontext.SpanContext {
 	t.Helper()
-	p, ok := carobparent.Parse(header)
+	p, ok := carobspancontext.Parse(header)
 	require.True(t, ok, header)
 	return p
 }
 
-func TestAnsweredCall(t *testing.T) {
+// Guards against hops that cannot be joined to one trace, and against a hop with the
+// target of another attempt than the answered one.
+func TestAnsweredCallHasHopOnEachNode(t *testing.T) {
 	near, far := newNode(), newNode()
 	arrival := carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{Call: call}}}
 	require.Empty(t, near.tick(arrival, caroboutbox.Outbox{Sends: []carobsend.Send{{Job: job(1), Target: first}}}))
-	sent := near.world.Outbox.Sends[0].Trace
+	sent := near.world.Outbox.Sends[0].Traceparent
 	require.Empty(t, near.tick(carobinbox.Inbox{}, caroboutbox.Outbox{Sends: []carobsend.Send{{Job: job(2), Target: other}}}))
-	require.Equal(t, sent, near.world.Outbox.Sends[0].Trace, "all attempts have the call's span as their parent")
+	require.Equal(t, sent, near.world.Outbox.Sends[0].Traceparent, "all attempts have the call's span as their parent")
 
-	offer := carobinbox.Inbox{Offers: []caroboffer.Offer{{Job: job(1), Target: first, Trace: sent}}}
+	offer := carobinbox.Inbox{Offers: []caroboffer.Offer{{Job: job(1), Target: first, Traceparent: sent}}}
 	require.Empty(t, far.tick(offer, caroboutbox.Outbox{Starts: []carobstart.Start{{Job: job(1)}}}))
-	started := far.world.Outbox.Starts[0].Trace
-	require.Equal(t, parse(t, sent).Trace, parse(t, started).Trace)
+	started := far.world.Outbox.Starts[0].Traceparent
+	require.Equal(t, parse(t, sent).TraceID, parse(t, started).TraceID)
 	require.NotEqual(t, sent, started)
 
 	hops := far.tick(carobinbox.Inbox{Finishes: []carobfinish.Finish{{Job: job(1), Status: 200}}}, caroboutbox.Outbox{})
 	require.Len(t, hops, 1)
 	require.Equal(t, target, hops[0].Role)
-	require.Equal(t, started, hops[0].Trace)
+	require.Equal(t, started, hops[0].Traceparent)
 	require.Contains(t, sent, hops[0].Parent)
 	require.Equal(t, first, hops[0].Target)
 
 	hops = near.tick(carobinbox.Inbox{Deliveries: []carobdelivery.Delivery{{Job: job(1)}}}, caroboutbox.Outbox{})
 	require.Len(t, hops, 1)
 	require.Equal(t, entry, hops[0].Role)
-	require.Equal(t, first, hops[0].Target, "of the attempt that was delivered, not of the last one")
-	require.Equal(t, carobspan.Span(2*time.Millisecond), hops[0].Took)
-	require.Equal(t, sent, hops[0].Trace)
+	require.Equal(t, first, hops[0].Target, "the target is that of the delivered attempt, not of the last one")
+	require.Equal(t, carobduration.Duration(2*time.Millisecond), hops[0].Duration)
+	require.Equal(t, sent, hops[0].Traceparent)
 	require.Empty(t, hops[0].Parent)
 }
 
-func TestRefusedCall(t *testing.T) {
+// Guards against refused calls and jobs that have no record or leave rows in the tables.
+func TestRefusedCallHasHops(t *testing.T) {
 	near, far := newNode(), newNode()
 	hops := far.tick(carobinbox.Inbox{Offers: []caroboffer.Offer{{Job: job(1), Target: first}}},
 		caroboutbox.Outbox{Refusals: []carobrefusal.Refusal{{Job: job(1), Kind: carobkind.Busy}}})
@@ -109,14 +112,15 @@
 	require.Len(t, hops, 1)
 	require.Equal(t, carobkind.NoTarget, hops[0].Kind)
 	require.Zero(t, hops[0].Attempt)
-	require.Zero(t, near.world.CallTraces.Len()+far.world.JobTraces.Len(), "no row stays behind")
+	require.Zero(t, near.world.OpenCallHops.Len()+far.world.OpenJobHops.Len(), "no row is left")
 }
 
-// A call that ends twice in the eyes of the traffic has one record.
-func TestOneRecord(t *testing.T) {
+// Guards against two records of one call. The traffic side may report the end of a call
+// more than once: by a conclusion, and by deliveries in the same or a later tick.
+func TestCallIsRecordedOnce(t *testing.T) {
 	near := newNode()
 	near.tick(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{{Call: call}}}, caroboutbox.Outbox{})
-	hops := near.tick(carobinbox.Inbox{Deliveries: []carobdelivery.Delivery{{Job: job(1), Kind: carobkind.Cut}}},
+	hops := near.tick(carobinbox.Inbox{Deliveries: []carobdelivery.Delivery{{Job: job(1), Kind: carobkind.ConnectionLost}}},
 		caroboutbox.Outbox{Conclusions: []carobconclusion.Conclusion{{Call: call, Kind: carobkind.Cancelled}}})
 	require.Len(t, hops, 1)
 	require.Empty(t, near.tick(carobinbox.Inbox{Deliveries: []carobdelivery.Delivery{{Job: job(1)}}}, caroboutbox.Outbox{}))
--- a/pkg/carobworld/world.go
+++ b/pkg/carobworld/world.go
@@ -6,39 +6,41 @@
 	"strconv"
 
 	"github.com/carobknot/carobknot/pkg/carobaddress"
+	"github.com/carobknot/carobknot/pkg/carobadmissionstate"
 	"github.com/carobknot/carobknot/pkg/carobaudit"
-	"github.com/carobknot/carobknot/pkg/carobbucket"
-	"github.com/carobknot/carobknot/pkg/carobbudget"
 	"github.com/carobknot/carobknot/pkg/carobcall"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobdecision"
+	"github.com/carobknot/carobknot/pkg/carobevictingmap"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobgate"
 	"github.com/carobknot/carobknot/pkg/carobgroup"
 	"github.com/carobknot/carobknot/pkg/carobhome"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
-	"github.com/carobknot/carobknot/pkg/carobinquiry"
+	"github.com/carobknot/carobknot/pkg/carobinstance"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobjob"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/caroblife"
+	"github.com/carobknot/carobknot/pkg/caroblatency"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobload"
-	"github.com/carobknot/carobknot/pkg/carobmeasure"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
+	"github.com/carobknot/carobknot/pkg/carobopenhop"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
-	"github.com/carobknot/carobknot/pkg/carobpace"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
+	"github.com/carobknot/carobknot/pkg/carobpendingheartbeat"
+	"github.com/carobknot/carobknot/pkg/carobpendingsettlement"
+	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
-	"github.com/carobknot/carobknot/pkg/carobretries"
+	"github.com/carobknot/carobknot/pkg/carobretrybudget"
+	"github.com/carobknot/carobknot/pkg/carobretrylimits"
 	"github.com/carobknot/carobknot/pkg/carobrevision"
-	"github.com/carobknot/carobknot/pkg/carobring"
-	"github.com/carobknot/carobknot/pkg/carobroutes"
+	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobrouteversion"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobshard"
@@ -46,248 +48,258 @@
 	"github.com/carobknot/carobknot/pkg/carobtable"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobtrace"
-	"github.com/carobknot/carobknot/pkg/carobunsettled"
+	"github.com/carobknot/carobknot/pkg/carobtokenbucket"
 	"github.com/carobknot/carobknot/pkg/carobwatermark"
-	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
-// Config is how a world is made.
+// Config holds the settings that a World is created with.
 type Config struct {
-	// Self describes this node as others will hear of it.
-	Self    carobmember.Member
-	Limits  caroblimits.Limits
-	Measure carobmeasure.Measure
-	Retries carobretries.Retries
-	// Seed is what all random choices follow from.
+	// Self is this node's description of itself.
+	Self        carobmember.Member
+	Limits      caroblimits.Limits
+	ProbeLimits carobprobelimits.ProbeLimits
+	RetryLimits carobretrylimits.RetryLimits
+	// Seed is the seed of the random number generator.
 	Seed uint64
 }
 
-// World is the tables of a node, and the messages and effects of the tick at
-// hand. It belongs to the control goroutine.
+// World holds the tables of a node, and the input and effects of the current tick. Only
+// the control goroutine accesses it.
 type World struct {
-	// Self is this node; its Targets are filled in when it is gossiped.
-	Self    carobmember.Member
-	Limits  caroblimits.Limits
-	Measure carobmeasure.Measure
-	Retries carobretries.Retries
-	// Random is the only source of chance for systems.
+	// Self is this node's description of itself. Its targets are filled in only when it is
+	// gossiped.
+	Self        carobmember.Member
+	Limits      caroblimits.Limits
+	ProbeLimits carobprobelimits.ProbeLimits
+	RetryLimits carobretrylimits.RetryLimits
+	// Random is the only random number generator that systems use, so that a run is
+	// reproducible from its seed.
 	Random *rand.Rand
-	// Stopping says that the node is shutting down.
+	// Stopping is true once a graceful shutdown has begun.
 	Stopping bool
-	// Ending is when the node ends at the latest; Never while it is to stay.
-	Ending carobinstant.Instant
+	// ShutdownDeadline is the deadline of the shutdown; Never until a shutdown begins.
+	ShutdownDeadline carobinstant.Instant
 
 	// Membership and targets.
 
-	// Targets has all targets known, the node's own among them.
+	// Targets has all known targets, including the node's own.
 	Targets *carobtable.Table[carobtargetid.ID, carobtarget.Target]
-	// Lives has the newest life of a target at each address on the VM.
-	Lives *carobtable.Table[carobaddress.Address, caroblife.Life]
-	// TargetsChanged says that Groups does not match Targets yet.
+	// Instances has the newest incarnation of a target at each address on the VM.
+	Instances *carobtable.Table[carobaddress.Address, carobinstance.Instance]
+	// TargetsChanged is true while Groups is out of date with respect to Targets.
 	TargetsChanged bool
-	// Groups has the services of Targets.
+	// Groups has the targets by service, derived from Targets.
 	Groups *carobtable.Table[carobservice.Service, carobgroup.Group]
-	// Peers has all other nodes known.
+	// Peers has all other known nodes.
 	Peers *carobtable.Table[carobnodeid.ID, carobpeer.Peer]
-	// PeerChanges counts the changes of Peers.
+	// PeerChanges counts the changes of Peers, so that systems can detect when values
+	// derived from it are out of date.
 	PeerChanges uint64
-	// News has the peers whose newest word is still to be passed on.
-	News *carobtable.Table[carobnodeid.ID, struct{}]
-	// Hints has where nodes were by the log, of nodes that are not known.
-	Hints *carobtable.Table[carobnodeid.ID, carobaddress.Address]
-	// Inquiries has the probes that are not answered, by their numbers.
-	Inquiries *carobtable.Table[uint64, carobinquiry.Inquiry]
-	// Farewell says that this node has said goodbye to the others.
-	Farewell bool
-
-	// Routing and measuring.
-
-	// Loads has the entry side's view of targets.
+	// PendingGossip has the peers whose newest description this node still has to gossip.
+	PendingGossip *carobtable.Table[carobnodeid.ID, struct{}]
+	// LoggedAddresses has the addresses that the log records for nodes that are not known as peers.
+	// A node may no longer be at its address.
+	LoggedAddresses *carobtable.Table[carobnodeid.ID, carobaddress.Address]
+	// PendingHeartbeats has the heartbeats that have not been answered, by their number.
+	PendingHeartbeats *carobtable.Table[uint64, carobpendingheartbeat.PendingHeartbeat]
+	// LeaveAnnounced is true once this node has announced to other nodes that it leaves.
+	LeaveAnnounced bool
+
+	// Routing and load probes.
+
+	// Loads has the load of targets as this node sees it as an entry.
 	Loads *carobtable.Table[carobtargetid.ID, carobload.Load]
-	// Buckets has the budget of measuring.
-	Buckets *carobtable.Table[carobword.Word, carobbucket.Bucket]
-	// Paces has how fast services answer.
-	Paces *carobtable.Table[carobservice.Service, carobpace.Pace]
+	// ProbeBuckets has the token buckets that limit the cost of probing.
+	ProbeBuckets *carobtable.Table[carobname.Name, carobtokenbucket.TokenBucket]
+	// Latencies has the latency statistics of each service.
+	Latencies *carobtable.Table[carobservice.Service, caroblatency.Latency]
 
 	// Calls, admission and claims.
 
 	// Calls has the calls that this node is the entry of.
 	Calls *carobtable.Table[carobcallid.ID, carobcall.Call]
-	// Gates has the admission side's state of the node's own targets.
-	Gates *carobtable.Table[carobtargetid.ID, carobgate.Gate]
+	// AdmissionStates has the admission state of the node's own targets.
+	AdmissionStates *carobtable.Table[carobtargetid.ID, carobadmissionstate.AdmissionState]
 	// Jobs has the jobs at the node's own targets.
 	Jobs *carobtable.Table[carobjobid.ID, carobjob.Job]
-	// Ended has the newest started jobs that have ended.
-	Ended *carobring.Ring[carobjobid.ID, carobfinish.Finish]
-	// Tombstones has the newest jobs that were promised never to run.
-	Tombstones *carobring.Ring[carobjobid.ID, struct{}]
-	// Watermarks stand in for the forgotten rows of Ended and Tombstones.
-	Watermarks *carobring.Ring[carobnodeid.ID, carobwatermark.Watermark]
-	// Forgotten and Barred stand in for forgotten watermarks: the newest
-	// incarnation of those, and of those with tombstones. They never go down.
-	Forgotten, Barred carobincarnation.Incarnation
-	// Budgets has the budget of each service's resends and hedges.
-	Budgets *carobtable.Table[carobservice.Service, carobbudget.Budget]
+	// EndedJobs has the most recent jobs that were started and have ended.
+	EndedJobs *carobevictingmap.EvictingMap[carobjobid.ID, carobfinish.Finish]
+	// Tombstones has the most recent fenced jobs: those that must never run.
+	Tombstones *carobevictingmap.EvictingMap[carobjobid.ID, struct{}]
+	// Watermarks has, for each entry node, bounds that stand for the rows evicted from
+	// EndedJobs and Tombstones.
+	Watermarks *carobevictingmap.EvictingMap[carobnodeid.ID, carobwatermark.Watermark]
+	// EvictedIncarnation and EvictedFencedIncarnation stand for evicted watermarks.
+	// EvictedIncarnation is the highest incarnation of an evicted watermark, and
+	// EvictedFencedIncarnation the highest of one that covered tombstones. Neither ever
+	// decreases.
+	EvictedIncarnation, EvictedFencedIncarnation carobincarnation.Incarnation
+	// RetryBudgets has each service's budget of retries and hedges.
+	RetryBudgets *carobtable.Table[carobservice.Service, carobretrybudget.RetryBudget]
 	// Homes has the shards of idempotency keys that this node is home of.
 	Homes *carobtable.Table[carobshard.Shard, carobhome.Home]
-	// Commits counts the batches of claims of this node.
-	Commits uint64
-	// Unsettled has the ended calls whose ends their homes do not have yet.
-	Unsettled *carobtable.Table[carobcallid.ID, carobunsettled.Unsettled]
-	// Paused says that more time passed before this tick than ticks allow.
+	// AppendCount counts the batches of claims that this node has appended.
+	AppendCount uint64
+	// PendingSettlements has the ended calls whose outcome their homes have not confirmed yet.
+	PendingSettlements *carobtable.Table[carobcallid.ID, carobpendingsettlement.PendingSettlement]
+	// Paused is true if more time passed before this tick than is allowed between two
+	// ticks.
 	Paused bool
 
 	// Profiles and routes.
 
-	// Routes is the route table in force; nil if none is known. Its version never
-	// goes down.
-	Routes *carobroutes.Routes
-	// Behind says that the log may have newer profiles than this node, which has
-	// just started. None is in force until then.
-	Behind bool
-	// ProfilesRead is the offset of the newest change that was folded in. It
-	// never goes down.
+	// RouteTable is the route table in force; nil if none is known. Its version never
+	// decreases.
+	RouteTable *carobroutetable.RouteTable
+	// AwaitingLog is true after a start until the node has read the log, which may hold newer
+	// profiles. Until then no profile from the log is in force.
+	AwaitingLog bool
+	// ProfilesRead is the offset of the newest profile change that was applied; BeforeFirst if
+	// there is none. It never decreases.
 	ProfilesRead caroboffset.Offset
 	// Profiles has the profiles in force.
-	Profiles *carobtable.Table[carobword.Word, carobrevision.Revision]
-	// Changes has the newest records that were folded in, for nodes that miss them.
-	Changes *carobtable.Table[caroboffset.Offset, carobrecord.Record]
-	// HeldChanges has the records behind a gap; all offsets are above ProfilesRead.
-	HeldChanges *carobtable.Table[caroboffset.Offset, carobrecord.Record]
-	// Snapshot is the offset of the newest snapshot in the log, and
-	// SnapshotThrough the last offset that one holds; None if none is known.
-	Snapshot        caroboffset.Offset
-	SnapshotThrough caroboffset.Offset
+	Profiles *carobtable.Table[carobname.Name, carobrevision.Revision]
+	// RecentChanges has the most recently applied records, to send to nodes that lack them.
+	RecentChanges *carobtable.Table[caroboffset.Offset, carobrecord.Record]
+	// ChangesAfterGap has the records that follow a gap in the offsets. All their offsets are
+	// above ProfilesRead.
+	ChangesAfterGap *carobtable.Table[caroboffset.Offset, carobrecord.Record]
+	// SnapshotOffset is the offset of the newest snapshot in the log, and SnapshotLastOffset the
+	// last offset that the snapshot covers. Both are BeforeFirst if no snapshot is known.
+	SnapshotOffset     caroboffset.Offset
+	SnapshotLastOffset caroboffset.Offset
 
 	// Tracing.
 
-	// CallTraces has the hops of the calls that this node is the entry of.
-	CallTraces *carobtable.Table[carobcallid.ID, carobtrace.Trace]
-	// JobTraces has the hops of the jobs at the node's own targets.
-	JobTraces *carobtable.Table[carobjobid.ID, carobtrace.Trace]
+	// OpenCallHops has the hops of the calls that this node is the entry of.
+	OpenCallHops *carobtable.Table[carobcallid.ID, carobopenhop.OpenHop]
+	// OpenJobHops has the hops of the jobs at the node's own targets.
+	OpenJobHops *carobtable.Table[carobjobid.ID, carobopenhop.OpenHop]
 
 	// The tick at hand.
 
 	Inbox  carobinbox.Inbox
 	Outbox caroboutbox.Outbox
 
-	// wake is when the next tick is due though no message comes.
+	// wake is when the next tick is due even if no input arrives.
 	wake carobinstant.Instant
 }
 
-// Bounds of the tables of profile records.
+// Row limits of the tables of profile records.
 const (
-	keptChanges = 256
-	heldChanges = 1024
+	maxRecentChanges   = 256
+	maxChangesAfterGap = 1024
 )
 
-// inquiries is the most probes that wait for an answer.
-const inquiries = 64
+// maxUnansweredHeartbeats is the maximum number of unanswered heartbeats.
+const maxUnansweredHeartbeats = 64
 
-// NewWorld returns a world with empty tables.
+// NewWorld returns a World with empty tables. Zero RetryLimits are replaced by the defaults.
 func NewWorld(c Config) *World {
 	const (
-		stream = 1
-		// measures is how many things the budget of measuring caps.
-		measures = 2
+		randomStream = 1
+		// probeBuckets is the number of things whose probing cost is limited.
+		probeBuckets = 2
 	)
-	if c.Retries == (carobretries.Retries{}) {
-		c.Retries = carobretries.NewRetries()
+	if c.RetryLimits == (carobretrylimits.RetryLimits{}) {
+		c.RetryLimits = carobretrylimits.NewRetryLimits()
 	}
 	w := &World{
-		Self:         c.Self,
-		ProfilesRead: caroboffset.None,
-		Snapshot:     caroboffset.None, SnapshotThrough: caroboffset.None,
-		Changes:     carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: keptChanges}),
-		HeldChanges: carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: heldChanges}),
-		Limits:      c.Limits,
-		Measure:     c.Measure,
-		Random:      rand.New(rand.NewPCG(c.Seed, stream)), //nolint:gosec // choices must repeat under a seed
-		Targets:     carobtable.NewTable[carobtargetid.ID, carobtarget.Target](carobtable.Config{Limit: c.Limits.Targets}),
-		Lives:       carobtable.NewTable[carobaddress.Address, caroblife.Life](carobtable.Config{Limit: carobmember.MostTargets}),
-		Retries:     c.Retries,
-		Groups:      carobtable.NewTable[carobservice.Service, carobgroup.Group](carobtable.Config{Limit: c.Limits.Targets}),
-		Buckets:     carobtable.NewTable[carobword.Word, carobbucket.Bucket](carobtable.Config{Limit: measures}),
-		Paces:       carobtable.NewTable[carobservice.Service, carobpace.Pace](carobtable.Config{Limit: c.Limits.Targets}),
-		Loads:       carobtable.NewTable[carobtargetid.ID, carobload.Load](carobtable.Config{Limit: c.Limits.Targets}),
-		Gates:       carobtable.NewTable[carobtargetid.ID, carobgate.Gate](carobtable.Config{Limit: c.Limits.Targets}),
-		News:        carobtable.NewTable[carobnodeid.ID, struct{}](carobtable.Config{Limit: c.Limits.Peers}),
-		Hints:       carobtable.NewTable[carobnodeid.ID, carobaddress.Address](carobtable.Config{Limit: c.Limits.Peers}),
-		Inquiries:   carobtable.NewTable[uint64, carobinquiry.Inquiry](carobtable.Config{Limit: inquiries}),
-		Peers:       carobtable.NewTable[carobnodeid.ID, carobpeer.Peer](carobtable.Config{Limit: c.Limits.Peers}),
-		CallTraces:  carobtable.NewTable[carobcallid.ID, carobtrace.Trace](carobtable.Config{Limit: 2 * c.Limits.Calls}),
-		JobTraces:   carobtable.NewTable[carobjobid.ID, carobtrace.Trace](carobtable.Config{Limit: 2 * c.Limits.Jobs}),
-		Profiles:    carobtable.NewTable[carobword.Word, carobrevision.Revision](carobtable.Config{Limit: carobrevision.Most}),
+		Self:           c.Self,
+		ProfilesRead:   caroboffset.BeforeFirst,
+		SnapshotOffset: caroboffset.BeforeFirst, SnapshotLastOffset: caroboffset.BeforeFirst,
+		RecentChanges:     carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: maxRecentChanges}),
+		ChangesAfterGap:   carobtable.NewTable[caroboffset.Offset, carobrecord.Record](carobtable.Config{Limit: maxChangesAfterGap}),
+		Limits:            c.Limits,
+		ProbeLimits:       c.ProbeLimits,
+		Random:            rand.New(rand.NewPCG(c.Seed, randomStream)), //nolint:gosec // runs must be reproducible from a seed
+		Targets:           carobtable.NewTable[carobtargetid.ID, carobtarget.Target](carobtable.Config{Limit: c.Limits.Targets}),
+		Instances:         carobtable.NewTable[carobaddress.Address, carobinstance.Instance](carobtable.Config{Limit: carobmember.MaxTargets}),
+		RetryLimits:       c.RetryLimits,
+		Groups:            carobtable.NewTable[carobservice.Service, carobgroup.Group](carobtable.Config{Limit: c.Limits.Targets}),
+		ProbeBuckets:      carobtable.NewTable[carobname.Name, carobtokenbucket.TokenBucket](carobtable.Config{Limit: probeBuckets}),
+		Latencies:         carobtable.NewTable[carobservice.Service, caroblatency.Latency](carobtable.Config{Limit: c.Limits.Targets}),
+		Loads:             carobtable.NewTable[carobtargetid.ID, carobload.Load](carobtable.Config{Limit: c.Limits.Targets}),
+		AdmissionStates:   carobtable.NewTable[carobtargetid.ID, carobadmissionstate.AdmissionState](carobtable.Config{Limit: c.Limits.Targets}),
+		PendingGossip:     carobtable.NewTable[carobnodeid.ID, struct{}](carobtable.Config{Limit: c.Limits.Peers}),
+		LoggedAddresses:   carobtable.NewTable[carobnodeid.ID, carobaddress.Address](carobtable.Config{Limit: c.Limits.Peers}),
+		PendingHeartbeats: carobtable.NewTable[uint64, carobpendingheartbeat.PendingHeartbeat](carobtable.Config{Limit: maxUnansweredHeartbeats}),
+		Peers:             carobtable.NewTable[carobnodeid.ID, carobpeer.Peer](carobtable.Config{Limit: c.Limits.Peers}),
+		OpenCallHops:      carobtable.NewTable[carobcallid.ID, carobopenhop.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Calls}),
+		OpenJobHops:       carobtable.NewTable[carobjobid.ID, carobopenhop.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Jobs}),
+		Profiles:          carobtable.NewTable[carobname.Name, carobrevision.Revision](carobtable.Config{Limit: carobrevision.MaxProfiles}),
 	}
-	w.makeCalls(c.Limits)
+	w.makeCallTables(c.Limits)
 	return w
 }
 
-// WakeAt asks for a tick at an instant at the latest.
+// WakeAt requests a tick no later than the given instant.
 func (w *World) WakeAt(at carobinstant.Instant) {
 	w.wake = carobinstant.Earlier(w.wake, at)
 }
 
-// Wake returns when the next tick is due, or Never.
+// Wake returns when the next tick is due even if no input arrives; Never if no system
+// requested one.
 func (w *World) Wake() carobinstant.Instant {
 	return w.wake
 }
 
-// Begin takes in the messages of a new tick.
-func (w *World) Begin(in carobinbox.Inbox) {
-	w.Inbox = in
+// BeginTick starts a tick: it sets the input, clears the effects and the wake time, and
+// applies a requested shutdown, which increases this node's update sequence.
+func (w *World) BeginTick(input carobinbox.Inbox) {
+	w.Inbox = input
 	w.Outbox = caroboutbox.Outbox{}
 	w.wake = carobinstant.Never
-	if in.Ending != carobinstant.Never {
-		w.Ending = in.Ending
+	if input.ShutdownDeadline != carobinstant.Never {
+		w.ShutdownDeadline = input.ShutdownDeadline
 	}
-	if in.Stop && !w.Stopping {
+	if input.Stop && !w.Stopping {
 		w.Stopping = true
-		w.Self.Beat++
+		w.Self.Sequence++
 	}
 }
 
-// ProfileOf returns the profile in force for a service, or nil if its targets
-// or the profile that they picked are not known. Those that stand in the settings
-// do not wait for the log.
+// ProfileOf returns the profile in force for a service. It is nil if no target of the
+// service is known, or if the profile that its targets name is not known or comes from a
+// log that this node has yet to read. Profiles from the settings are in force at once.
 func (w *World) ProfileOf(service carobservice.Service) *carobprofile.Profile {
 	gp := w.Groups.Get(service)
 	if gp == nil {
 		return nil
 	}
 	rv := w.Profiles.Get(gp.Profile)
-	if rv == nil || w.Behind && rv.Offset != caroboffset.None {
+	if rv == nil || w.AwaitingLog && rv.Offset != caroboffset.BeforeFirst {
 		return nil
 	}
 	return &rv.Change.Profile
 }
 
-// BudgetOf returns the budget of a service's resends and hedges. When the table
-// is full, a service without a row has none to spend.
-func (w *World) BudgetOf(service carobservice.Service) *carobbudget.Budget {
-	if bg := w.Budgets.Get(service); bg != nil {
+// RetryBudgetOf returns a service's budget of retries and hedges. If the table is full, a
+// service without a row gets an empty budget, which allows none.
+func (w *World) RetryBudgetOf(service carobservice.Service) *carobretrybudget.RetryBudget {
+	if bg := w.RetryBudgets.Get(service); bg != nil {
 		return bg
 	}
-	if bg := w.Budgets.Put(service, carobbudget.Budget{Tokens: w.savedRetries()}); bg != nil {
+	if bg := w.RetryBudgets.Put(service, carobretrybudget.RetryBudget{Tokens: w.maxRetryTokens()}); bg != nil {
 		return bg
 	}
-	return &carobbudget.Budget{}
+	return &carobretrybudget.RetryBudget{}
 }
 
-// EarnRetry takes a call into the budget of its service.
-func (w *World) EarnRetry(service carobservice.Service) {
-	w.BudgetOf(service).Earn(float64(w.Retries.Share), w.savedRetries())
+// CreditRetryBudget credits the budget of a service for a call.
+func (w *World) CreditRetryBudget(service carobservice.Service) {
+	w.RetryBudgetOf(service).AddCall(float64(w.RetryLimits.TokensPerCall), w.maxRetryTokens())
 }
 
-// savedRetries returns the most resends that this node saves up.
-func (w *World) savedRetries() float64 {
-	return w.Retries.Most(w.Peers.Len() + 1)
+// maxRetryTokens returns the maximum number of retries that this node's budget of a service
+// can accumulate. It depends on the number of nodes.
+func (w *World) maxRetryTokens() float64 {
+	return w.RetryLimits.MaxTokens(w.Peers.Len() + 1)
 }
 
-// TakeSnapshot returns the profiles in force as they are now.
+// TakeSnapshot returns a snapshot of the profiles in force.
 func (w *World) TakeSnapshot() carobsnapshot.Snapshot {
-	sn := carobsnapshot.Snapshot{Through: w.ProfilesRead, Revisions: make([]carobrevision.Revision, 0, w.Profiles.Len())}
+	sn := carobsnapshot.Snapshot{LastOffset: w.ProfilesRead, Revisions: make([]carobrevision.Revision, 0, w.Profiles.Len())}
 	for _, rv := range w.Profiles.All() {
 		sn.Revisions = append(sn.Revisions, *rv)
 	}
@@ -299,34 +311,35 @@
 	return tg.Node == w.Self.Node
 }
 
-// RoutesVersion returns the version of the route table in force, or None.
+// RoutesVersion returns the version of the route table in force; None if there is no
+// table.
 func (w *World) RoutesVersion() carobrouteversion.Version {
-	if w.Routes == nil {
+	if w.RouteTable == nil {
 		return carobrouteversion.None
 	}
-	return w.Routes.Version
+	return w.RouteTable.Version
 }
 
-// NoteRoutes adds a newer route table to the audit trail.
-func (w *World) NoteRoutes(from string, rs *carobroutes.Routes) {
-	w.Note("routes", from, "route table",
+// AuditRoutes records in the audit trail that a newer route table came from a source.
+func (w *World) AuditRoutes(from string, rs *carobroutetable.RouteTable) {
+	w.Audit("routes", from, "route table",
 		strconv.FormatUint(uint64(w.RoutesVersion()), 10), strconv.FormatUint(uint64(rs.Version), 10))
 }
 
-// Tell sends a control message from this node.
-func (w *World) Tell(ms carobmessage.Message) {
-	ms.From, ms.Incarnation, ms.Back = w.Self.Node, w.Self.Incarnation, w.Self.Peer
+// SendMessage enqueues a control message and fills in this node as its sender.
+func (w *World) SendMessage(ms carobmessage.Message) {
+	ms.From, ms.Incarnation, ms.ReplyTo = w.Self.Node, w.Self.Incarnation, w.Self.PeerAddress
 	ms.RoutesVersion = w.RoutesVersion()
 	w.Outbox.Messages = append(w.Outbox.Messages, ms)
 }
 
-// Decide adds a decision to what those on call can look up.
-func (w *World) Decide(dc carobdecision.Decision) {
+// RecordDecision records a decision for later lookup by operators.
+func (w *World) RecordDecision(dc carobdecision.Decision) {
 	w.Outbox.Decisions = append(w.Outbox.Decisions, dc)
 }
 
-// Note adds an entry to the audit trail: a part of the system saw that something
-// changed, and by whom.
-func (w *World) Note(part, who, what, from, to string) {
-	w.Outbox.Audits = append(w.Outbox.Audits, carobaudit.Audit{Part: part, Who: who, What: what, From: from, To: to})
+// Audit records a change in the audit trail: the component of the system that saw it, who made
+// it, what changed, and the old and new value.
+func (w *World) Audit(component, who, what, from, to string) {
+	w.Outbox.Audits = append(w.Outbox.Audits, carobaudit.Audit{Component: component, Who: who, What: what, From: from, To: to})
 }
--- a/test/capacity/cluster_test.go
+++ b/test/capacity/cluster_test.go
@@ -19,8 +19,8 @@
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
-	"github.com/carobknot/carobknot/pkg/carobmark"
 	"github.com/carobknot/carobknot/pkg/carobmember"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
@@ -28,8 +28,8 @@
 	"github.com/carobknot/carobknot/pkg/carobregion"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobstream"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -112,15 +112,15 @@
 	const regions, centres, services = 2, 6, 17
 	n := &node{audits: map[string]int{}, self: carobmember.Member{
 		Node: carobnodeid.ID(fmt.Sprintf("node-%d", number)), Incarnation: carobincarnation.Incarnation(c.now) + incarnation,
-		Region: carobregion.Region(fmt.Sprint("region-", number%regions)),
-		Centre: carobcentre.Centre(fmt.Sprint("centre-", number%centres)),
-		Peer:   carobaddress.Address(fmt.Sprintf("10.0.%d.%d:7002", number/250, number%250)),
+		Region:      carobregion.Region(fmt.Sprint("region-", number%regions)),
+		Centre:      carobcentre.Centre(fmt.Sprint("centre-", number%centres)),
+		PeerAddress: carobaddress.Address(fmt.Sprintf("10.0.%d.%d:7002", number/250, number%250)),
 	}}
 	n.core = carobcore.NewCore(carobcore.Config{World: carobworld.Config{
 		Self: n.self, Limits: caroblimits.NewLimits(), Seed: uint64(number)<<8 + uint64(incarnation),
 	}})
 	c.nodes = append(c.nodes, n)
-	c.there[n.self.Peer] = n
+	c.there[n.self.PeerAddress] = n
 	for stream, records := range c.streams {
 		c.give(n, stream, records)
 	}
@@ -131,8 +131,8 @@
 
 func (c *cluster) announce(n *node, service string, state carobreadiness.Readiness) {
 	c.step(n, carobinbox.Inbox{Announcements: []carobannouncement.Announcement{{
-		Target:  carobtargetid.ID{Service: carobservice.Service(service), Name: carobword.Word(n.self.Node)},
-		Address: "127.0.0.1:8000", Profile: "lookups", Slots: 12, Conns: 200, State: state,
+		Target:  carobtargetid.ID{Service: carobservice.Service(service), Name: carobname.Name(n.self.Node)},
+		Address: "127.0.0.1:8000", Profile: "lookups", Slots: 12, Connections: 200, Readiness: state,
 	}}})
 }
 
@@ -152,7 +152,7 @@
 		}
 	}
 	next := caroboffset.Offset(len(c.streams[stream]))
-	c.send(n, logLatency, carobinbox.Inbox{Records: kept, Marks: []carobmark.Mark{{Stream: stream, First: first, Next: next}}})
+	c.send(n, logLatency, carobinbox.Inbox{Records: kept, StreamBounds: []carobstreambounds.StreamBounds{{Stream: stream, First: first, Next: next}}})
 }
 
 // append appends a record and passes it on to all.
@@ -175,10 +175,10 @@
 	if n.dead {
 		return
 	}
-	out := n.core.Step(c.now, in)
+	out := n.core.Tick(c.now, in)
 	n.stopped = n.stopped || out.Stopped
 	for _, au := range out.Audits {
-		n.audits[au.Part+" "+au.To]++
+		n.audits[au.Component+" "+au.To]++
 	}
 	n.waiting = append(n.waiting, out.Appends...)
 	if !c.out {
--- a/test/capacity/membership_test.go
+++ b/test/capacity/membership_test.go
@@ -10,14 +10,14 @@
 
 	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
+	"github.com/carobknot/carobknot/pkg/carobliveness"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobservice"
-	"github.com/carobknot/carobknot/pkg/carobstanding"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
 // all reports whether something is so for all nodes that live.
@@ -31,12 +31,12 @@
 }
 
 // standing returns what a node says of another, or Gone if it knows nothing.
-func (n *node) standing(other *node) carobstanding.Standing {
+func (n *node) standing(other *node) carobliveness.Liveness {
 	pr := n.core.World().Peers.Get(other.self.Node)
 	if pr == nil || pr.Member.Incarnation != other.self.Incarnation {
-		return carobstanding.Gone
+		return carobliveness.Left
 	}
-	return pr.Member.Standing
+	return pr.Member.Liveness
 }
 
 // together reports whether all living nodes know all others as alive, with their
@@ -51,7 +51,7 @@
 	return c.all(func(n *node) bool {
 		known := 0
 		for _, pr := range n.core.World().Peers.All() {
-			if pr.Member.Standing == carobstanding.Alive {
+			if pr.Member.Liveness == carobliveness.Alive {
 				known++
 			}
 		}
@@ -99,7 +99,7 @@
 	gone := c.nodes[7]
 	gone.dead = true
 	took := c.runUntil(30*time.Second, func() bool {
-		return c.all(func(n *node) bool { return n.standing(gone) == carobstanding.Unreachable })
+		return c.all(func(n *node) bool { return n.standing(gone) == carobliveness.Unreachable })
 	})
 	require.Less(t, took, 15*time.Second)
 	require.True(t, c.all(func(n *node) bool { return n.core.World().Targets.Len() == 19 }), "its targets get no calls")
@@ -107,7 +107,7 @@
 	for _, n := range c.nodes {
 		for _, other := range c.nodes {
 			if n != other && !n.dead && other != gone {
-				require.Equal(t, carobstanding.Alive, n.standing(other))
+				require.Equal(t, carobliveness.Alive, n.standing(other))
 			}
 		}
 	}
@@ -123,7 +123,7 @@
 	}
 	for range 120 {
 		c.run(500 * time.Millisecond)
-		require.True(t, c.all(func(n *node) bool { return n == victim || n.standing(victim) != carobstanding.Unreachable }))
+		require.True(t, c.all(func(n *node) bool { return n == victim || n.standing(victim) != carobliveness.Unreachable }))
 	}
 }
 
@@ -159,7 +159,7 @@
 	c.nodes[5].dead = true
 	next := c.start(5, 2)
 	took := c.runUntil(10*time.Second, func() bool {
-		return c.all(func(n *node) bool { return n == next || n.standing(next) == carobstanding.Alive })
+		return c.all(func(n *node) bool { return n == next || n.standing(next) == carobliveness.Alive })
 	})
 	require.Less(t, took, 3*time.Second)
 }
@@ -168,13 +168,13 @@
 	c := newCluster(t)
 	c.gather(5)
 	elder := c.nodes[1]
-	c.start(1, 2).self.Peer = "10.9.9.9:7002"
+	c.start(1, 2).self.PeerAddress = "10.9.9.9:7002"
 	twin := c.nodes[len(c.nodes)-1]
-	c.there[elder.self.Peer] = elder
-	twin.core.World().Self.Peer = twin.self.Peer
-	c.there[twin.self.Peer] = twin
+	c.there[elder.self.PeerAddress] = elder
+	twin.core.World().Self.PeerAddress = twin.self.PeerAddress
+	c.there[twin.self.PeerAddress] = twin
 	c.run(10 * time.Second)
-	require.Equal(t, 1, elder.audits["member "+string(twin.self.Peer)])
+	require.Equal(t, 1, elder.audits["member "+string(twin.self.PeerAddress)])
 }
 
 func TestLeavingTargetIsKnownWithinSeconds(t *testing.T) {
@@ -184,7 +184,7 @@
 	id := carobtargetid.ID{Service: "service-0", Name: "node-17"}
 	c.announce(leaver, "service-0", carobreadiness.Leaving)
 	took := c.runUntil(10*time.Second, func() bool {
-		return c.all(func(n *node) bool { return n.core.World().Targets.Get(id).State == carobreadiness.Leaving })
+		return c.all(func(n *node) bool { return n.core.World().Targets.Get(id).Readiness == carobreadiness.Leaving })
 	})
 	require.Less(t, took, 3*time.Second)
 }
@@ -194,12 +194,12 @@
 	c := newCluster(t)
 	c.gather(20)
 	for i := range 20 {
-		id := carobtargetid.ID{Service: carobservice.Service(fmt.Sprint("service-", i%17)), Name: carobword.Word(fmt.Sprint("node-", i))}
+		id := carobtargetid.ID{Service: carobservice.Service(fmt.Sprint("service-", i%17)), Name: carobname.Name(fmt.Sprint("node-", i))}
 		c.announce(c.nodes[i], string(id.Service), carobreadiness.Ready)
 		c.run(100 * time.Millisecond)
 		c.announce(c.nodes[i], string(id.Service), carobreadiness.Leaving)
 		took := c.runUntil(10*time.Second, func() bool {
-			return c.all(func(n *node) bool { return n.core.World().Targets.Get(id).State == carobreadiness.Leaving })
+			return c.all(func(n *node) bool { return n.core.World().Targets.Get(id).Readiness == carobreadiness.Leaving })
 		})
 		require.Less(t, took, 3*time.Second)
 	}
@@ -224,9 +224,9 @@
 	c.gather(3)
 	c.heartbeat(5 * time.Second)
 	id := carobtargetid.ID{Service: "service-1", Name: "node-1"}
-	require.Equal(t, carobreadiness.Ready, c.nodes[1].core.World().Targets.Get(id).State)
+	require.Equal(t, carobreadiness.Ready, c.nodes[1].core.World().Targets.Get(id).Readiness)
 	c.run(6 * time.Second)
-	require.True(t, c.all(func(n *node) bool { return n.core.World().Targets.Get(id).State == carobreadiness.Leaving }))
+	require.True(t, c.all(func(n *node) bool { return n.core.World().Targets.Get(id).Readiness == carobreadiness.Leaving }))
 }
 
 func TestGracefulShutdownSaysGoodbye(t *testing.T) {
@@ -237,7 +237,7 @@
 	require.Less(t, c.runUntil(10*time.Second, func() bool { return leaver.stopped }), 10*time.Second)
 	leaver.dead = true
 	took := c.runUntil(10*time.Second, func() bool {
-		return c.all(func(n *node) bool { return n.standing(leaver) == carobstanding.Gone })
+		return c.all(func(n *node) bool { return n.standing(leaver) == carobliveness.Left })
 	})
 	require.Less(t, took, time.Second)
 	c.run(11 * time.Minute)
@@ -256,14 +256,14 @@
 	if rv := n.core.World().Profiles.Get("lookups"); rv != nil {
 		return rv.Offset
 	}
-	return caroboffset.None
+	return caroboffset.BeforeFirst
 }
 
 // One node has read a change when the log fails; all get it.
 func TestChangeReachesAllThoughTheLogFails(t *testing.T) {
 	c := newCluster(t)
 	c.gather(40)
-	first := c.publish(caroboffset.None)
+	first := c.publish(caroboffset.BeforeFirst)
 	c.run(time.Second)
 	require.True(t, c.all(func(n *node) bool { return n.revision() == first }))
 	c.out = true
@@ -281,7 +281,7 @@
 func TestProfilesOutlastTheirRecords(t *testing.T) {
 	c := newCluster(t)
 	c.gather(5)
-	newest := c.publish(caroboffset.None)
+	newest := c.publish(caroboffset.BeforeFirst)
 	for range 5 {
 		newest = c.publish(newest)
 	}
@@ -302,7 +302,7 @@
 func TestSnapshotIsRenewed(t *testing.T) {
 	c := newCluster(t)
 	c.gather(5)
-	c.publish(caroboffset.None)
+	c.publish(caroboffset.BeforeFirst)
 	c.run(3*time.Hour + 10*time.Minute)
 	count := len(c.streams[carobstream.Profiles]) - 1
 	require.GreaterOrEqual(t, count, 3)
--- a/test/fuzz/claims_test.go
+++ b/test/fuzz/claims_test.go
@@ -3,25 +3,25 @@
 import (
 	"slices"
 
-	"github.com/carobknot/carobknot/pkg/carobcommit"
-	"github.com/carobknot/carobknot/pkg/carobcommitted"
+	"github.com/carobknot/carobknot/pkg/carobappendrequest"
+	"github.com/carobknot/carobknot/pkg/carobappendresult"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobmark"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
 	"github.com/carobknot/carobknot/pkg/carobstream"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 )
 
 // carryClaims does what the claim log does with the effects of a tick.
 func (n *node) carryClaims(out *caroboutbox.Outbox) {
-	for _, fl := range out.Follows {
+	for _, fl := range out.Subscriptions {
 		n.follows[fl.Stream]++
-		if fl.On {
+		if fl.Active {
 			n.follow(fl.Stream, 0, n.follows[fl.Stream])
 		}
 	}
-	for _, cm := range out.Commits {
+	for _, cm := range out.AppendRequests {
 		n.commit(cm)
 	}
 }
@@ -44,11 +44,11 @@
 		for i := range records {
 			records[i].Stream = stream
 		}
-		mark := carobmark.Mark{Stream: stream, First: st.first, Next: from + caroboffset.Offset(len(records))}
+		mark := carobstreambounds.StreamBounds{Stream: stream, First: st.first, Next: from + caroboffset.Offset(len(records))}
 		if len(records) > 0 {
 			n.do(n.s.jitter(hopTime), func() {
 				n.post(func(in *carobinbox.Inbox) {
-					in.Records, in.Marks = append(in.Records, records...), append(in.Marks, mark)
+					in.Records, in.StreamBounds = append(in.Records, records...), append(in.StreamBounds, mark)
 				})
 				n.follow(stream, mark.Next, order)
 			})
@@ -59,14 +59,14 @@
 }
 
 // commit appends once and tells how that went.
-func (n *node) commit(cm carobcommit.Commit) {
+func (n *node) commit(cm carobappendrequest.AppendRequest) {
 	n.s.appendLog(cm.Stream, cm.Data, func(sure bool) {
-		cd := carobcommitted.Committed{Stream: cm.Stream, Number: cm.Number}
+		cd := carobappendresult.AppendResult{Stream: cm.Stream, Number: cm.Number}
 		if !sure {
-			cd.Kind = carobkind.Unsure
+			cd.Kind = carobkind.AppendUncertain
 		}
 		n.do(0, func() {
-			n.post(func(in *carobinbox.Inbox) { in.Committed = append(in.Committed, cd) })
+			n.post(func(in *carobinbox.Inbox) { in.AppendResults = append(in.AppendResults, cd) })
 		})
 	})
 }
--- a/test/fuzz/entry_test.go
+++ b/test/fuzz/entry_test.go
@@ -10,13 +10,13 @@
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
-	"github.com/carobknot/carobknot/pkg/carobkept"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
 	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobsend"
+	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
 // exchange is a call at its entry.
@@ -42,7 +42,7 @@
 	if !a.over && a.hangUp != nil {
 		a.hangUp()
 	}
-	a.fail(carobkind.Cut)
+	a.fail(carobkind.ConnectionLost)
 }
 
 // carryCalls carries out what was decided on calls.
@@ -79,7 +79,7 @@
 	}
 	sv := services[service]
 	x := &exchange{body: body, attempts: map[int]*attempt{}, arrival: carobarrival.Arrival{
-		Call: id, Service: sv.name, Patience: patience, Key: key,
+		Call: id, Service: sv.name, Timeout: patience, Key: key,
 	}}
 	n.s.oracle.came(id.String(), history{service: string(sv.name), once: sv.once, key: key, body: body})
 	n.calls[id] = x
@@ -93,7 +93,7 @@
 	}
 	n.s.oracle.told(x.arrival.Call.String(), "gone", "")
 	delete(n.calls, x.arrival.Call)
-	n.post(func(in *carobinbox.Inbox) { in.Hangups = append(in.Hangups, x.arrival.Call) })
+	n.post(func(in *carobinbox.Inbox) { in.Disconnects = append(in.Disconnects, x.arrival.Call) })
 	for number := range len(x.attempts) {
 		x.attempts[number+1].drop()
 	}
@@ -108,8 +108,8 @@
 		n.s.oracle.told(call.String(), string(cn.Kind.Outcome()), "")
 		return
 	}
-	if cn.Kept != nil {
-		n.s.oracle.told(call.String(), "answered", string(cn.Kept.Body))
+	if cn.StoredAnswer != nil {
+		n.s.oracle.told(call.String(), "answered", string(cn.StoredAnswer.Body))
 		return
 	}
 	at := x.attempts[cn.Attempt]
@@ -120,7 +120,7 @@
 	n.s.oracle.told(call.String(), "answered", strings.Clone(at.body))
 	n.post(func(in *carobinbox.Inbox) {
 		in.Deliveries = append(in.Deliveries, carobdelivery.Delivery{
-			Job: carobjobid.ID{Call: call, Attempt: cn.Attempt}, Kept: &carobkept.Kept{Body: []byte(at.body)},
+			Job: carobjobid.ID{Call: call, Attempt: cn.Attempt}, StoredAnswer: &carobstoredanswer.StoredAnswer{Body: []byte(at.body)},
 		})
 	})
 }
@@ -142,14 +142,14 @@
 	}
 	at.fail = func(kind carobkind.Kind) { reply(kind, 0, nil, "") }
 	of := caroboffer.Offer{
-		Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, Patience: sd.Patience, Key: x.arrival.Key,
+		Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, TimeLeft: sd.TimeLeft, Key: x.arrival.Key,
 	}
-	if sd.Peer == "" {
+	if sd.PeerAddress == "" {
 		n.offer(of, x.body, reply)
 		return
 	}
 	for place := range n.s.nodes {
-		if peerAddress(place) == sd.Peer {
+		if peerAddress(place) == sd.PeerAddress {
 			at.peer = place
 		}
 	}
@@ -165,7 +165,7 @@
 	out, back := n.s.links[link{n.place, at.peer}], n.s.links[link{at.peer, n.place}]
 	switch {
 	case out == cut && kept:
-		n.do(n.s.transit(), func() { at.fail(carobkind.Cut) })
+		n.do(n.s.transit(), func() { at.fail(carobkind.ConnectionLost) })
 	case out == cut:
 		n.do(n.s.transit(), func() { at.fail(carobkind.Unreachable) })
 	case (out == silent || back == silent) && !kept:
@@ -189,14 +189,14 @@
 			case open:
 				reply(kind, status, rp, body)
 			case cut:
-				at.fail(carobkind.Cut)
+				at.fail(carobkind.ConnectionLost)
 			case silent:
 			}
 		})
 	}
 	if peer.frozen {
 		// If the process ends before it wakes, the connection breaks.
-		peer.tasks[of.Job] = &task{offer: of, respond: func(carobkind.Kind, int, string) { at.fail(carobkind.Cut) }}
+		peer.tasks[of.Job] = &task{offer: of, respond: func(carobkind.Kind, int, string) { at.fail(carobkind.ConnectionLost) }}
 	}
 	peer.do(0, func() {
 		if at.over && n.s.chance(0.5) {
@@ -216,7 +216,7 @@
 func lostKind(peer *node, kept bool) carobkind.Kind {
 	const moment = 2 * time.Millisecond
 	if kept && peer.s.elapsed()-peer.died < moment {
-		return carobkind.Cut
+		return carobkind.ConnectionLost
 	}
 	return carobkind.Unreachable
 }
--- a/test/fuzz/mutations_test.go
+++ b/test/fuzz/mutations_test.go
@@ -6,10 +6,10 @@
 
 	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobclaimbatch"
+	"github.com/carobknot/carobknot/pkg/carobclaimresult"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobfencereply"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
-	"github.com/carobknot/carobknot/pkg/carobgrant"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobjobstate"
 	"github.com/carobknot/carobknot/pkg/carobkind"
@@ -69,14 +69,14 @@
 var mutations = []mutation{
 	{name: "take a cut for unreachable", hear: func(_ *node, in *carobinbox.Inbox) {
 		for i := range in.Replies {
-			if in.Replies[i].Kind == carobkind.Cut {
+			if in.Replies[i].Kind == carobkind.ConnectionLost {
 				in.Replies[i].Kind = carobkind.Unreachable
 			}
 		}
 	}},
 	{name: "tell not-run on a cut", decide: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
 		for i := range out.Conclusions {
-			if out.Conclusions[i].Kind == carobkind.Cut {
+			if out.Conclusions[i].Kind == carobkind.ConnectionLost {
 				out.Conclusions[i].Kind = carobkind.Withdrawn
 			}
 		}
@@ -84,7 +84,7 @@
 	{name: "tell not-run at the deadline", decide: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
 		for i := range out.Conclusions {
 			if out.Conclusions[i].Kind == carobkind.Expired {
-				out.Conclusions[i].Kind = carobkind.Late
+				out.Conclusions[i].Kind = carobkind.NotStartedInTime
 			}
 		}
 	}},
@@ -105,12 +105,12 @@
 		n.core.World().Tombstones = carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()}).Tombstones
 	}},
 	{name: "forget what has ended", decide: func(n *node, _ *carobinbox.Inbox, _ *caroboutbox.Outbox) {
-		n.core.World().Ended = carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()}).Ended
+		n.core.World().EndedJobs = carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()}).EndedJobs
 	}},
 	{name: "grant every claim", resubmit: true, decide: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
 		for _, ms := range out.Messages {
 			if ms.ClaimReply != nil {
-				ms.ClaimReply.Grant = carobgrant.Granted
+				ms.ClaimReply.Result = carobclaimresult.Granted
 			}
 		}
 	}},
@@ -121,7 +121,7 @@
 	}},
 	{name: "spend past the budget", decide: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
 		for _, ms := range out.Messages {
-			if ms.Poll != nil || ms.Report != nil {
+			if ms.LoadProbe != nil || ms.Report != nil {
 				out.Messages = append(out.Messages, ms, ms)
 			}
 		}
@@ -155,7 +155,7 @@
 	}},
 	{name: "start while leaving", hear: func(_ *node, in *carobinbox.Inbox) {
 		for i := range in.Announcements {
-			in.Announcements[i].State = carobreadiness.Ready
+			in.Announcements[i].Readiness = carobreadiness.Ready
 		}
 	}},
 	{name: "send to the leaving", only: []string{"wait", "wait a little", "call", "leave"}, hear: func(_ *node, in *carobinbox.Inbox) {
@@ -163,7 +163,7 @@
 			if gs := in.Messages[i].Gossip; gs != nil {
 				for j := range gs.Members {
 					for k := range gs.Members[j].Targets {
-						gs.Members[j].Targets[k].State = carobreadiness.Ready
+						gs.Members[j].Targets[k].Readiness = carobreadiness.Ready
 					}
 				}
 			}
@@ -193,7 +193,7 @@
 		}
 	}},
 	{name: "read profiles once only", hear: func(n *node, in *carobinbox.Inbox) {
-		if n.core.World().ProfilesRead != caroboffset.None {
+		if n.core.World().ProfilesRead != caroboffset.BeforeFirst {
 			in.Records = nil
 		}
 	}},
--- a/test/fuzz/node_test.go
+++ b/test/fuzz/node_test.go
@@ -17,17 +17,17 @@
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
-	"github.com/carobknot/carobknot/pkg/carobmark"
-	"github.com/carobknot/carobknot/pkg/carobmeasure"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
+	"github.com/carobknot/carobknot/pkg/carobprobelimits"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobrevision"
 	"github.com/carobknot/carobknot/pkg/carobstream"
+	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
@@ -53,7 +53,7 @@
 	reports          map[carobtargetid.ID]carobreport.Report
 	// marks and waiting have, by stream, what the last read found and what is to
 	// be appended.
-	marks   map[carobstream.Stream]carobmark.Mark
+	marks   map[carobstream.Stream]carobstreambounds.StreamBounds
 	waiting map[carobstream.Stream][]byte
 	// idle counts the ticks in a row that asked for another at once.
 	idle int
@@ -95,20 +95,20 @@
 	s.lives++
 	n := &node{
 		s: s, place: place, alive: true, born: s.elapsed(), logless: s.elapsed(),
-		marks: map[carobstream.Stream]carobmark.Mark{}, follows: map[carobstream.Stream]int{}, waiting: map[carobstream.Stream][]byte{},
+		marks: map[carobstream.Stream]carobstreambounds.StreamBounds{}, follows: map[carobstream.Stream]int{}, waiting: map[carobstream.Stream][]byte{},
 		skew:  time.Duration(s.random.Int64N(int64(time.Hour))),
 		calls: map[carobcallid.ID]*exchange{}, tasks: map[carobjobid.ID]*task{}, reports: map[carobtargetid.ID]carobreport.Report{},
 		self: carobmember.Member{
 			Node: carobnodeid.ID(fmt.Sprintf("n%d", place)), Incarnation: carobincarnation.Incarnation(s.lives),
-			Region: "bavaria", Centre: "west", Peer: peerAddress(place),
+			Region: "bavaria", Centre: "west", PeerAddress: peerAddress(place),
 		},
 	}
-	measure := carobmeasure.NewMeasure()
+	measure := carobprobelimits.NewProbeLimits()
 	if s.plan.checked {
-		measure.Checks = checks
+		measure.ChecksPerSecond = checks
 	}
 	n.core = carobcore.NewCore(carobcore.Config{
-		World: carobworld.Config{Self: n.self, Limits: caroblimits.NewLimits(), Measure: measure, Seed: s.random.Uint64()},
+		World: carobworld.Config{Self: n.self, Limits: caroblimits.NewLimits(), ProbeLimits: measure, Seed: s.random.Uint64()},
 		Seeds: []carobaddress.Address{peerAddress(0), peerAddress(1)},
 	})
 	s.nodes[place] = n
@@ -134,7 +134,7 @@
 		n.s.oracle.told(x.arrival.Call.String(), "gone", "")
 	}
 	for _, tk := range ordered(n.tasks) {
-		tk.respond(carobkind.Cut, 0, "")
+		tk.respond(carobkind.ConnectionLost, 0, "")
 	}
 }
 
@@ -212,11 +212,11 @@
 	n.inbox = carobinbox.Inbox{}
 	n.s.steps++
 	for _, an := range in.Announcements {
-		n.s.oracle.knows(an.Target.String(), an.Withdrawn || an.State == carobreadiness.Leaving, n.s.elapsed())
+		n.s.oracle.knows(an.Target.String(), an.Withdrawn || an.Readiness == carobreadiness.Leaving, n.s.elapsed())
 	}
 	in.Announcements = slices.Clone(in.Announcements)
 	n.s.plan.mutation.before(n, &in)
-	out := n.core.Step(n.clock(), in)
+	out := n.core.Tick(n.clock(), in)
 	n.s.plan.mutation.after(n, &in, out)
 	n.observe(out)
 	n.carry(out)
@@ -251,14 +251,14 @@
 		}
 	}
 	for name, rv := range n.core.World().Profiles.All() {
-		if n.core.World().Behind {
+		if n.core.World().AwaitingLog {
 			break
 		}
 		o.holds(string(n.self.Node), string(name), int64(rv.Offset), rv.Change.Profile.Deadline.String())
 	}
 	for _, ms := range out.Messages {
 		if bytes := measuring(n.s, ms); bytes > 0 {
-			o.measured(string(n.self.Node), bytes, now, float64(n.core.World().Measure.Rate))
+			o.measured(string(n.self.Node), bytes, now, float64(n.core.World().ProbeLimits.BytesPerSecond))
 		}
 	}
 }
@@ -268,7 +268,7 @@
 	n.carryJobs(out)
 	n.carryCalls(out)
 	n.carryClaims(out)
-	for _, ck := range out.Checks {
+	for _, ck := range out.HealthChecks {
 		n.check(ck)
 	}
 	for _, ms := range out.Messages {
@@ -302,7 +302,7 @@
 	n.s.parted[link{n.place, n.place}] = n.s.elapsed()
 	n.post(func(in *carobinbox.Inbox) {
 		if in.Stop = true; n.s.plan.checked {
-			in.Ending = n.clock().Add(ending)
+			in.ShutdownDeadline = n.clock().Add(ending)
 		}
 	})
 }
@@ -324,11 +324,11 @@
 			rc.Stream = stream
 			records = append(records, rc)
 		}
-		mark := carobmark.Mark{Stream: stream, First: st.first, Next: end}
+		mark := carobstreambounds.StreamBounds{Stream: stream, First: st.first, Next: end}
 		if mark != n.marks[stream] || len(records) > 0 {
 			n.marks[stream] = mark
 			n.post(func(in *carobinbox.Inbox) {
-				in.Records, in.Marks = append(in.Records, records...), append(in.Marks, mark)
+				in.Records, in.StreamBounds = append(in.Records, records...), append(in.StreamBounds, mark)
 			})
 		}
 		n.do(tailPause, func() { n.tail(stream, end) })
--- a/test/fuzz/simulation_test.go
+++ b/test/fuzz/simulation_test.go
@@ -11,11 +11,11 @@
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
+	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
-	"github.com/carobknot/carobknot/pkg/carobword"
 )
 
 // simulation is several nodes, their targets, the network and the log, all in
@@ -90,7 +90,7 @@
 	s.now = 1
 	for place := range places {
 		for _, sv := range services {
-			id := carobtargetid.ID{Service: sv.name, Name: carobword.Word(fmt.Sprintf("t%d", place))}
+			id := carobtargetid.ID{Service: sv.name, Name: carobname.Name(fmt.Sprintf("t%d", place))}
 			tg := &fakeTarget{s: s, id: id, place: place, pace: 1, address: carobaddress.Address(fmt.Sprintf("10.0.1.%d:%d", place, len(s.targets)+1))}
 			s.targets = append(s.targets, tg)
 			tg.beat()
@@ -126,7 +126,7 @@
 // at returns the running node at a peer address, or nil.
 func (s *simulation) at(ad carobaddress.Address) *node {
 	for _, n := range s.nodes {
-		if n.alive && n.self.Peer == ad {
+		if n.alive && n.self.PeerAddress == ad {
 			return n
 		}
 	}
@@ -194,7 +194,7 @@
 func (s *simulation) breakAttempts(l link) {
 	for _, at := range s.nodes[l.from].open {
 		if at.peer == l.to {
-			at.fail(carobkind.Cut)
+			at.fail(carobkind.ConnectionLost)
 		}
 	}
 }
@@ -327,8 +327,8 @@
 		return
 	}
 	n, an := t.s.nodes[t.place], carobannouncement.Announcement{
-		Target: t.id, Withdrawn: t.gone, Address: t.address, Profile: carobword.Word(t.id.Service),
-		Slots: 2, Conns: 8, State: t.state,
+		Target: t.id, Withdrawn: t.gone, Address: t.address, Profile: carobname.Name(t.id.Service),
+		Slots: 2, Connections: 8, Readiness: t.state,
 	}
 	n.do(localTime, func() {
 		n.post(func(in *carobinbox.Inbox) { in.Announcements = append(in.Announcements, an) })
