--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -58,8 +58,8 @@
 // Config holds the parameters of an admitter.
 type Config struct {
 	Mailbox *carobmailbox.Mailbox
-	// Targets sends requests to the node's own targets.
-	Targets exchanger
+	// TargetClient sends requests to the node's own targets.
+	TargetClient exchanger
 	// Dialect is the HTTP interface of the targets; nil means carobknot's own headers.
 	Dialect dialect
 	// Gather is the size of the largest response body that is read to its end before
@@ -69,8 +69,8 @@
 	// Watch detects that entry nodes close their connections.
 	Watch *carobwatch.Watch
 	Timer *carobtimer.Timer
-	// Stall is how long an entry node may send or accept no bytes of a body.
-	Stall time.Duration
+	// StallTimeout is how long an entry node may send or accept no bytes of a body.
+	StallTimeout time.Duration
 }
 
 // Admitter runs jobs at the node's own targets.
@@ -98,10 +98,10 @@
 	return &Admitter{config: c, dispatcher: carobdispatcher.NewDispatcher[carobjobid.ID, decision]()}
 }
 
-// Carry carries out the effects of a tick that concern the node's own targets: it
+// Execute carries out the effects of a tick that concern the node's own targets: it
 // stores reports, starts health checks, and hands the decisions on jobs to the
 // goroutines that wait for them.
-func (a *Admitter) Carry(out *caroboutbox.Outbox) {
+func (a *Admitter) Execute(out *caroboutbox.Outbox) {
 	for _, report := range out.Reports {
 		a.reports.Store(report.Target, &report)
 	}
@@ -109,10 +109,10 @@
 		go a.checkHealth(check)
 	}
 	for _, refusal := range out.Refusals {
-		a.dispatcher.Give(refusal.Job, decision{kind: refusal.Kind})
+		a.dispatcher.Enqueue(refusal.Job, decision{kind: refusal.Kind})
 	}
 	for _, start := range out.Starts {
-		a.dispatcher.Give(start.Job, decision{start: &start})
+		a.dispatcher.Enqueue(start.Job, decision{start: &start})
 	}
 }
 
@@ -130,8 +130,8 @@
 // admit offers a job and waits until it is started or refused. The kind of an error
 // is that of the refusal, or Cancelled if ctx has ended.
 func (a *Admitter) admit(ctx context.Context, offer caroboffer.Offer) (*carobstart.Start, error) {
-	decisions := a.dispatcher.Open(offer.Job)
-	defer a.dispatcher.Close(offer.Job)
+	decisions := a.dispatcher.Subscribe(offer.Job)
+	defer a.dispatcher.Unsubscribe(offer.Job)
 	a.config.Mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.Offers = append(inbox.Offers, offer) })
 	select {
 	case <-ctx.Done():
@@ -158,7 +158,7 @@
 func (a *Admitter) run(ctx context.Context, start *carobstart.Start, req *fasthttp.Request, target carobtargetid.ID) (*carobanswer.Answer, error) {
 	carobheader.CleanRequest(&req.Header)
 	a.config.Dialect.Ask(req, start, target)
-	answer, err := a.config.Targets.Do(ctx, start.Address, req, start.Guarantee != carobguarantee.Idempotent)
+	answer, err := a.config.TargetClient.Do(ctx, start.Address, req, start.Guarantee != carobguarantee.Idempotent)
 	if err != nil {
 		a.postFinish(carobfinish.Finish{Job: start.Job, Kind: carobkind.Of(err)})
 		return nil, err
@@ -167,7 +167,7 @@
 	kind, pressure := a.config.Dialect.Judge(answer.Response)
 	finish.TargetLoad = pressure
 	if limit := int(a.config.Gather); limit > 0 && answer.Length <= limit {
-		if errGather := answer.Gather(limit); errGather != nil && kind == carobkind.None {
+		if errGather := answer.Buffer(limit); errGather != nil && kind == carobkind.None {
 			kind = carobkind.ConnectionLost
 		}
 	}
--- a/internal/carobadmitter/discover.go
+++ b/internal/carobadmitter/discover.go
@@ -68,10 +68,10 @@
 	defer cancel()
 	req := &fasthttp.Request{}
 	a.config.Dialect.Check(req, address)
-	answer, err := a.config.Targets.Do(ctx, address, req, false)
+	answer, err := a.config.TargetClient.Do(ctx, address, req, false)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = answer.Body.Close() }()
-	return answer, answer.Gather(maxHealthCheckBody)
+	return answer, answer.Buffer(maxHealthCheckBody)
 }
--- a/internal/carobadmitter/incoming_job.go
+++ b/internal/carobadmitter/incoming_job.go
@@ -64,8 +64,8 @@
 func (j *incomingJob) run(ctx *fasthttp.RequestCtx) error {
 	config := j.admitter.config
 	upload, err := carobupload.NewUpload(carobupload.Config{
-		Stream: ctx.RequestBodyStream(), Length: ctx.Request.Header.ContentLength(), Keep: maxBufferedBody,
-		Conn: ctx.Conn(), Timer: config.Timer, Stall: config.Stall,
+		Stream: ctx.RequestBodyStream(), Length: ctx.Request.Header.ContentLength(), MaxBuffered: maxBufferedBody,
+		Conn: ctx.Conn(), Timer: config.Timer, StallTimeout: config.StallTimeout,
 	})
 	if err != nil {
 		j.admitter.postFinish(carobfinish.Finish{Job: j.offer.Job, Kind: carobkind.ConnectionLost})
@@ -92,7 +92,7 @@
 func (j *incomingJob) forward(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, upload *carobupload.Upload) {
 	answer.Response.Header.CopyTo(&ctx.Response.Header)
 	j.admitter.addReport(ctx, j.offer.Target)
-	carobbody.Attach(ctx, answer, j.admitter.config.Timer, j.admitter.config.Stall, func(carobkind.Kind) {
+	carobbody.Attach(ctx, answer, j.admitter.config.Timer, j.admitter.config.StallTimeout, func(carobkind.Kind) {
 		upload.Release()
 		j.close()
 	})
--- a/internal/carobanswer/answer.go
+++ b/internal/carobanswer/answer.go
@@ -15,9 +15,9 @@
 type Answer struct {
 	// Response has the status and the headers. Its body is not used.
 	Response *fasthttp.Response
-	// Bodiless is true if there is no body, even if Length is above 0, as in an
+	// NoBody is true if there is no body, even if Length is above 0, as in an
 	// answer to HEAD.
-	Bodiless bool
+	NoBody bool
 	// Length is the length of the body in bytes; negative if it is chunked.
 	Length int
 	// Body returns the body, or an error if it is cut off. It must be closed.
@@ -26,12 +26,12 @@
 	Report *carobreport.Report
 }
 
-// Gather reads a body of at most maxSize bytes completely, so that an answer that
+// Buffer reads a body of at most maxSize bytes completely, so that an answer that
 // is cut off is detected before any of it is forwarded. It returns the error of
 // such a body, which it closes. A longer body is still to be read afterwards,
 // from its beginning.
-func (a *Answer) Gather(maxSize int) error {
-	if a.Bodiless || a.Length > maxSize {
+func (a *Answer) Buffer(maxSize int) error {
+	if a.NoBody || a.Length > maxSize {
 		return nil
 	}
 	data, err := io.ReadAll(io.LimitReader(a.Body, int64(maxSize)+1))
--- a/internal/carobbody/attach.go
+++ b/internal/carobbody/attach.go
@@ -22,7 +22,7 @@
 	conn := ctx.Conn()
 	extendDeadline := func() { _ = conn.SetWriteDeadline(timer.Wall().Add(stall)) }
 	extendDeadline()
-	if answer.Bodiless {
+	if answer.NoBody {
 		_ = answer.Body.Close()
 		onEnd(carobkind.None)
 		return
--- a/internal/carobclaimlog/claimlog.go
+++ b/internal/carobclaimlog/claimlog.go
@@ -43,9 +43,9 @@
 	return &ClaimLog{config: c, ctx: ctx, cancels: map[carobstream.Stream]context.CancelFunc{}}
 }
 
-// Carry starts and stops reading streams, and starts the appends of a tick. It does
+// Execute starts and stops reading streams, and starts the appends of a tick. It does
 // not wait for the log.
-func (c *ClaimLog) Carry(out *caroboutbox.Outbox) {
+func (c *ClaimLog) Execute(out *caroboutbox.Outbox) {
 	for _, subscription := range out.Subscriptions {
 		c.stop(subscription.Stream)
 		if subscription.Active {
--- a/internal/carobcontrol/control.go
+++ b/internal/carobcontrol/control.go
@@ -15,7 +15,7 @@
 // executor carries out those effects of a tick that concern it. It is called on the
 // control goroutine and must not block.
 type executor interface {
-	Carry(out *caroboutbox.Outbox)
+	Execute(out *caroboutbox.Outbox)
 }
 
 // Config holds the parameters of the control goroutine.
@@ -92,7 +92,7 @@
 func (c *Control) tick(inbox carobinbox.Inbox) {
 	out := c.config.Core.Tick(c.config.Timer.Now(), inbox)
 	for _, o := range c.executors {
-		o.Carry(out)
+		o.Execute(out)
 	}
 }
 
--- a/internal/carobdispatcher/dispatcher.go
+++ b/internal/carobdispatcher/dispatcher.go
@@ -19,8 +19,8 @@
 	return &Dispatcher[K, V]{queues: map[K]chan V{}}
 }
 
-// Open creates the queue of a key and returns it.
-func (d *Dispatcher[K, V]) Open(key K) <-chan V {
+// Subscribe creates the queue of a key and returns it.
+func (d *Dispatcher[K, V]) Subscribe(key K) <-chan V {
 	queue := make(chan V, queueDepth)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -28,16 +28,16 @@
 	return queue
 }
 
-// Close removes the queue of a key. Later orders for the key are dropped.
-func (d *Dispatcher[K, V]) Close(key K) {
+// Unsubscribe removes the queue of a key. Later orders for the key are dropped.
+func (d *Dispatcher[K, V]) Unsubscribe(key K) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	delete(d.queues, key)
 }
 
-// Give enqueues an order. It never blocks: the order is dropped if the key has no
+// Enqueue enqueues an order. It never blocks: the order is dropped if the key has no
 // queue or the queue is full.
-func (d *Dispatcher[K, V]) Give(key K, order V) {
+func (d *Dispatcher[K, V]) Enqueue(key K, order V) {
 	d.mutex.Lock()
 	queue, ok := d.queues[key]
 	d.mutex.Unlock()
--- a/internal/carobenroller/enroller.go
+++ b/internal/carobenroller/enroller.go
@@ -60,9 +60,9 @@
 	return &Enroller{config: c, wake: make(chan struct{}, 1)}
 }
 
-// Carry takes the newest member that the tick appends to the stream of nodes. It
+// Execute takes the newest member that the tick appends to the stream of nodes. It
 // does not wait for the directory.
-func (e *Enroller) Carry(out *caroboutbox.Outbox) {
+func (e *Enroller) Execute(out *caroboutbox.Outbox) {
 	for _, ap := range out.Appends {
 		if ap.Stream != carobstream.Nodes {
 			continue
--- a/internal/carobentrance/entrance.go
+++ b/internal/carobentrance/entrance.go
@@ -105,9 +105,9 @@
 	return e.server.ShutdownWithContext(ctx)
 }
 
-// Carry forwards the effects of a tick to the goroutines of the calls.
-func (e *Entrance) Carry(out *caroboutbox.Outbox) {
-	e.exchanges.Carry(out)
+// Execute forwards the effects of a tick to the goroutines of the calls.
+func (e *Entrance) Execute(out *caroboutbox.Outbox) {
+	e.exchanges.Execute(out)
 }
 
 // handle runs a call from the received header to the end of its answer.
@@ -132,7 +132,7 @@
 		arrival.Timeout = max(1, arrival.Timeout-e.config.Timer.Now().Sub(arrivedAt))
 	}
 	arrival.Streamed = upload.Streamed()
-	defer e.config.Watch.Add(ctx.Conn(), func() { e.exchanges.HangUp(call) })()
+	defer e.config.Watch.Add(ctx.Conn(), func() { e.exchanges.ReportDisconnect(call) })()
 	e.exchanges.Run(arrival, &ctx.Request, upload, &responder{entrance: e, ctx: ctx, call: call})
 }
 
@@ -145,8 +145,8 @@
 func (e *Entrance) openUpload(ctx *fasthttp.RequestCtx, reserved carobsize.Size) (*carobupload.Upload, error) {
 	return carobupload.NewUpload(carobupload.Config{
 		Stream: ctx.RequestBodyStream(), Length: ctx.Request.Header.ContentLength(),
-		Keep: max(reserved, smallBody), Limit: e.config.Limits.BodySize,
-		Conn: ctx.Conn(), Timer: e.config.Timer, Stall: e.config.Limits.StallTimeout.Duration(),
+		MaxBuffered: max(reserved, smallBody), MaxSize: e.config.Limits.BodySize,
+		Conn: ctx.Conn(), Timer: e.config.Timer, StallTimeout: e.config.Limits.StallTimeout.Duration(),
 	})
 }
 
--- a/internal/carobentrance/responder.go
+++ b/internal/carobentrance/responder.go
@@ -21,10 +21,10 @@
 	call     carobcallid.ID
 }
 
-// Answer streams an answer of a target to the caller. If the call has an
+// SendAnswer streams an answer of a target to the caller. If the call has an
 // idempotency key, a small answer is also recorded, so that it can be stored for
 // the key.
-func (r *responder) Answer(answer *carobanswer.Answer, abandon func(), done func(kind carobkind.Kind, stored *carobstoredanswer.StoredAnswer)) {
+func (r *responder) SendAnswer(answer *carobanswer.Answer, abandon func(), done func(kind carobkind.Kind, stored *carobstoredanswer.StoredAnswer)) {
 	carobheader.CleanResponse(&answer.Response.Header)
 	answer.Response.Header.CopyTo(&r.ctx.Response.Header)
 	r.ctx.Response.Header.Set(carobheader.Outcome, string(caroboutcome.Answered))
@@ -45,12 +45,12 @@
 	})
 }
 
-// Repeat sends the answer that is stored for the call's idempotency key.
-func (r *responder) Repeat(stored *carobstoredanswer.StoredAnswer) {
+// SendStored sends the answer that is stored for the call's idempotency key.
+func (r *responder) SendStored(stored *carobstoredanswer.StoredAnswer) {
 	writeStored(r.ctx, r.call, stored)
 }
 
-// Refuse sends an error.
-func (r *responder) Refuse(kind carobkind.Kind, _ time.Duration, detail string) {
+// SendError sends an error.
+func (r *responder) SendError(kind carobkind.Kind, _ time.Duration, detail string) {
 	r.entrance.refuse(r.ctx, r.call, carobkind.New(kind, "%s", detail))
 }
--- a/internal/carobeventlog/log.go
+++ b/internal/carobeventlog/log.go
@@ -67,8 +67,8 @@
 	return &EventLog{config: c, lines: make(chan line, queueSize)}
 }
 
-// Carry enqueues the lines of a tick. It never blocks.
-func (l *EventLog) Carry(out *caroboutbox.Outbox) {
+// Execute enqueues the lines of a tick. It never blocks.
+func (l *EventLog) Execute(out *caroboutbox.Outbox) {
 	if len(out.Decisions) == 0 && len(out.Audits) == 0 {
 		return
 	}
--- a/internal/carobeventlog/log_test.go
+++ b/internal/carobeventlog/log_test.go
@@ -34,7 +34,7 @@
 		})
 	}
 	// Run has not started yet; Carry must not block on it.
-	eventLog.Carry(out)
+	eventLog.Execute(out)
 	require.EqualValues(t, 8, eventLog.Dropped())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/carobexchange/exchange.go
+++ b/internal/carobexchange/exchange.go
@@ -64,7 +64,7 @@
 func (x *exchange) conclude(conclusion carobconclusion.Conclusion) {
 	if conclusion.StoredAnswer != nil {
 		x.upload.Release()
-		x.responder.Repeat(conclusion.StoredAnswer)
+		x.responder.SendStored(conclusion.StoredAnswer)
 		return
 	}
 	if conclusion.Kind == carobkind.None {
@@ -73,7 +73,7 @@
 	}
 	x.upload.Release()
 	detail := "the call ended without an answer"
-	senderErr := x.upload.Fault()
+	senderErr := x.upload.SenderError()
 	switch {
 	case senderErr != nil:
 		detail = senderErr.Error() + "; part of the body was sent to a target"
@@ -82,7 +82,7 @@
 	case conclusion.Kind.NotRun():
 		detail = "no target ran the call"
 	}
-	x.responder.Refuse(conclusion.Kind, conclusion.RetryAfter, detail)
+	x.responder.SendError(conclusion.Kind, conclusion.RetryAfter, detail)
 }
 
 // send starts an attempt. Its reply is posted to the control goroutine.
@@ -99,8 +99,8 @@
 	x.attempts[send.Job.Attempt] = current
 	go func() {
 		answer, report, err := x.exchanges.config.Relay.Do(ctx, send, req)
-		if maxSize := int(x.exchanges.config.Gather); answer != nil && maxSize > 0 {
-			if gatherErr := answer.Gather(maxSize); gatherErr != nil {
+		if maxSize := int(x.exchanges.config.MaxBufferedAnswer); answer != nil && maxSize > 0 {
+			if gatherErr := answer.Buffer(maxSize); gatherErr != nil {
 				answer, err = nil, carobkind.Wrap(carobkind.ConnectionLost, gatherErr, "read answer")
 			}
 		}
@@ -157,7 +157,7 @@
 	answer := current.answer
 	x.mutex.Unlock()
 	job := carobjobid.ID{Call: x.call, Attempt: number}
-	x.responder.Answer(answer, current.cancel, func(kind carobkind.Kind, stored *carobstoredanswer.StoredAnswer) {
+	x.responder.SendAnswer(answer, current.cancel, func(kind carobkind.Kind, stored *carobstoredanswer.StoredAnswer) {
 		current.cancel()
 		x.upload.Release()
 		x.exchanges.config.Mailbox.Post(func(in *carobinbox.Inbox) {
--- a/internal/carobexchange/exchanges.go
+++ b/internal/carobexchange/exchanges.go
@@ -34,26 +34,26 @@
 // responder sends the result of a call to its caller. Exactly one of its methods
 // is called.
 type responder interface {
-	// Answer streams an answer to the caller. The responder calls abandon if the
+	// SendAnswer streams an answer to the caller. The responder calls abandon if the
 	// caller disconnects, and done once the answer was sent or abandoned. The kind
 	// is None if the whole answer was sent. stored is the answer to be stored for
 	// the call's idempotency key; nil if it is not to be stored.
-	Answer(answer *carobanswer.Answer, abandon func(), done func(kind carobkind.Kind, stored *carobstoredanswer.StoredAnswer))
-	// Repeat sends the answer that is stored for the call's idempotency key.
-	Repeat(stored *carobstoredanswer.StoredAnswer)
-	// Refuse sends an error. after is the delay after which the caller may retry; if
+	SendAnswer(answer *carobanswer.Answer, abandon func(), done func(kind carobkind.Kind, stored *carobstoredanswer.StoredAnswer))
+	// SendStored sends the answer that is stored for the call's idempotency key.
+	SendStored(stored *carobstoredanswer.StoredAnswer)
+	// SendError sends an error. after is the delay after which the caller may retry; if
 	// it is 0, the delay of the kind applies.
-	Refuse(kind carobkind.Kind, after time.Duration, detail string)
+	SendError(kind carobkind.Kind, after time.Duration, detail string)
 }
 
 // Config holds the parameters of Exchanges.
 type Config struct {
 	Mailbox *carobmailbox.Mailbox
 	Relay   relay
-	// Gather is the size in bytes up to which an answer is read completely before
+	// MaxBufferedAnswer is the size in bytes up to which an answer is read completely before
 	// the control goroutine learns of it, so that an answer that is cut off can
 	// still be retried. 0 means that every answer is streamed.
-	Gather carobsize.Size
+	MaxBufferedAnswer carobsize.Size
 }
 
 // Exchanges holds the calls that traffic goroutines are carrying out.
@@ -76,24 +76,24 @@
 	return &Exchanges{config: c, dispatcher: carobdispatcher.NewDispatcher[carobcallid.ID, order]()}
 }
 
-// Carry forwards the effects of a tick to the goroutines of the calls.
-func (e *Exchanges) Carry(out *caroboutbox.Outbox) {
+// Execute forwards the effects of a tick to the goroutines of the calls.
+func (e *Exchanges) Execute(out *caroboutbox.Outbox) {
 	for _, send := range out.Sends {
-		e.dispatcher.Give(send.Job.Call, order{send: &send})
+		e.dispatcher.Enqueue(send.Job.Call, order{send: &send})
 	}
 	for _, job := range out.Cancels {
-		e.dispatcher.Give(job.Call, order{cancel: job.Attempt})
+		e.dispatcher.Enqueue(job.Call, order{cancel: job.Attempt})
 	}
 	for _, conclusion := range out.Conclusions {
-		e.dispatcher.Give(conclusion.Call, order{conclusion: &conclusion})
+		e.dispatcher.Enqueue(conclusion.Call, order{conclusion: &conclusion})
 	}
 }
 
 // Run reports a call to the control goroutine and carries it out until its result
 // was sent. Every attempt has the header of req and the body of upload.
 func (e *Exchanges) Run(arrival carobarrival.Arrival, req *fasthttp.Request, upload *carobupload.Upload, responder responder) {
-	orders := e.dispatcher.Open(arrival.Call)
-	defer e.dispatcher.Close(arrival.Call)
+	orders := e.dispatcher.Subscribe(arrival.Call)
+	defer e.dispatcher.Unsubscribe(arrival.Call)
 	e.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Arrivals = append(in.Arrivals, arrival) })
 	x := &exchange{
 		exchanges: e, call: arrival.Call, request: req, upload: upload, responder: responder, attempts: map[int]*attempt{},
@@ -101,8 +101,8 @@
 	x.run(orders)
 }
 
-// HangUp reports to the control goroutine that the caller of a call has
+// ReportDisconnect reports to the control goroutine that the caller of a call has
 // disconnected.
-func (e *Exchanges) HangUp(call carobcallid.ID) {
+func (e *Exchanges) ReportDisconnect(call carobcallid.ID) {
 	e.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Disconnects = append(in.Disconnects, call) })
 }
--- a/internal/carobfollower/follower.go
+++ b/internal/carobfollower/follower.go
@@ -68,8 +68,8 @@
 	return &Follower{config: c, changed: make(chan struct{}, 1)}
 }
 
-// Carry starts or stops the reading of tables, as the tick decided.
-func (f *Follower) Carry(out *caroboutbox.Outbox) {
+// Execute starts or stops the reading of tables, as the tick decided.
+func (f *Follower) Execute(out *caroboutbox.Outbox) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.meanWait = out.LongPollTimeout
--- a/internal/carobfollower/follower_test.go
+++ b/internal/carobfollower/follower_test.go
@@ -53,7 +53,7 @@
 	})
 	go poller.Run(t.Context())
 	const hold = time.Second
-	poller.Carry(&caroboutbox.Outbox{ReadingStore: true, LongPollTimeout: hold})
+	poller.Execute(&caroboutbox.Outbox{ReadingStore: true, LongPollTimeout: hold})
 	held := <-routeSource.reads
 	require.GreaterOrEqual(t, held, hold/2, "the store must hold a read that finds nothing")
 	require.LessOrEqual(t, held, hold*3/2, "a read must not be held longer than its jitter allows")
@@ -78,7 +78,7 @@
 	// A read ends when the poller is disabled, and another one begins when it is
 	// enabled again.
 	<-routeSource.reads
-	poller.Carry(&caroboutbox.Outbox{})
-	poller.Carry(&caroboutbox.Outbox{ReadingStore: true})
+	poller.Execute(&caroboutbox.Outbox{})
+	poller.Execute(&caroboutbox.Outbox{ReadingStore: true})
 	<-routeSource.reads
 }
--- a/internal/carobingress/ingress.go
+++ b/internal/carobingress/ingress.go
@@ -69,9 +69,9 @@
 func NewIngress(c Config) *Ingress {
 	i := &Ingress{config: c}
 	i.server = carobserver.NewServer(carobserver.Config{
-		Handler: i, Timer: c.Timer, Header: c.Limits.HeaderSize, Body: c.Limits.BodySize,
-		Head: c.Limits.HeaderTimeout.Duration(), Stall: c.Limits.StallTimeout.Duration(), Idle: c.Limits.IdleTimeout.Duration(),
-		Most: maxPipelined,
+		Handler: i, Timer: c.Timer, MaxHeader: c.Limits.HeaderSize, MaxBody: c.Limits.BodySize,
+		HeaderTimeout: c.Limits.HeaderTimeout.Duration(), StallTimeout: c.Limits.StallTimeout.Duration(), IdleTimeout: c.Limits.IdleTimeout.Duration(),
+		MaxPipelined: maxPipelined,
 	})
 	return i
 }
@@ -93,9 +93,9 @@
 	return nil
 }
 
-// Carry forwards the effects of a tick to the goroutines of the calls.
-func (i *Ingress) Carry(out *caroboutbox.Outbox) {
-	i.config.Exchanges.Carry(out)
+// Execute forwards the effects of a tick to the goroutines of the calls.
+func (i *Ingress) Execute(out *caroboutbox.Outbox) {
+	i.config.Exchanges.Execute(out)
 }
 
 // Handle runs the call of a request to the end of its answer.
@@ -104,26 +104,26 @@
 	r := &responder{ingress: i, visit: visit}
 	arrival, err := i.config.Dialect.Arrival(req)
 	if err != nil {
-		r.Refuse(carobkind.Of(err), 0, err.Error())
+		r.SendError(carobkind.Of(err), 0, err.Error())
 		return
 	}
 	bodySize := int64(len(req.Body()))
 	defer i.buffered.Add(-bodySize)
 	if i.buffered.Add(bodySize) > int64(i.config.Limits.BufferedBodySize) {
-		r.Refuse(carobkind.Busy, carobkind.Busy.RetryAfter(), "the limit of buffered request bodies is reached")
+		r.SendError(carobkind.Busy, carobkind.Busy.RetryAfter(), "the limit of buffered request bodies is reached")
 		return
 	}
 	arrival.Call = carobcallid.ID{
 		Node: i.config.Node, Incarnation: i.config.Incarnation, Sequence: i.sequence.Add(1),
 	}
 	arrival.Size = carobsize.Size(bodySize)
-	upload, err := carobupload.NewUpload(carobupload.Config{Whole: req.Body()})
+	upload, err := carobupload.NewUpload(carobupload.Config{Body: req.Body()})
 	if err != nil {
-		r.Refuse(carobkind.Of(err), 0, err.Error())
+		r.SendError(carobkind.Of(err), 0, err.Error())
 		return
 	}
-	visit.Notify(func() { i.config.Exchanges.HangUp(arrival.Call) })
-	defer visit.Notify(nil)
+	visit.OnDisconnect(func() { i.config.Exchanges.ReportDisconnect(arrival.Call) })
+	defer visit.OnDisconnect(nil)
 	i.config.Exchanges.Run(arrival, req, upload, r)
 }
 
@@ -138,23 +138,23 @@
 	visit   *carobvisit.Visit
 }
 
-// Answer streams an answer of a target to the caller. Nothing is stored, because
+// SendAnswer streams an answer of a target to the caller. Nothing is stored, because
 // no dialect has idempotency keys.
-func (r *responder) Answer(answer *carobanswer.Answer, abandon func(), done func(kind carobkind.Kind, stored *carobstoredanswer.StoredAnswer)) {
-	r.visit.Notify(abandon)
+func (r *responder) SendAnswer(answer *carobanswer.Answer, abandon func(), done func(kind carobkind.Kind, stored *carobstoredanswer.StoredAnswer)) {
+	r.visit.OnDisconnect(abandon)
 	carobheader.CleanResponse(&answer.Response.Header)
-	done(r.visit.Pass(answer), nil)
+	done(r.visit.SendAnswer(answer), nil)
 }
 
-// Repeat is never called, because no dialect has idempotency keys.
-func (r *responder) Repeat(*carobstoredanswer.StoredAnswer) {
-	r.Refuse(carobkind.Repeated, 0, "the answer of the earlier call is not stored")
+// SendStored is never called, because no dialect has idempotency keys.
+func (r *responder) SendStored(*carobstoredanswer.StoredAnswer) {
+	r.SendError(carobkind.Repeated, 0, "the answer of the earlier call is not stored")
 }
 
-// Refuse sends an error. If after is 0, the delay of the kind applies.
-func (r *responder) Refuse(kind carobkind.Kind, after time.Duration, detail string) {
+// SendError sends an error. If after is 0, the delay of the kind applies.
+func (r *responder) SendError(kind carobkind.Kind, after time.Duration, detail string) {
 	resp := &fasthttp.Response{}
 	after = cmp.Or(after, kind.RetryAfter())
 	r.ingress.config.Dialect.Refuse(resp, r.visit.Request(), kind, after, detail)
-	r.visit.Reply(resp)
+	r.visit.SendResponse(resp)
 }
--- a/internal/carobloader/loader.go
+++ b/internal/carobloader/loader.go
@@ -78,7 +78,7 @@
 	return &Loader{
 		config:  c,
 		random:  rand.New(rand.NewPCG(c.Seed, stream)), //nolint:gosec // loads must repeat under a seed
-		pool:    carobpool.NewPool(carobpool.Config{Timer: c.Timer, Dial: dialTimeout, Idle: idleTimeout, Kept: maxIdleConns, Stall: stallTimeout}),
+		pool:    carobpool.NewPool(carobpool.Config{Timer: c.Timer, DialTimeout: dialTimeout, IdleTimeout: idleTimeout, MaxIdleConns: maxIdleConns, StallTimeout: stallTimeout}),
 		summary: carobsummary.NewSummary(carobsummary.Config{Name: c.Name, Deadline: c.Deadline}),
 	}
 }
--- a/internal/carobmeter/meter.go
+++ b/internal/carobmeter/meter.go
@@ -62,8 +62,8 @@
 	return m.closer.Close()
 }
 
-// Carry counts the effects of a tick.
-func (m *Meter) Carry(out *caroboutbox.Outbox) {
+// Execute counts the effects of a tick.
+func (m *Meter) Execute(out *caroboutbox.Outbox) {
 	for i := range out.Conclusions {
 		m.counter(m.calls, "calls", out.Conclusions[i].Kind).Inc(1)
 	}
--- a/internal/carobmeter/meter_test.go
+++ b/internal/carobmeter/meter_test.go
@@ -19,7 +19,7 @@
 func TestHandlerServesMetrics(t *testing.T) {
 	meter := NewMeter()
 	for range 2 {
-		meter.Carry(&caroboutbox.Outbox{
+		meter.Execute(&caroboutbox.Outbox{
 			Conclusions: []carobconclusion.Conclusion{{Kind: carobkind.Busy}, {}},
 			Reports:     []carobreport.Report{{Target: carobtargetid.ID{Service: "lookups", Name: "a"}, Running: 7}},
 		})
--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -79,7 +79,7 @@
 
 // callServer receives the calls of callers.
 type callServer interface {
-	Carry(out *caroboutbox.Outbox)
+	Execute(out *caroboutbox.Outbox)
 	Serve(listener net.Listener) error
 	Drain()
 	Shutdown(ctx context.Context) error
@@ -336,9 +336,9 @@
 	logger.Info("node: stopped")
 }
 
-// Carry closes stopped when the control goroutine reports the end of a graceful
+// Execute closes stopped when the control goroutine reports the end of a graceful
 // shutdown.
-func (n *Node) Carry(out *caroboutbox.Outbox) {
+func (n *Node) Execute(out *caroboutbox.Outbox) {
 	if !out.Stopped {
 		return
 	}
--- a/internal/carobnode/traffic_providers.go
+++ b/internal/carobnode/traffic_providers.go
@@ -42,35 +42,35 @@
 	settings := n.config.Settings
 	do.Provide(injector, func(injector do.Injector) (*carobwatch.Watch, error) {
 		return carobwatch.NewWatch(carobwatch.Config{
-			Timer: do.MustInvoke[*carobtimer.Timer](injector), Period: disconnectCheckInterval,
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), PollInterval: disconnectCheckInterval,
 		}), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobadmitter.Admitter, error) {
 		poolConfig := carobpool.Config{
-			Timer: do.MustInvoke[*carobtimer.Timer](injector), Dial: dialTimeout, Idle: targetIdleTimeout, Kept: maxIdleConns,
-			Header: int(settings.Limits.HeaderSize), Stall: settings.Limits.StallTimeout.Duration(),
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), DialTimeout: dialTimeout, IdleTimeout: targetIdleTimeout, MaxIdleConns: maxIdleConns,
+			Header: int(settings.Limits.HeaderSize), StallTimeout: settings.Limits.StallTimeout.Duration(),
 		}
 		admitterConfig := carobadmitter.Config{
 			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
 			Watch:   do.MustInvoke[*carobwatch.Watch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
-			Stall: settings.Limits.StallTimeout.Duration(),
+			StallTimeout: settings.Limits.StallTimeout.Duration(),
 		}
 		if n.config.Dialect != nil {
-			poolConfig.Recent, poolConfig.Alive, poolConfig.Unframed, poolConfig.Mine = maxReuseAge, keepAliveInterval, true, n.config.Dialect.Mine
+			poolConfig.MaxReuseAge, poolConfig.KeepAliveInterval, poolConfig.AllowCloseDelimited, poolConfig.MatchesRequest = maxReuseAge, keepAliveInterval, true, n.config.Dialect.Mine
 			admitterConfig.Dialect, admitterConfig.Gather = n.config.Dialect, maxBufferedResponse
 		}
-		admitterConfig.Targets = carobpool.NewPool(poolConfig)
+		admitterConfig.TargetClient = carobpool.NewPool(poolConfig)
 		return carobadmitter.NewAdmitter(admitterConfig), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobrelay.Relay, error) {
 		poolConfig := carobpool.Config{
-			Timer: do.MustInvoke[*carobtimer.Timer](injector), Dial: dialTimeout, Idle: peerIdleTimeout, Kept: maxIdleConns, Ask: true,
-			Header: peerHeaderSpace + int(settings.Limits.HeaderSize), Stall: settings.Limits.StallTimeout.Duration(),
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), DialTimeout: dialTimeout, IdleTimeout: peerIdleTimeout, MaxIdleConns: maxIdleConns, ExpectContinue: true,
+			Header: peerHeaderSpace + int(settings.Limits.HeaderSize), StallTimeout: settings.Limits.StallTimeout.Duration(),
 		}
 		if n.config.Dialect != nil {
-			poolConfig.Dial, poolConfig.Recent, poolConfig.Alive = peerDialTimeout, maxReuseAge, keepAliveInterval
+			poolConfig.DialTimeout, poolConfig.MaxReuseAge, poolConfig.KeepAliveInterval = peerDialTimeout, maxReuseAge, keepAliveInterval
 		}
-		return carobrelay.NewRelay(carobrelay.Config{Peers: carobpool.NewPool(poolConfig), Own: do.MustInvoke[*carobadmitter.Admitter](injector)}), nil
+		return carobrelay.NewRelay(carobrelay.Config{Peers: carobpool.NewPool(poolConfig), Local: do.MustInvoke[*carobadmitter.Admitter](injector)}), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (callServer, error) {
 		self := do.MustInvoke[carobmember.Member](injector)
@@ -85,7 +85,7 @@
 		return carobingress.NewIngress(carobingress.Config{
 			Node: self.Node, Incarnation: self.Incarnation, Limits: settings.Limits, Dialect: n.config.Dialect,
 			Exchanges: carobexchange.NewExchanges(carobexchange.Config{
-				Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Relay: do.MustInvoke[*carobrelay.Relay](injector), Gather: maxBufferedResponse,
+				Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Relay: do.MustInvoke[*carobrelay.Relay](injector), MaxBufferedAnswer: maxBufferedResponse,
 			}),
 			Timer: do.MustInvoke[*carobtimer.Timer](injector),
 		}), nil
--- a/internal/carobpool/exchange.go
+++ b/internal/carobpool/exchange.go
@@ -47,13 +47,13 @@
 			return x.runBuffered()
 		}
 	}
-	if x.config.Ask {
+	if x.config.ExpectContinue {
 		x.request.Header.Set(fasthttp.HeaderExpect, expectContinue)
 	}
 	if err := x.write(nil); err != nil {
 		return nil, err
 	}
-	if x.config.Ask {
+	if x.config.ExpectContinue {
 		resp, err := x.readHeader()
 		if err != nil || resp.StatusCode() != fasthttp.StatusContinue {
 			return resp, err
@@ -179,7 +179,7 @@
 			return nil, err
 		}
 		if resp.StatusCode() >= fasthttp.StatusOK {
-			if x.config.Mine == nil || x.config.Mine(x.request, resp) {
+			if x.config.MatchesRequest == nil || x.config.MatchesRequest(x.request, resp) {
 				return resp, nil
 			}
 			if err := x.discardResponse(resp); err != nil {
@@ -225,7 +225,7 @@
 	if resp.StatusCode() < fasthttp.StatusOK || hasNoBody(x.request, resp) {
 		return resp, nil
 	}
-	if resp.Header.ContentLength() < -1 && !x.config.Unframed {
+	if resp.Header.ContentLength() < -1 && !x.config.AllowCloseDelimited {
 		return nil, carobkind.New(carobkind.ConnectionLost, "response has neither a Content-Length nor chunks")
 	}
 	return resp, resp.ReadBody(x.conn.reader, 0)
@@ -303,6 +303,6 @@
 
 func (s *bodyWriter) Write(data []byte) (int, error) {
 	config := s.exchange.config
-	_ = s.exchange.conn.SetWriteDeadline(config.Timer.Wall().Add(config.Stall))
+	_ = s.exchange.conn.SetWriteDeadline(config.Timer.Wall().Add(config.StallTimeout))
 	return s.exchange.conn.writer.Write(data)
 }
--- a/internal/carobpool/options_test.go
+++ b/internal/carobpool/options_test.go
@@ -51,7 +51,7 @@
 		respondWithID(conn, req.Header.Get(idHeader), "mine")
 		return true
 	})
-	p := newPool(t, func(c *Config) { c.Mine = matchesID })
+	p := newPool(t, func(c *Config) { c.MatchesRequest = matchesID })
 	for _, id := range []string{"r1", "r2", "r3"} {
 		body, err := fetch(t, p, server, id, false)
 		require.NoError(t, err)
@@ -66,7 +66,7 @@
 		respondWithID(conn, "other", "of another request")
 		return false
 	})
-	_, err := fetch(t, newPool(t, func(c *Config) { c.Mine = matchesID }), server, "r1", false)
+	_, err := fetch(t, newPool(t, func(c *Config) { c.MatchesRequest = matchesID }), server, "r1", false)
 	require.Equal(t, carobkind.ConnectionLost, carobkind.Of(err))
 }
 
@@ -85,7 +85,7 @@
 				}
 				return false
 			})
-			body, err := fetch(t, newPool(t, func(c *Config) { c.Unframed = true }), server, "r1", false)
+			body, err := fetch(t, newPool(t, func(c *Config) { c.AllowCloseDelimited = true }), server, "r1", false)
 			if c.reset {
 				require.Error(t, err, "a reset means that the body is truncated")
 				return
@@ -104,7 +104,7 @@
 		respondWithID(conn, req.Header.Get(idHeader), "mine")
 		return true
 	})
-	p := newPool(t, func(c *Config) { c.Recent = time.Nanosecond })
+	p := newPool(t, func(c *Config) { c.MaxReuseAge = time.Nanosecond })
 	for range 2 {
 		_, err := fetch(t, p, server, "r1", false)
 		require.NoError(t, err)
--- a/internal/carobpool/pool.go
+++ b/internal/carobpool/pool.go
@@ -33,36 +33,36 @@
 // Config holds the parameters of a pool.
 type Config struct {
 	Timer *carobtimer.Timer
-	// Dial is the time-out for opening a connection.
-	Dial time.Duration
-	// Idle is how long an idle connection is kept.
-	Idle time.Duration
-	// Kept is the largest number of idle connections to one address.
-	Kept int
+	// DialTimeout is the time-out for opening a connection.
+	DialTimeout time.Duration
+	// IdleTimeout is how long an idle connection is kept.
+	IdleTimeout time.Duration
+	// MaxIdleConns is the largest number of idle connections to one address.
+	MaxIdleConns int
 	// Header is the size of the read buffer of a connection, in bytes. A response
 	// whose header is longer is rejected. It is 4096 at least.
 	Header int
-	// Stall is how long the peer may send or accept nothing while a body is being
+	// StallTimeout is how long the peer may send or accept nothing while a body is being
 	// transferred.
-	Stall time.Duration
-	// Ask is true if the client sends "Expect: 100-continue" and waits for the
+	StallTimeout time.Duration
+	// ExpectContinue is true if the client sends "Expect: 100-continue" and waits for the
 	// peer's agreement before it sends a body that needs more than one write.
-	Ask bool
-	// Recent is the longest time that a connection may have been idle to get a request
+	ExpectContinue bool
+	// MaxReuseAge is the longest time that a connection may have been idle to get a request
 	// which must not run twice; 0 means no limit. The peer may have dropped an older
 	// connection silently, and then it is unknown whether the request ran.
-	Recent time.Duration
-	// Alive is the interval between TCP keep-alive probes on a connection without
+	MaxReuseAge time.Duration
+	// KeepAliveInterval is the interval between TCP keep-alive probes on a connection without
 	// traffic; 0 means the operating system's default. The connection breaks after
 	// three probes without an answer.
-	Alive time.Duration
-	// Unframed is true if a response may have neither a length nor chunks, so that
+	KeepAliveInterval time.Duration
+	// AllowCloseDelimited is true if a response may have neither a length nor chunks, so that
 	// its body ends when the connection closes.
-	Unframed bool
-	// Mine reports whether a response belongs to the request; nil accepts every
+	AllowCloseDelimited bool
+	// MatchesRequest reports whether a response belongs to the request; nil accepts every
 	// response. Other responses are discarded: they answer earlier requests on the
 	// connection.
-	Mine func(req *fasthttp.Request, resp *fasthttp.Response) bool
+	MatchesRequest func(req *fasthttp.Request, resp *fasthttp.Response) bool
 }
 
 // Pool keeps idle connections to several addresses.
@@ -99,10 +99,10 @@
 
 // NewPool returns a pool without connections.
 func NewPool(c Config) *Pool {
-	p := &Pool{config: c, dialer: net.Dialer{Timeout: c.Dial}, idle: map[carobaddress.Address][]*pooledConn{}}
-	if c.Alive > 0 {
-		p.dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: c.Alive, Interval: c.Alive, Count: keepAliveProbes}
-		p.dialer.Control = setUserTimeout(keepAliveProbes * c.Alive)
+	p := &Pool{config: c, dialer: net.Dialer{Timeout: c.DialTimeout}, idle: map[carobaddress.Address][]*pooledConn{}}
+	if c.KeepAliveInterval > 0 {
+		p.dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: c.KeepAliveInterval, Interval: c.KeepAliveInterval, Count: keepAliveProbes}
+		p.dialer.Control = setUserTimeout(keepAliveProbes * c.KeepAliveInterval)
 	}
 	return p
 }
@@ -137,14 +137,14 @@
 	length := max(resp.Header.ContentLength(), -1)
 	conn.idleTimeout = p.idleTimeoutOf(resp)
 	respBody.bytesLeft, respBody.ended = length, respBody.stream == nil || length == 0
-	return &carobanswer.Answer{Response: resp, Bodiless: respBody.stream == nil, Length: length, Body: respBody}, nil
+	return &carobanswer.Answer{Response: resp, NoBody: respBody.stream == nil, Length: length, Body: respBody}, nil
 }
 
 // extendReadDeadline sets the deadline of the next read of a body. It leaves the
 // deadline as it is while buffered bytes are left, since reading those cannot block.
 func (c *pooledConn) extendReadDeadline(config Config) {
 	if c.reader.Buffered() == 0 {
-		_ = c.SetReadDeadline(config.Timer.Wall().Add(config.Stall))
+		_ = c.SetReadDeadline(config.Timer.Wall().Add(config.StallTimeout))
 	}
 }
 
@@ -158,7 +158,7 @@
 		}
 		age := p.config.Timer.Now().Sub(conn.lastUsed)
 		if age < conn.idleTimeout && isReusable(conn) {
-			if nonIdempotent && p.config.Recent > 0 && age > p.config.Recent {
+			if nonIdempotent && p.config.MaxReuseAge > 0 && age > p.config.MaxReuseAge {
 				p.addIdle(conn)
 				return p.open(ctx, address)
 			}
@@ -194,7 +194,7 @@
 func (p *Pool) addIdle(conn *pooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[conn.address]) >= p.config.Kept {
+	if len(p.idle[conn.address]) >= p.config.MaxIdleConns {
 		_ = conn.Close()
 		return
 	}
@@ -208,7 +208,7 @@
 		return nil, err
 	}
 	return &pooledConn{
-		Conn: conn, address: address, idleTimeout: p.config.Idle,
+		Conn: conn, address: address, idleTimeout: p.config.IdleTimeout,
 		reader: bufio.NewReaderSize(conn, max(p.config.Header, minReadBufferSize)), writer: bufio.NewWriterSize(conn, writeBufferSize),
 	}, nil
 }
@@ -281,10 +281,10 @@
 	text, _, _ = strings.Cut(text, ",")
 	seconds, err := strconv.Atoi(strings.TrimSpace(text))
 	if !found || err != nil {
-		return p.config.Idle
+		return p.config.IdleTimeout
 	}
 	const divisor = 2
-	return min(p.config.Idle, time.Duration(seconds)*time.Second/divisor)
+	return min(p.config.IdleTimeout, time.Duration(seconds)*time.Second/divisor)
 }
 
 // setUserTimeout returns a control function for net.Dialer that sets
--- a/internal/carobpool/pool_test.go
+++ b/internal/carobpool/pool_test.go
@@ -65,7 +65,7 @@
 	t.Helper()
 	timer := carobtimer.NewTimer()
 	go timer.Run(t.Context())
-	c := Config{Timer: timer, Dial: time.Second, Idle: time.Minute, Kept: 4, Header: 4096, Stall: 10 * time.Second}
+	c := Config{Timer: timer, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxIdleConns: 4, Header: 4096, StallTimeout: 10 * time.Second}
 	if change != nil {
 		change(&c)
 	}
@@ -295,7 +295,7 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 		return false
 	})
-	p := newPool(t, func(c *Config) { c.Ask = true })
+	p := newPool(t, func(c *Config) { c.ExpectContinue = true })
 	body := &countingBody{Reader: strings.NewReader(strings.Repeat("x", 100_000))}
 	req := newRequest(fasthttp.MethodPost, "/1")
 	req.SetBodyStream(body, 100_000)
@@ -316,7 +316,7 @@
 		data, err := io.ReadAll(req.Body)
 		return err == nil && respond(conn, fmt.Sprint(len(data)))
 	})
-	p := newPool(t, func(c *Config) { c.Ask = true })
+	p := newPool(t, func(c *Config) { c.ExpectContinue = true })
 	for _, length := range []int{100_000, -1} {
 		req := newRequest(fasthttp.MethodPost, "/1")
 		req.SetBodyStream(strings.NewReader(strings.Repeat("x", 100_000)), length)
@@ -392,7 +392,7 @@
 		<-stuck
 		return false
 	})
-	p := newPool(t, func(c *Config) { c.Stall = 100 * time.Millisecond })
+	p := newPool(t, func(c *Config) { c.StallTimeout = 100 * time.Millisecond })
 	_, _, err := roundTrip(t, p, server, newRequest(fasthttp.MethodGet, "/answer"))
 	require.Error(t, err)
 }
--- a/internal/carobrelay/relay.go
+++ b/internal/carobrelay/relay.go
@@ -33,8 +33,8 @@
 type Config struct {
 	// Peers sends requests to other nodes.
 	Peers peerClient
-	// Own runs attempts on this node's own targets.
-	Own admitter
+	// Local runs attempts on this node's own targets.
+	Local admitter
 }
 
 // Relay sends attempts to the nodes of their targets, including this node.
@@ -85,6 +85,6 @@
 		Job: send.Job, Target: send.Target, Incarnation: send.Incarnation, TimeLeft: send.TimeLeft, Requirements: send.Requirements,
 		Key: string(req.Header.Peek(carobheader.Key)), Traceparent: string(req.Header.Peek(carobheader.Trace)),
 	}
-	answer, err := r.config.Own.Do(ctx, offer, req)
-	return answer, r.config.Own.Report(send.Target), err
+	answer, err := r.config.Local.Do(ctx, offer, req)
+	return answer, r.config.Local.Report(send.Target), err
 }
--- a/internal/carobserver/conn.go
+++ b/internal/carobserver/conn.go
@@ -57,7 +57,7 @@
 func newConn(s *Server, netConn net.Conn) *conn {
 	return &conn{
 		Conn: netConn, server: s, lastDone: closedChannel, slotFreed: make(chan struct{}, 1),
-		reader: bufio.NewReaderSize(netConn, int(s.config.Header)), writer: bufio.NewWriterSize(netConn, writeBufferSize),
+		reader: bufio.NewReaderSize(netConn, int(s.config.MaxHeader)), writer: bufio.NewWriterSize(netConn, writeBufferSize),
 	}
 }
 
@@ -78,7 +78,7 @@
 		return false
 	}
 	config := &c.server.config
-	_ = c.SetReadDeadline(config.Timer.Wall().Add(config.Head))
+	_ = c.SetReadDeadline(config.Timer.Wall().Add(config.HeaderTimeout))
 	req := &fasthttp.Request{}
 	req.Header.SetNoDefaultContentType(true)
 	if err := req.Header.Read(c.reader); err != nil {
@@ -129,7 +129,7 @@
 // held.
 func (c *conn) setIdleDeadline() {
 	if len(c.pending) == 0 {
-		_ = c.SetReadDeadline(c.server.config.Timer.Wall().Add(c.server.config.Idle))
+		_ = c.SetReadDeadline(c.server.config.Timer.Wall().Add(c.server.config.IdleTimeout))
 		return
 	}
 	_ = c.SetReadDeadline(time.Time{})
@@ -150,8 +150,8 @@
 	if req.Header.ContentLength() == 0 {
 		return nil
 	}
-	_ = c.SetReadDeadline(config.Timer.Wall().Add(config.Stall))
-	if err := req.ContinueReadBody(c.reader, int(config.Body), false); err != nil {
+	_ = c.SetReadDeadline(config.Timer.Wall().Add(config.StallTimeout))
+	if err := req.ContinueReadBody(c.reader, int(config.MaxBody), false); err != nil {
 		return readError(err)
 	}
 	return nil
@@ -165,7 +165,7 @@
 func (c *conn) awaitSlot(req *fasthttp.Request) bool {
 	limit := 1
 	if req.Header.IsGet() || req.Header.IsHead() {
-		limit = c.server.config.Most
+		limit = c.server.config.MaxPipelined
 	}
 	for {
 		c.mutex.Lock()
@@ -190,7 +190,7 @@
 		return nil
 	}
 	visit := carobvisit.NewVisit(carobvisit.Config{
-		Request: req, Link: c, Writer: c.writer, Turn: c.lastDone,
+		Request: req, Connection: c, Writer: c.writer, PreviousDone: c.lastDone,
 	})
 	c.reading = false
 	c.lastDone = visit.Done()
@@ -211,14 +211,14 @@
 	}
 	resp := &fasthttp.Response{}
 	c.server.config.Handler.Reject(resp, err)
-	visit.CloseAfter()
-	visit.Reply(resp)
+	visit.SetCloseAfter()
+	visit.SendResponse(resp)
 }
 
-// Closing reports whether the connection closes after the answer to visit. If it
+// ClosesAfter reports whether the connection closes after the answer to visit. If it
 // does, no further request is accepted. A draining server closes a connection
 // with the last pending answer.
-func (c *conn) Closing(visit *carobvisit.Visit) bool {
+func (c *conn) ClosesAfter(visit *carobvisit.Visit) bool {
 	draining := c.server.isDraining()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -229,14 +229,14 @@
 	return c.closing
 }
 
-// Allow extends the write deadline by Config.Stall.
-func (c *conn) Allow() {
-	_ = c.SetWriteDeadline(c.server.config.Timer.Wall().Add(c.server.config.Stall))
+// ExtendDeadline extends the write deadline by Config.Stall.
+func (c *conn) ExtendDeadline() {
+	_ = c.SetWriteDeadline(c.server.config.Timer.Wall().Add(c.server.config.StallTimeout))
 }
 
-// Done removes an answered request. If complete is false, the answer could not be
+// Remove removes an answered request. If complete is false, the answer could not be
 // sent completely, and the connection is closed.
-func (c *conn) Done(visit *carobvisit.Visit, complete bool) {
+func (c *conn) Remove(visit *carobvisit.Visit, complete bool) {
 	c.mutex.Lock()
 	for i := range c.pending {
 		if c.pending[i] == visit {
@@ -296,7 +296,7 @@
 	pending := append([]*carobvisit.Visit(nil), c.pending...)
 	c.mutex.Unlock()
 	for _, visit := range pending {
-		visit.Leave()
+		visit.Disconnect()
 	}
 	<-c.lastDone
 }
--- a/internal/carobserver/server.go
+++ b/internal/carobserver/server.go
@@ -33,17 +33,17 @@
 type Config struct {
 	Handler handler
 	Timer   *carobtimer.Timer
-	// Header and Body are the maximum sizes of a request's header and body.
-	Header, Body carobsize.Size
-	// Head is the maximum time from the first byte of a request to the end of its
-	// header. Stall is the maximum time to read a body, and to wait for the receiver
+	// MaxHeader and MaxBody are the maximum sizes of a request's header and body.
+	MaxHeader, MaxBody carobsize.Size
+	// HeaderTimeout is the maximum time from the first byte of a request to the end of its
+	// header. StallTimeout is the maximum time to read a body, and to wait for the receiver
 	// of an answer to accept bytes.
-	Head, Stall time.Duration
-	// Idle is the maximum time that a connection may have no request.
-	Idle time.Duration
-	// Most is the maximum number of requests of one connection that run
+	HeaderTimeout, StallTimeout time.Duration
+	// IdleTimeout is the maximum time that a connection may have no request.
+	IdleTimeout time.Duration
+	// MaxPipelined is the maximum number of requests of one connection that run
 	// concurrently.
-	Most int
+	MaxPipelined int
 }
 
 // Server accepts connections and serves the requests on them.
--- a/internal/carobserver/server_test.go
+++ b/internal/carobserver/server_test.go
@@ -49,7 +49,7 @@
 func (h *handler) Handle(visit *carobvisit.Visit) {
 	path := string(visit.Request().Header.RequestURI())
 	disconnected := make(chan struct{})
-	visit.Notify(sync.OnceFunc(func() {
+	visit.OnDisconnect(sync.OnceFunc(func() {
 		h.disconnected <- path
 		close(disconnected)
 	}))
@@ -60,7 +60,7 @@
 	}
 	resp := &fasthttp.Response{}
 	resp.SetBodyString("answer to " + path + " " + string(visit.Request().Body()))
-	visit.Reply(resp)
+	visit.SendResponse(resp)
 }
 
 func (h *handler) Reject(resp *fasthttp.Response, err error) {
@@ -82,8 +82,8 @@
 	timer := carobtimer.NewTimer()
 	f := &fixture{t: t, handler: newHandler()}
 	f.server = carobserver.NewServer(carobserver.Config{
-		Handler: f.handler, Timer: timer, Header: 4 * carobsize.KiB, Body: 64 * carobsize.KiB,
-		Head: time.Minute, Stall: time.Minute, Idle: time.Minute, Most: 8,
+		Handler: f.handler, Timer: timer, MaxHeader: 4 * carobsize.KiB, MaxBody: 64 * carobsize.KiB,
+		HeaderTimeout: time.Minute, StallTimeout: time.Minute, IdleTimeout: time.Minute, MaxPipelined: 8,
 	})
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/carobtracewriter/writer.go
+++ b/internal/carobtracewriter/writer.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// Carry takes the hops, audit entries and records of a tick for appending. It does
+// Execute takes the hops, audit entries and records of a tick for appending. It does
 // not wait for the log.
-func (t *TraceWriter) Carry(out *caroboutbox.Outbox) {
+func (t *TraceWriter) Execute(out *caroboutbox.Outbox) {
 	if len(out.Hops) == 0 && len(out.Audits) == 0 && len(out.Appends) == 0 {
 		return
 	}
--- a/internal/carobtracewriter/writer_test.go
+++ b/internal/carobtracewriter/writer_test.go
@@ -104,7 +104,7 @@
 func TestHopsAndAuditEntriesAreAppended(t *testing.T) {
 	log := newFakeLog()
 	writer, lines := newWriter(t, log)
-	writer.Carry(&caroboutbox.Outbox{
+	writer.Execute(&caroboutbox.Outbox{
 		Hops:   make([]carobhop.Hop, 3),
 		Audits: []carobaudit.Audit{{Component: "target", Who: "first", What: "rota/a", From: "ready", To: "leaving"}, {Component: "profile", LocalOnly: true}},
 	})
@@ -125,7 +125,7 @@
 	log := newFakeLog()
 	writer, _ := newWriter(t, log)
 	for range 50 {
-		writer.Carry(hops(100))
+		writer.Execute(hops(100))
 	}
 	writer.Flush(t.Context())
 	require.Len(t, log.records[carobstream.Traces], 1)
@@ -140,7 +140,7 @@
 	writer, _ := newWriter(t, log)
 	log.setUnavailable(true)
 	for range 20 {
-		writer.Carry(hops(1000))
+		writer.Execute(hops(1000))
 		writer.Flush(t.Context())
 	}
 	log.setUnavailable(false)
@@ -169,10 +169,10 @@
 			}
 			out.Hops[i].Traceparent = string(trace)
 		}
-		writer.Carry(out)
+		writer.Execute(out)
 	}
 	log.setUnavailable(false)
-	writer.Carry(hops(1))
+	writer.Execute(hops(1))
 	for range 100 {
 		writer.Flush(t.Context())
 	}
@@ -195,9 +195,9 @@
 	order := func(data string) *caroboutbox.Outbox {
 		return &caroboutbox.Outbox{Appends: []carobappend.Append{{Stream: carobstream.Nodes, Data: []byte(data)}}}
 	}
-	writer.Carry(order("old"))
+	writer.Execute(order("old"))
 	writer.Flush(t.Context())
-	writer.Carry(order("new"))
+	writer.Execute(order("new"))
 	go writer.Run(t.Context())
 	log.setUnavailable(false)
 	require.Equal(t, carobstream.Nodes, <-log.appended)
--- a/internal/carobtransport/cost_test.go
+++ b/internal/carobtransport/cost_test.go
@@ -78,7 +78,7 @@
 		} else {
 			message.Report = &carobreport.Report{Target: target, Running: 1 << 20, Queued: 1 << 20, Slots: 1 << 20, Latency: 1<<62 + 1}
 		}
-		transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{message}})
+		transport.Execute(&caroboutbox.Outbox{Messages: []carobmessage.Message{message}})
 		ok := mailbox.Await(t.Context())
 		inbox := mailbox.Take()
 		require.True(t, ok)
--- a/internal/carobtransport/messages_test.go
+++ b/internal/carobtransport/messages_test.go
@@ -63,7 +63,7 @@
 // and unchanged.
 func TestMessagesArrive(t *testing.T) {
 	sender, receiver := newEndpoint(t), newEndpoint(t)
-	sender.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{fetch(sender, receiver.address), fetch(sender, receiver.address)}})
+	sender.transport.Execute(&caroboutbox.Outbox{Messages: []carobmessage.Message{fetch(sender, receiver.address), fetch(sender, receiver.address)}})
 	got := receiver.take(t)
 	require.Len(t, got, 2)
 	require.EqualValues(t, 3, got[0].Fetch.From)
@@ -74,7 +74,7 @@
 // that shuts down, such as its announcement that it leaves.
 func TestShutdownSendsPendingMessages(t *testing.T) {
 	sender, receiver := newEndpoint(t), newEndpoint(t)
-	sender.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{fetch(sender, receiver.address)}})
+	sender.transport.Execute(&caroboutbox.Outbox{Messages: []carobmessage.Message{fetch(sender, receiver.address)}})
 	require.NoError(t, sender.transport.Shutdown(t.Context()))
 	require.Len(t, receiver.take(t), 1)
 }
@@ -89,12 +89,12 @@
 	withoutReplyAddress.ReplyTo = ""
 	tooManyMembers := fetch(sender, receiver.address)
 	tooManyMembers.Gossip = &carobgossip.Gossip{Members: make([]carobmember.Member, carobgossip.MaxMembers+1)}
-	sender.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{invalid, fetch(sender, receiver.address)}})
+	sender.transport.Execute(&caroboutbox.Outbox{Messages: []carobmessage.Message{invalid, fetch(sender, receiver.address)}})
 	require.Len(t, receiver.take(t), 1, "the valid message is received")
-	require.EqualValues(t, 1, receiver.transport.Broken())
-	sender.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{tooManyMembers}})
-	sender.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{withoutReplyAddress, fetch(sender, receiver.address)}})
-	require.Eventually(t, func() bool { return receiver.transport.Broken() == 3 }, 10*time.Second, time.Millisecond)
+	require.EqualValues(t, 1, receiver.transport.Rejected())
+	sender.transport.Execute(&caroboutbox.Outbox{Messages: []carobmessage.Message{tooManyMembers}})
+	sender.transport.Execute(&caroboutbox.Outbox{Messages: []carobmessage.Message{withoutReplyAddress, fetch(sender, receiver.address)}})
+	require.Eventually(t, func() bool { return receiver.transport.Rejected() == 3 }, 10*time.Second, time.Millisecond)
 }
 
 // TestUndecodableRequestIsRejected checks that a request that cannot be decoded as a
@@ -113,7 +113,7 @@
 		require.NoError(t, resp.Body.Close())
 		require.Equal(t, http.StatusBadRequest, resp.StatusCode)
 	}
-	require.EqualValues(t, 4, e.transport.Broken())
+	require.EqualValues(t, 4, e.transport.Rejected())
 }
 
 // TestUnresponsiveNodeHasLimitedRequests guards against goroutines and connections that
@@ -125,7 +125,7 @@
 	defer func() { _ = listener.Close() }()
 	silent := carobaddress.Address(listener.Addr().String())
 	for range 100 {
-		sender.transport.Carry(&caroboutbox.Outbox{Messages: []carobmessage.Message{fetch(sender, silent)}})
+		sender.transport.Execute(&caroboutbox.Outbox{Messages: []carobmessage.Message{fetch(sender, silent)}})
 	}
 	require.EqualValues(t, 100-64, sender.transport.Dropped())
 }
--- a/internal/carobtransport/transport.go
+++ b/internal/carobtransport/transport.go
@@ -91,9 +91,9 @@
 // node were in flight.
 func (t *Transport) Dropped() uint64 { return t.dropped.Load() }
 
-// Broken returns how many received messages and requests were rejected because they
+// Rejected returns how many received messages and requests were rejected because they
 // were invalid or could not be decoded.
-func (t *Transport) Broken() uint64 { return t.broken.Load() + t.config.Codec.Broken() }
+func (t *Transport) Rejected() uint64 { return t.broken.Load() + t.config.Codec.Broken() }
 
 // Shutdown waits until all messages have been sent, stops receiving messages and
 // closes all connections. It stops waiting when ctx ends.
@@ -111,8 +111,8 @@
 	return t.server.Shutdown(ctx)
 }
 
-// Carry sends the messages of a tick, with one request for each address.
-func (t *Transport) Carry(out *caroboutbox.Outbox) {
+// Execute sends the messages of a tick, with one request for each address.
+func (t *Transport) Execute(out *caroboutbox.Outbox) {
 	if len(out.Messages) == 0 {
 		return
 	}
--- a/internal/carobupload/upload.go
+++ b/internal/carobupload/upload.go
@@ -32,19 +32,19 @@
 	// Stream returns the body, or an error if it is cut off. If it is nil, Whole is
 	// the body.
 	Stream io.Reader
-	// Whole is the body if the HTTP library has already read it.
-	Whole []byte
+	// Body is the body if the HTTP library has already read it.
+	Body []byte
 	// Length is the length of the body in bytes; negative if it is unknown.
 	Length int
-	// Keep is the maximum size of a body that is buffered for further attempts.
-	Keep carobsize.Size
-	// Limit is the maximum size of a body; 0 means no limit.
-	Limit carobsize.Size
+	// MaxBuffered is the maximum size of a body that is buffered for further attempts.
+	MaxBuffered carobsize.Size
+	// MaxSize is the maximum size of a body; 0 means no limit.
+	MaxSize carobsize.Size
 	// Conn is the connection that Stream reads from.
 	Conn  deadlineSetter
 	Timer *carobtimer.Timer
-	// Stall is the maximum time that each read may wait for the sender.
-	Stall time.Duration
+	// StallTimeout is the maximum time that each read may wait for the sender.
+	StallTimeout time.Duration
 }
 
 // Upload is the body of one call.
@@ -80,12 +80,12 @@
 func NewUpload(c Config) (*Upload, error) {
 	u := &Upload{config: c}
 	switch {
-	case c.Limit > 0 && carobsize.Size(c.Length) > c.Limit:
-		return nil, tooLarge(c.Limit)
+	case c.MaxSize > 0 && carobsize.Size(c.Length) > c.MaxSize:
+		return nil, tooLarge(c.MaxSize)
 	case c.Stream == nil:
-		u.buffered = c.Whole
+		u.buffered = c.Body
 		return u, nil
-	case carobsize.Size(c.Length) > c.Keep:
+	case carobsize.Size(c.Length) > c.MaxBuffered:
 		u.streamed, u.unread = true, c.Stream
 		return u, nil
 	default:
@@ -103,11 +103,11 @@
 		}
 		return nil
 	}
-	ahead, err := io.ReadAll(io.LimitReader(u.timedStream(), int64(u.config.Keep)+1))
+	ahead, err := io.ReadAll(io.LimitReader(u.timedStream(), int64(u.config.MaxBuffered)+1))
 	if err != nil {
 		return senderError(err)
 	}
-	if carobsize.Size(len(ahead)) <= u.config.Keep {
+	if carobsize.Size(len(ahead)) <= u.config.MaxBuffered {
 		u.buffered = ahead
 		return nil
 	}
@@ -121,8 +121,8 @@
 	return u.streamed
 }
 
-// Spent reports whether no further attempt can send the body.
-func (u *Upload) Spent() bool {
+// NotResendable reports whether no further attempt can send the body.
+func (u *Upload) NotResendable() bool {
 	return u.streamed && (u.claimed.Load() || u.released.Load())
 }
 
@@ -130,7 +130,7 @@
 // if the body was already streamed to another attempt.
 func (u *Upload) Attach(req *fasthttp.Request) error {
 	switch {
-	case u.Spent():
+	case u.NotResendable():
 		return carobkind.New(carobkind.NotResendable, "the body was already sent and is too long to be buffered")
 	case u.streamed:
 		req.SetBodyStream(&attemptBody{upload: u}, u.config.Length)
@@ -166,7 +166,7 @@
 func (u *Upload) read(stream io.Reader, buf []byte) (int, error) {
 	u.readMutex.Lock()
 	defer u.readMutex.Unlock()
-	_ = u.config.Conn.SetReadDeadline(u.config.Timer.Wall().Add(u.config.Stall))
+	_ = u.config.Conn.SetReadDeadline(u.config.Timer.Wall().Add(u.config.StallTimeout))
 	u.reading.Store(true)
 	defer u.reading.Store(false)
 	if u.released.Load() {
@@ -174,8 +174,8 @@
 	}
 	n, err := stream.Read(buf)
 	u.received += carobsize.Size(n)
-	if u.config.Limit > 0 && u.received > u.config.Limit {
-		n, err = 0, tooLarge(u.config.Limit)
+	if u.config.MaxSize > 0 && u.received > u.config.MaxSize {
+		n, err = 0, tooLarge(u.config.MaxSize)
 	}
 	if err != nil && err != io.EOF && u.senderErr == nil && !u.released.Load() { //nolint:errorlint // readers return io.EOF itself
 		u.senderErr = senderError(err)
@@ -183,9 +183,9 @@
 	return n, err
 }
 
-// Fault returns the first error of the sender while its body was read, such as a
+// SenderError returns the first error of the sender while its body was read, such as a
 // stall or a body above the limit; nil if there was none.
-func (u *Upload) Fault() error {
+func (u *Upload) SenderError() error {
 	u.readMutex.Lock()
 	defer u.readMutex.Unlock()
 	return u.senderErr
--- a/internal/carobupload/upload_test.go
+++ b/internal/carobupload/upload_test.go
@@ -20,8 +20,8 @@
 	serverConn, clientConn := net.Pipe()
 	t.Cleanup(func() { _, _ = serverConn.Close(), clientConn.Close() })
 	c := Config{
-		Stream: strings.NewReader(body), Length: length, Keep: 10, Limit: 100,
-		Conn: serverConn, Timer: carobtimer.NewTimer(), Stall: time.Minute,
+		Stream: strings.NewReader(body), Length: length, MaxBuffered: 10, MaxSize: 100,
+		Conn: serverConn, Timer: carobtimer.NewTimer(), StallTimeout: time.Minute,
 	}
 	if change != nil {
 		change(&c)
@@ -69,7 +69,7 @@
 			again, err := read(t, u)
 			if c.streamed {
 				require.Equal(t, carobkind.NotResendable, carobkind.Of(err))
-				require.True(t, u.Spent())
+				require.True(t, u.NotResendable())
 				return
 			}
 			require.NoError(t, err)
@@ -98,8 +98,8 @@
 	require.NoError(t, err)
 	_, err = read(t, u)
 	require.Error(t, err, "a chunked body above the limit must not pass as complete")
-	require.Equal(t, carobkind.TooLarge, carobkind.Of(u.Fault()))
-	require.ErrorContains(t, u.Fault(), "100 B")
+	require.Equal(t, carobkind.TooLarge, carobkind.Of(u.SenderError()))
+	require.ErrorContains(t, u.SenderError(), "100 B")
 }
 
 // If two attempts read from one stream, each would send parts of the body. The
@@ -147,7 +147,7 @@
 	serverConn, clientConn := net.Pipe()
 	defer func() { _, _ = serverConn.Close(), clientConn.Close() }()
 	_, err := newUpload(t, "", 5, func(c *Config) {
-		c.Stream, c.Conn, c.Stall = serverConn, serverConn, 10*time.Millisecond
+		c.Stream, c.Conn, c.StallTimeout = serverConn, serverConn, 10*time.Millisecond
 	})
 	require.Equal(t, carobkind.RequestTimeout, carobkind.Of(err))
 }
--- a/internal/carobvisit/visit.go
+++ b/internal/carobvisit/visit.go
@@ -15,24 +15,24 @@
 
 // connection is the connection that the request was received on.
 type connection interface {
-	// Closing reports whether the connection closes after the answer to v. If it
+	// ClosesAfter reports whether the connection closes after the answer to v. If it
 	// does, no further request is accepted.
-	Closing(v *Visit) bool
-	// Allow extends the write deadline.
-	Allow()
-	// Done removes v, whose answer was sent. If complete is false, it was not sent
+	ClosesAfter(v *Visit) bool
+	// ExtendDeadline extends the write deadline.
+	ExtendDeadline()
+	// Remove removes v, whose answer was sent. If complete is false, it was not sent
 	// completely, and the connection cannot be used any more.
-	Done(v *Visit, complete bool)
+	Remove(v *Visit, complete bool)
 }
 
 // Config holds the parameters of a Visit.
 type Config struct {
 	// Request includes the complete body.
 	Request *fasthttp.Request
-	Link    connection
+	Connection    connection
 	Writer  *bufio.Writer
-	// Turn is closed once the earlier requests of the connection are answered.
-	Turn <-chan struct{}
+	// PreviousDone is closed once the earlier requests of the connection are answered.
+	PreviousDone <-chan struct{}
 }
 
 // Visit is a request with the place of its answer in the order of its connection.
@@ -60,18 +60,18 @@
 // connection broke.
 func (v *Visit) Done() <-chan struct{} { return v.done }
 
-// CloseAfter makes the connection close after the answer. It must be called
+// SetCloseAfter makes the connection close after the answer. It must be called
 // before the answer is sent.
-func (v *Visit) CloseAfter() { v.closing = true }
+func (v *Visit) SetCloseAfter() { v.closing = true }
 
 // ClosesAfter reports whether the connection is to close after the answer, by
 // CloseAfter or by the caller's Connection header.
 func (v *Visit) ClosesAfter() bool { return v.closing || v.config.Request.ConnectionClose() }
 
-// Notify sets the function that is called once if the caller disconnects. It is
+// OnDisconnect sets the function that is called once if the caller disconnects. It is
 // called immediately if the caller has already disconnected. nil removes the
 // function.
-func (v *Visit) Notify(call func()) {
+func (v *Visit) OnDisconnect(call func()) {
 	v.mutex.Lock()
 	v.onDisconnect = call
 	disconnected := v.disconnected
@@ -81,9 +81,9 @@
 	}
 }
 
-// Leave records that the caller has disconnected, and calls the function that
+// Disconnect records that the caller has disconnected, and calls the function that
 // Notify set.
-func (v *Visit) Leave() {
+func (v *Visit) Disconnect() {
 	v.mutex.Lock()
 	call := v.onDisconnect
 	first := !v.disconnected
@@ -94,21 +94,21 @@
 	}
 }
 
-// Reply sends a complete response after the answers to the earlier requests.
-func (v *Visit) Reply(resp *fasthttp.Response) {
-	<-v.config.Turn
+// SendResponse sends a complete response after the answers to the earlier requests.
+func (v *Visit) SendResponse(resp *fasthttp.Response) {
+	<-v.config.PreviousDone
 	v.finish(v.writeWhole(resp) == nil)
 }
 
-// Pass sends an answer and its body, as it is received, after the answers to the
+// SendAnswer sends an answer and its body, as it is received, after the answers to the
 // earlier requests. It returns None if the complete answer was sent, and Cut
 // otherwise.
-func (v *Visit) Pass(answer *carobanswer.Answer) carobkind.Kind {
-	<-v.config.Turn
+func (v *Visit) SendAnswer(answer *carobanswer.Answer) carobkind.Kind {
+	<-v.config.PreviousDone
 	err := v.writeStream(answer)
 	closeErr := answer.Body.Close()
 	v.finish(err == nil)
-	if err != nil || closeErr != nil && !answer.Bodiless {
+	if err != nil || closeErr != nil && !answer.NoBody {
 		return carobkind.ConnectionLost
 	}
 	return carobkind.None
@@ -116,16 +116,16 @@
 
 func (v *Visit) finish(complete bool) {
 	close(v.done)
-	v.config.Link.Done(v, complete)
+	v.config.Connection.Remove(v, complete)
 }
 
 // prepareHeader sets the headers that concern the connection.
 func (v *Visit) prepareHeader(resp *fasthttp.Response) {
 	resp.Header.SetNoDefaultContentType(true)
-	if v.config.Link.Closing(v) {
+	if v.config.Connection.ClosesAfter(v) {
 		resp.SetConnectionClose()
 	}
-	v.config.Link.Allow()
+	v.config.Connection.ExtendDeadline()
 }
 
 func (v *Visit) writeWhole(resp *fasthttp.Response) error {
@@ -148,14 +148,14 @@
 
 func (v *Visit) writeStream(answer *carobanswer.Answer) error {
 	v.prepareHeader(answer.Response)
-	if !answer.Bodiless {
+	if !answer.NoBody {
 		answer.Response.Header.SetContentLength(answer.Length)
 	}
 	if err := answer.Response.Header.Write(v.config.Writer); err != nil {
 		return err
 	}
 	switch {
-	case answer.Bodiless:
+	case answer.NoBody:
 	case answer.Length >= 0:
 		if err := v.copyFixedLength(answer); err != nil {
 			return err
@@ -169,7 +169,7 @@
 }
 
 func (v *Visit) copyFixedLength(answer *carobanswer.Answer) error {
-	n, err := io.CopyBuffer(v.config.Writer, &deadlineReader{Reader: answer.Body, connection: v.config.Link}, make([]byte, min(copyBufferSize, max(1, answer.Length))))
+	n, err := io.CopyBuffer(v.config.Writer, &deadlineReader{Reader: answer.Body, connection: v.config.Connection}, make([]byte, min(copyBufferSize, max(1, answer.Length))))
 	if err == nil && n != int64(answer.Length) {
 		return io.ErrUnexpectedEOF
 	}
@@ -179,7 +179,7 @@
 func (v *Visit) copyChunked(body io.Reader) error {
 	buf := make([]byte, copyBufferSize)
 	for {
-		v.config.Link.Allow()
+		v.config.Connection.ExtendDeadline()
 		n, err := body.Read(buf)
 		if n > 0 {
 			if writeErr := writeChunk(v.config.Writer, buf[:n]); writeErr != nil {
@@ -205,6 +205,6 @@
 
 // Read reads from the body.
 func (r *deadlineReader) Read(buf []byte) (int, error) {
-	r.connection.Allow()
+	r.connection.ExtendDeadline()
 	return r.Reader.Read(buf)
 }
--- a/internal/carobwatch/watch.go
+++ b/internal/carobwatch/watch.go
@@ -22,8 +22,8 @@
 // Config holds the parameters of a Watch.
 type Config struct {
 	Timer *carobtimer.Timer
-	// Period is the time between two polls of the watched connections.
-	Period time.Duration
+	// PollInterval is the time between two polls of the watched connections.
+	PollInterval time.Duration
 }
 
 // Watch polls connections as long as there are any to watch.
@@ -67,7 +67,7 @@
 	defer w.mutex.Unlock()
 	w.entries[e] = struct{}{}
 	if len(w.entries) == 1 {
-		w.wakeAt(w.config.Timer.Now().Add(w.config.Period))
+		w.wakeAt(w.config.Timer.Now().Add(w.config.PollInterval))
 	}
 	return func() { w.remove(e) }
 }
@@ -98,7 +98,7 @@
 		}
 	}
 	if len(w.entries) > 0 {
-		w.wakeAt(w.config.Timer.Now().Add(w.config.Period))
+		w.wakeAt(w.config.Timer.Now().Add(w.config.PollInterval))
 	}
 	return disconnected
 }
