--- a/internal/carobadmin/admin.go
+++ b/internal/carobadmin/admin.go
@@ -25,7 +25,7 @@
 
 // querier runs a function on the control goroutine, which may read the world.
 type querier interface {
-	Ask(ctx context.Context, query func(w *carobworld.World)) error
+	Query(ctx context.Context, query func(w *carobworld.World)) error
 }
 
 // Config holds the parameters of an admin server.
@@ -96,7 +96,7 @@
 // shutting down. Otherwise it answers with the status of Leaving or NotReady.
 func (a *Admin) health(c fiber.Ctx) error {
 	kind := carobkind.None
-	err := a.config.Control.Ask(c.Context(), func(w *carobworld.World) {
+	err := a.config.Control.Query(c.Context(), func(w *carobworld.World) {
 		switch {
 		case w.Stopping:
 			kind = carobkind.Leaving
@@ -116,7 +116,7 @@
 // status answers with the node's status as JSON.
 func (a *Admin) status(c fiber.Ctx) error {
 	var status carobstatus.Status
-	err := a.config.Control.Ask(c.Context(), func(w *carobworld.World) {
+	err := a.config.Control.Query(c.Context(), func(w *carobworld.World) {
 		status = carobstatus.Describe(w, a.config.Timer.Now())
 	})
 	if err != nil {
--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -42,17 +42,17 @@
 // dialect is the HTTP interface of the targets: which headers requests and responses
 // carry.
 type dialect interface {
-	// Ask sets the headers of a request that starts a job at a target.
-	Ask(req *fasthttp.Request, start *carobstart.Start, target carobtargetid.ID)
-	// Check fills in a health check of the target at an address.
-	Check(req *fasthttp.Request, address carobaddress.Address)
-	// Identity returns the name and the number of slots of a target, from its response
+	// PrepareRequest sets the headers of a request that starts a job at a target.
+	PrepareRequest(req *fasthttp.Request, start *carobstart.Start, target carobtargetid.ID)
+	// PrepareHealthCheck fills in a health check of the target at an address.
+	PrepareHealthCheck(req *fasthttp.Request, address carobaddress.Address)
+	// ParseIdentity returns the name and the number of slots of a target, from its response
 	// to a health check.
-	Identity(resp *fasthttp.Response) (carobname.Name, int)
-	// Judge classifies a response. The kind is None if the response answers the call, and
+	ParseIdentity(resp *fasthttp.Response) (carobname.Name, int)
+	// Classify classifies a response. The kind is None if the response answers the call, and
 	// the reason otherwise, for example that the target refused the call. The load is nil
 	// if the response does not report it.
-	Judge(resp *fasthttp.Response) (carobkind.Kind, *carobtargetload.TargetLoad)
+	Classify(resp *fasthttp.Response) (carobkind.Kind, *carobtargetload.TargetLoad)
 }
 
 // Config holds the parameters of an admitter.
@@ -157,14 +157,14 @@
 // after an error, and otherwise once the body of the response is closed.
 func (a *Admitter) run(ctx context.Context, start *carobstart.Start, req *fasthttp.Request, target carobtargetid.ID) (*carobanswer.Answer, error) {
 	carobheader.CleanRequest(&req.Header)
-	a.config.Dialect.Ask(req, start, target)
+	a.config.Dialect.PrepareRequest(req, start, target)
 	answer, err := a.config.TargetClient.Do(ctx, start.Address, req, start.Guarantee != carobguarantee.Idempotent)
 	if err != nil {
 		a.postFinish(carobfinish.Finish{Job: start.Job, Kind: carobkind.Of(err)})
 		return nil, err
 	}
 	finish := carobfinish.Finish{Job: start.Job, Status: answer.Response.StatusCode()}
-	kind, pressure := a.config.Dialect.Judge(answer.Response)
+	kind, pressure := a.config.Dialect.Classify(answer.Response)
 	finish.TargetLoad = pressure
 	if limit := int(a.config.Gather); limit > 0 && answer.Length <= limit {
 		if errGather := answer.Buffer(limit); errGather != nil && kind == carobkind.None {
@@ -179,7 +179,7 @@
 	}
 	carobheader.CleanResponse(&answer.Response.Header)
 	answer.Report = a.Report(target)
-	answer.Body = carobbody.NewBody(carobbody.Config{Stream: answer.Body, Length: answer.Length, Over: func(kind carobkind.Kind) {
+	answer.Body = carobbody.NewBody(carobbody.Config{Stream: answer.Body, Length: answer.Length, OnEnd: func(kind carobkind.Kind) {
 		finish.Kind = kind
 		a.postFinish(finish)
 	}})
--- a/internal/carobadmitter/discover.go
+++ b/internal/carobadmitter/discover.go
@@ -23,7 +23,7 @@
 	identifyTries      = 8
 )
 
-// Meet sends a health check to the address of an announcement, fills in the name and
+// Discover sends a health check to the address of an announcement, fills in the name and
 // the slots of the target that responds, and announces it. A node that restarts beside
 // a running target need not wait for the target's next announcement. Announcements
 // that the target makes itself take precedence over this one.
@@ -31,7 +31,7 @@
 // The kind of an error is Unreachable if no connection could be opened, NotReady if the
 // target responded but is not ready, and Invalid if its name breaks the rules. Cut and
 // Cancelled mean that the response did not arrive whole or in time.
-func (a *Admitter) Meet(ctx context.Context, announcement carobannouncement.Announcement) error {
+func (a *Admitter) Discover(ctx context.Context, announcement carobannouncement.Announcement) error {
 	var err error
 	for range identifyTries {
 		if err = a.identify(ctx, &announcement); carobkind.Of(err) != carobkind.Unreachable {
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	announcement.Target.Name, announcement.Slots = a.config.Dialect.Identity(answer.Response)
+	announcement.Target.Name, announcement.Slots = a.config.Dialect.ParseIdentity(answer.Response)
 	if status := answer.Response.StatusCode(); status != fasthttp.StatusOK || announcement.Slots < 1 {
 		return carobkind.New(carobkind.NotReady, "target answered the health check with status %d", status)
 	}
@@ -67,7 +67,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req := &fasthttp.Request{}
-	a.config.Dialect.Check(req, address)
+	a.config.Dialect.PrepareHealthCheck(req, address)
 	answer, err := a.config.TargetClient.Do(ctx, address, req, false)
 	if err != nil {
 		return nil, err
--- a/internal/carobadmitter/health_check.go
+++ b/internal/carobadmitter/health_check.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil
 	}
-	if _, pressure := a.config.Dialect.Judge(answer.Response); pressure != nil {
+	if _, pressure := a.config.Dialect.Classify(answer.Response); pressure != nil {
 		return pressure
 	}
 	return &carobtargetload.TargetLoad{}
--- a/internal/carobadmitter/serve.go
+++ b/internal/carobadmitter/serve.go
@@ -31,10 +31,10 @@
 	}
 }
 
-// Expect handles the header of an attempt with "Expect: 100-continue". It returns 100
+// HandleExpect handles the header of an attempt with "HandleExpect: 100-continue". It returns 100
 // once the job is started, and otherwise the status of the refusal; the entry node then
 // sends no body and can send it to another target.
-func (a *Admitter) Expect(ctx *fasthttp.RequestCtx) int {
+func (a *Admitter) HandleExpect(ctx *fasthttp.RequestCtx) int {
 	job, err := a.receive(ctx)
 	if err != nil {
 		a.refuse(ctx, nil, err)
@@ -81,8 +81,8 @@
 	}
 }
 
-// Fail handles a request that the HTTP library could not read.
-func (a *Admitter) Fail(ctx *fasthttp.RequestCtx, _ error) {
+// HandleError handles a request that the HTTP library could not read.
+func (a *Admitter) HandleError(ctx *fasthttp.RequestCtx, _ error) {
 	a.refuse(ctx, nil, carobkind.Invalid)
 }
 
--- a/internal/carobbench/cell.go
+++ b/internal/carobbench/cell.go
@@ -33,20 +33,20 @@
 	Callers *carobsummary.Summary `json:"callers"`
 	// Capacity is the number of calls a second that all slots of the service can run.
 	Capacity float64 `json:"capacity"`
-	// Extra is the number of runs above one for each call, as a share of all calls.
-	Extra float64 `json:"extra"`
-	// Sick is the share of calls that the first target received while it was faulty,
+	// ExtraRuns is the number of runs above one for each call, as a share of all calls.
+	ExtraRuns float64 `json:"extra"`
+	// FaultyShare is the share of calls that the first target received while it was faulty,
 	// without the first detectionTime, or the first half of the fault if that is
 	// shorter; 0 without a fault.
-	Sick float64 `json:"sick"`
-	// Back is the share of calls that the first target received in the second half of
+	FaultyShare float64 `json:"sick"`
+	// RecoveredShare is the share of calls that the first target received in the second half of
 	// the time after its recovery; 0 without one.
-	Back float64 `json:"back"`
+	RecoveredShare float64 `json:"back"`
 	// CPU is the processor time that a node used, in cores; the mean of all nodes.
 	CPU float64 `json:"cpu"`
-	// Bytes is the number of bytes a second that a node sent for probes and their
+	// ProbeBytes is the number of bytes a second that a node sent for probes and their
 	// answers; the mean of all nodes.
-	Bytes float64 `json:"bytes"`
+	ProbeBytes float64 `json:"bytes"`
 	// Hedges is the number of hedged attempts as a share of all calls.
 	Hedges float64 `json:"hedges"`
 }
@@ -75,8 +75,8 @@
 	capacity := float64(slots*service.targets) / b.config.Mean.Seconds()
 	loader := carobloader.NewLoader(carobloader.Config{
 		Name: variant.name, Nodes: cluster.callAddresses(), Service: carobservice.Service(service.name), Rate: benchCase.load * capacity,
-		Duration: warmup + length, Skip: warmup, Seed: b.config.Seed + uint64(round), //nolint:gosec // not negative
-		Size: bodySize, Deadline: benchCase.deadline, Timer: b.config.Timer,
+		Duration: warmup + length, Warmup: warmup, Seed: b.config.Seed + uint64(round), //nolint:gosec // not negative
+		RequestSize: bodySize, Deadline: benchCase.deadline, Timer: b.config.Timer,
 	})
 	measured := result{Deployment: cluster.deployment.name, Case: benchCase.name, Variant: variant.name, Round: round, Capacity: capacity}
 	faultDone := make(chan error, 1)
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	result.Sick = share
+	result.FaultyShare = share
 	if benchCase.recovery == "" {
 		return nil
 	}
@@ -145,7 +145,7 @@
 		return err
 	}
 	remaining := duration - faultTime
-	result.Back, err = c.firstTargetShare(ctx, remaining/2, remaining/2)
+	result.RecoveredShare, err = c.firstTargetShare(ctx, remaining/2, remaining/2)
 	return err
 }
 
@@ -214,26 +214,26 @@
 	calls := rate * elapsed.Seconds()
 	perNode := float64(nodes) * elapsed.Seconds()
 	r.CPU = (after.cpu - before.cpu).Seconds() / perNode
-	r.Bytes = (after.bytes - before.bytes) / perNode
+	r.ProbeBytes = (after.bytes - before.bytes) / perNode
 	r.Hedges = float64(after.hedges-before.hedges) / calls
 	started := 0
 	for i := range after.targets {
 		started += after.targets[i].Started - before.targets[i].Started
 	}
-	r.Extra = max(0, (float64(started)-calls)/calls)
+	r.ExtraRuns = max(0, (float64(started)-calls)/calls)
 }
 
 // line formats the result as one line of text.
 func (r result) line() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s %s %s #%d: p50 %s p99 %s p99.9 %s", r.Deployment, r.Case, r.Variant, r.Round,
-		carobsummary.Milliseconds(r.Callers.Felt.P50), carobsummary.Milliseconds(r.Callers.Felt.P99),
-		carobsummary.Milliseconds(r.Callers.Felt.P999))
+		carobsummary.Milliseconds(r.Callers.EffectiveLatency.P50), carobsummary.Milliseconds(r.Callers.EffectiveLatency.P99),
+		carobsummary.Milliseconds(r.Callers.EffectiveLatency.P999))
 	fmt.Fprintf(&text, " good %.1f%% of %d, hedges %.1f%%, sick %.2f%%, back %.1f%%, %.0f B/s, cpu %.3f",
 		100*float64(r.Callers.Good)/max(float64(r.Callers.Calls), 1), r.Callers.Calls, 100*r.Hedges,
-		100*r.Sick, 100*r.Back, r.Bytes, r.CPU)
-	if len(r.Callers.Kinds) > 0 || r.Callers.Failed > 0 {
-		fmt.Fprintf(&text, ", failed %d, errors %v", r.Callers.Failed, r.Callers.Kinds)
+		100*r.FaultyShare, 100*r.RecoveredShare, r.ProbeBytes, r.CPU)
+	if len(r.Callers.ErrorKinds) > 0 || r.Callers.Failed > 0 {
+		fmt.Fprintf(&text, ", failed %d, errors %v", r.Callers.Failed, r.Callers.ErrorKinds)
 	}
 	return text.String()
 }
--- a/internal/carobbench/table.go
+++ b/internal/carobbench/table.go
@@ -43,17 +43,17 @@
 // without a good answer counts with its deadline, or with its own latency if that is
 // longer.
 var columns = []column{
-	{"p50 ms", func(r *result) float64 { return float64(r.Callers.Felt.P50) / millisecond }},
-	{"p99 ms", func(r *result) float64 { return float64(r.Callers.Felt.P99) / millisecond }},
-	{"p99.9 ms", func(r *result) float64 { return float64(r.Callers.Felt.P999) / millisecond }},
+	{"p50 ms", func(r *result) float64 { return float64(r.Callers.EffectiveLatency.P50) / millisecond }},
+	{"p99 ms", func(r *result) float64 { return float64(r.Callers.EffectiveLatency.P99) / millisecond }},
+	{"p99.9 ms", func(r *result) float64 { return float64(r.Callers.EffectiveLatency.P999) / millisecond }},
 	{"good %", func(r *result) float64 {
 		return percent * float64(r.Callers.Good) / max(float64(r.Callers.Calls), 1)
 	}},
 	{"of capacity %", func(r *result) float64 { return percent * r.Callers.Goodput() / r.Capacity }},
 	{"hedges %", func(r *result) float64 { return percent * r.Hedges }},
-	{"sick %", func(r *result) float64 { return percent * r.Sick }},
-	{"back %", func(r *result) float64 { return percent * r.Back }},
-	{"B/s a node", func(r *result) float64 { return r.Bytes }},
+	{"sick %", func(r *result) float64 { return percent * r.FaultyShare }},
+	{"back %", func(r *result) float64 { return percent * r.RecoveredShare }},
+	{"B/s a node", func(r *result) float64 { return r.ProbeBytes }},
 	{"cpu % a node", func(r *result) float64 { return percent * r.CPU }},
 }
 
--- a/internal/carobbody/attach.go
+++ b/internal/carobbody/attach.go
@@ -20,7 +20,7 @@
 func Attach(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, timer *carobtimer.Timer, stall time.Duration, onEnd func(kind carobkind.Kind)) {
 	ctx.Response.Header.SetNoDefaultContentType(true)
 	conn := ctx.Conn()
-	extendDeadline := func() { _ = conn.SetWriteDeadline(timer.Wall().Add(stall)) }
+	extendDeadline := func() { _ = conn.SetWriteDeadline(timer.WallTime().Add(stall)) }
 	extendDeadline()
 	if answer.NoBody {
 		_ = answer.Body.Close()
@@ -28,5 +28,5 @@
 		return
 	}
 	ctx.Response.ImmediateHeaderFlush = answer.Length > maxSingleWriteBody
-	ctx.Response.SetBodyStream(NewBody(Config{Stream: answer.Body, Length: answer.Length, Allow: extendDeadline, Over: onEnd}), answer.Length)
+	ctx.Response.SetBodyStream(NewBody(Config{Stream: answer.Body, Length: answer.Length, ExtendDeadline: extendDeadline, OnEnd: onEnd}), answer.Length)
 }
--- a/internal/carobbody/body.go
+++ b/internal/carobbody/body.go
@@ -15,12 +15,12 @@
 	Stream io.ReadCloser
 	// Length is the length of the body in bytes; negative if it is not known.
 	Length int
-	// Allow is called after each read of Stream, before the bytes are sent. It extends the
+	// ExtendDeadline is called after each read of Stream, before the bytes are sent. It extends the
 	// write deadline of the receiver's connection. May be nil.
-	Allow func()
-	// Over is called once, when the body is closed. The kind is None if the whole body was
+	ExtendDeadline func()
+	// OnEnd is called once, when the body is closed. The kind is None if the whole body was
 	// read, and Cut otherwise.
-	Over func(kind carobkind.Kind)
+	OnEnd func(kind carobkind.Kind)
 }
 
 // Body is the body of a response that is being forwarded.
@@ -37,7 +37,7 @@
 
 // NewBody returns a body of which nothing has been read.
 func NewBody(c Config) *Body {
-	return &Body{stream: c.Stream, bytesLeft: c.Length, complete: c.Length == 0, extendDeadline: c.Allow, onEnd: c.Over}
+	return &Body{stream: c.Stream, bytesLeft: c.Length, complete: c.Length == 0, extendDeadline: c.ExtendDeadline, onEnd: c.OnEnd}
 }
 
 // Read reads the next bytes. It returns io.ErrUnexpectedEOF if Stream ends before
--- a/internal/carobcodec/codec.go
+++ b/internal/carobcodec/codec.go
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Broken returns how many inputs could not be decoded.
-func (c *Codec) Broken() uint64 {
+// DecodeErrors returns how many inputs could not be decoded.
+func (c *Codec) DecodeErrors() uint64 {
 	return c.decodeErrors.Load()
 }
--- a/internal/carobcommand/node.go
+++ b/internal/carobcommand/node.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(std.out, "call=%s peer=%s admin=%s\n", node.Call(), node.Peer(), node.Admin())
+	_, _ = fmt.Fprintf(std.out, "call=%s peer=%s admin=%s\n", node.CallAddress(), node.PeerAddress(), node.AdminAddress())
 	return node.Run(ctx)
 }
 
--- a/internal/carobcommand/publish.go
+++ b/internal/carobcommand/publish.go
@@ -84,7 +84,7 @@
 	if !hasBase {
 		profile.Base = p.history.Of(profile.Name)
 	}
-	p.change = carobchange.Change{ID: rand.Text(), Profile: profile, Who: operator(), When: carobtimer.NewTimer().Wall().UTC()}
+	p.change = carobchange.Change{ID: rand.Text(), Profile: profile, Who: operator(), When: carobtimer.NewTimer().WallTime().UTC()}
 	data, err := json.Marshal(p.change)
 	if err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "encode change")
--- a/internal/carobcontrol/control.go
+++ b/internal/carobcontrol/control.go
@@ -38,8 +38,8 @@
 	return &Control{config: c, queries: make(chan func(world *carobworld.World), 1)}
 }
 
-// Attach adds an executor. It must not be called after Run has started.
-func (c *Control) Attach(o executor) {
+// AddExecutor adds an executor. It must not be called after Run has started.
+func (c *Control) AddExecutor(o executor) {
 	c.executors = append(c.executors, o)
 }
 
@@ -47,16 +47,16 @@
 // waits, or the next wake-up time of the world has come. Between ticks the goroutine
 // blocks.
 func (c *Control) Run(ctx context.Context) {
-	setWakeUp := c.config.Timer.Subscribe(c.config.Mailbox.Ring)
-	c.config.Mailbox.Ring()
+	setWakeUp := c.config.Timer.Subscribe(c.config.Mailbox.RequestTick)
+	c.config.Mailbox.RequestTick()
 	for {
-		if !c.config.Mailbox.Await(ctx) {
+		if !c.config.Mailbox.AwaitTick(ctx) {
 			return
 		}
 		// Collect the queries before the messages. Messages that were posted before a
 		// query was made are then part of the tick that runs before the query.
 		queries := c.takeQueries()
-		c.tick(c.config.Mailbox.Take())
+		c.tick(c.config.Mailbox.TakeAll())
 		for _, run := range queries {
 			run(c.config.Core.World())
 		}
@@ -64,10 +64,10 @@
 	}
 }
 
-// Ask runs a query on the control goroutine, after a tick that has processed all
+// Query runs a query on the control goroutine, after a tick that has processed all
 // messages posted before. The query may read the world, but must not keep references
-// into it. If ctx ends first, Ask returns the cause; the query may still run later.
-func (c *Control) Ask(ctx context.Context, query func(world *carobworld.World)) error {
+// into it. If ctx ends first, Query returns the cause; the query may still run later.
+func (c *Control) Query(ctx context.Context, query func(world *carobworld.World)) error {
 	done := make(chan struct{})
 	run := func(world *carobworld.World) {
 		query(world)
@@ -75,7 +75,7 @@
 	}
 	select {
 	case c.queries <- run:
-		c.config.Mailbox.Ring()
+		c.config.Mailbox.RequestTick()
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
--- a/internal/carobdemo/components.go
+++ b/internal/carobdemo/components.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	d.nodes = append(d.nodes, nodeAddresses{call: node.Call(), admin: node.Admin()})
+	d.nodes = append(d.nodes, nodeAddresses{call: node.CallAddress(), admin: node.AdminAddress()})
 	d.run(ctx, node.Run)
 	return nil
 }
--- a/internal/carobdemo/demo.go
+++ b/internal/carobdemo/demo.go
@@ -109,8 +109,8 @@
 	var loaders sync.WaitGroup
 	for i, service := range services {
 		c := carobloader.Config{
-			Name: string(service.name) + ", " + phase, Service: service.name, Rate: service.rate, Keys: service.keys,
-			Duration: d.config.Phase, Deadline: deadline, Seed: d.seed(string(service.name) + phase), Size: 512, Timer: d.timer,
+			Name: string(service.name) + ", " + phase, Service: service.name, Rate: service.rate, KeyShare: service.keys,
+			Duration: d.config.Phase, Deadline: deadline, Seed: d.seed(string(service.name) + phase), RequestSize: 512, Timer: d.timer,
 		}
 		for _, node := range d.nodes {
 			c.Nodes = append(c.Nodes, node.call)
--- a/internal/carobemulator/caller.go
+++ b/internal/carobemulator/caller.go
@@ -39,7 +39,7 @@
 // of each call kind.
 func (e *Emulator) addArrivals() {
 	for i, ok := e.arrivalSchedule.Pop(e.now); ok; i, ok = e.arrivalSchedule.Pop(e.now) {
-		callKind := &e.scenario.Kinds[i]
+		callKind := &e.scenario.CallKinds[i]
 		e.arrivalSchedule.Set(i, e.now.Add(e.randomInterval(callKind.Rate)))
 		e.addRequest(request{
 			callKind: i, node: e.random.IntN(len(e.nodes)), arrivedAt: e.now, deadline: e.now.Add(callKind.Deadline.Duration()), retriesLeft: callKind.Retries,
@@ -50,9 +50,9 @@
 // startNestedCall has a job make a request at the node beside its target. The
 // request ends with the job's deadline at the latest and is never retried.
 func (e *Emulator) startNestedCall(id carobjobid.ID, parentJob *job) {
-	callKind := &e.scenario.Kinds[parentJob.callKind]
-	for i := range e.scenario.Kinds {
-		if called := &e.scenario.Kinds[i]; called.Name == callKind.Calls {
+	callKind := &e.scenario.CallKinds[parentJob.callKind]
+	for i := range e.scenario.CallKinds {
+		if called := &e.scenario.CallKinds[i]; called.Name == callKind.NestedKind {
 			deadline := carobinstant.Earlier(parentJob.deadline, e.now.Add(called.Deadline.Duration()))
 			e.addRequest(request{callKind: i, node: parentJob.node, arrivedAt: e.now, deadline: deadline, parent: id})
 		}
@@ -111,7 +111,7 @@
 // scheduleRetry schedules a retry if the request allows one, and reports whether it
 // does. A request that is not idempotent is retried only if its call did not run.
 func (e *Emulator) scheduleRetry(id uint64, request *request, conclusion carobconclusion.Conclusion, status int) bool {
-	idempotent := e.scenario.Kinds[request.callKind].Once == carobguarantee.Idempotent
+	idempotent := e.scenario.CallKinds[request.callKind].Once == carobguarantee.Idempotent
 	timeLeft := request.deadline.Sub(e.now)
 	if request.retriesLeft == 0 || timeLeft <= 0 || status == http.StatusOK || !idempotent && (conclusion.Kind == carobkind.None || !conclusion.Kind.NotRun()) {
 		return false
--- a/internal/carobemulator/emulator.go
+++ b/internal/carobemulator/emulator.go
@@ -88,9 +88,9 @@
 		jobs: carobtable.NewTable[carobjobid.ID, job](carobtable.Config{Limit: maxRows}), jobSchedule: carobschedule.NewSchedule[carobjobid.ID](),
 	}
 	var routes []carobroute.Route
-	for i := range e.scenario.Kinds {
-		callKind := &e.scenario.Kinds[i]
-		e.summaries = append(e.summaries, carobsummary.NewSummary(carobsummary.Config{Name: string(callKind.Name), Deadline: callKind.Slo.Duration()}))
+	for i := range e.scenario.CallKinds {
+		callKind := &e.scenario.CallKinds[i]
+		e.summaries = append(e.summaries, carobsummary.NewSummary(carobsummary.Config{Name: string(callKind.Name), Deadline: callKind.SLO.Duration()}))
 		routes = append(routes, route(c.Scenario, i))
 		if callKind.Rate > 0 {
 			e.arrivalSchedule.Set(i, startTime.Add(warmUp).Add(e.randomInterval(callKind.Rate)))
@@ -156,9 +156,9 @@
 	case from == to:
 		return 0
 	case e.nodes[from].self.Centre != e.nodes[to].self.Centre:
-		return e.scenario.Far.Duration()
+		return e.scenario.RemoteDelay.Duration()
 	default:
-		return e.scenario.Hop.Duration()
+		return e.scenario.LocalDelay.Duration()
 	}
 }
 
@@ -170,10 +170,10 @@
 
 // route returns the route of the call kind with index i. Each has its own host.
 func route(scenario carobscenario.Scenario, i int) carobroute.Route {
-	callKind := &scenario.Kinds[i]
+	callKind := &scenario.CallKinds[i]
 	return carobroute.Route{
-		Name: callKind.Name, Host: host(i), Prefix: "/", Guarantee: callKind.Once, Attempts: maxTries, Timeout: callKind.Timeout, SLO: callKind.Slo,
-		Priority: callKind.Rank, WeightedServices: weightedServices(callKind.Service),
+		Name: callKind.Name, Host: host(i), Prefix: "/", Guarantee: callKind.Once, Attempts: maxTries, Timeout: callKind.Timeout, SLO: callKind.SLO,
+		Priority: callKind.Priority, WeightedServices: weightedServices(callKind.Service),
 	}
 }
 
--- a/internal/carobemulator/emulator_test.go
+++ b/internal/carobemulator/emulator_test.go
@@ -46,8 +46,8 @@
 func TestRunRepeatsUnderItsSeed(t *testing.T) {
 	one, two, other := play(t, noisy(t), 1), play(t, noisy(t), 1), play(t, noisy(t), 2)
 	require.Equal(t, one["lookup"].Good, two["lookup"].Good)
-	require.Equal(t, one["lookup"].Latency, two["lookup"].Latency)
-	require.NotEqual(t, one["lookup"].Latency, other["lookup"].Latency)
+	require.Equal(t, one["lookup"].GoodLatency, two["lookup"].GoodLatency)
+	require.NotEqual(t, one["lookup"].GoodLatency, other["lookup"].GoodLatency)
 }
 
 // Guards against decisions that miss deadlines although no VM is slow and the load is
@@ -79,9 +79,9 @@
 // and few have an unknown outcome.
 func TestOverloadIsRefusedEarly(t *testing.T) {
 	scenario := noisy(t)
-	for i := range scenario.Kinds {
-		scenario.Kinds[i].Rate *= 4
-		scenario.Kinds[i].Retries = 0
+	for i := range scenario.CallKinds {
+		scenario.CallKinds[i].Rate *= 4
+		scenario.CallKinds[i].Retries = 0
 	}
 	for seed := range uint64(3) {
 		lookup := play(t, scenario, seed)["lookup"]
--- a/internal/carobemulator/target.go
+++ b/internal/carobemulator/target.go
@@ -45,12 +45,12 @@
 // on the target's VM. It draws the next slow period if the last one has ended.
 func (e *Emulator) slowness(target *target) float64 {
 	noise := e.scenario.Noise
-	if noise.Factor <= 1 || noise.Every <= 0 {
+	if noise.Factor <= 1 || noise.Interval <= 0 {
 		return 1
 	}
 	for target.slowUntil <= e.now {
-		target.slowFrom = max(target.slowUntil, startTime).Add(e.randomInterval(1 / (noise.Every - noise.Lasting).Duration().Seconds()))
-		target.slowUntil = target.slowFrom.Add(noise.Lasting.Duration()/2 + time.Duration(e.random.Int64N(int64(noise.Lasting)+1)))
+		target.slowFrom = max(target.slowUntil, startTime).Add(e.randomInterval(1 / (noise.Interval - noise.SlowPeriod).Duration().Seconds()))
+		target.slowUntil = target.slowFrom.Add(noise.SlowPeriod.Duration()/2 + time.Duration(e.random.Int64N(int64(noise.SlowPeriod)+1)))
 	}
 	if target.slowFrom <= e.now {
 		return noise.Factor
@@ -73,10 +73,10 @@
 		return
 	}
 	node.target.running++
-	callKind := &e.scenario.Kinds[request.callKind]
+	callKind := &e.scenario.CallKinds[request.callKind]
 	job := job{node: node.index, callKind: request.callKind, deadline: e.now.Add(start.TimeLeft), status: http.StatusOK}
-	if e.random.Float64() < float64(callKind.Share) {
-		job.callsLeft = callKind.Times
+	if e.random.Float64() < float64(callKind.NestedShare) {
+		job.callsLeft = callKind.NestedCalls
 	}
 	const minWorkFactor = 0.2
 	work := float64(callKind.Work) * max(minWorkFactor, 1+float64(callKind.Spread)*e.random.NormFloat64()) * e.slowness(&node.target)
--- a/internal/carobenroller/enroller.go
+++ b/internal/carobenroller/enroller.go
@@ -21,10 +21,10 @@
 
 // directory holds the newest member of each node, encoded.
 type directory interface {
-	// Enrol writes the member of a node.
-	Enrol(ctx context.Context, node carobnodeid.ID, member []byte) error
-	// Words returns the members of all nodes.
-	Words(ctx context.Context) ([][]byte, error)
+	// PutMember writes the member of a node.
+	PutMember(ctx context.Context, node carobnodeid.ID, member []byte) error
+	// Members returns the members of all nodes.
+	Members(ctx context.Context) ([][]byte, error)
 }
 
 // Config holds the parameters of the constructor.
@@ -115,12 +115,12 @@
 	e.mutex.Lock()
 	member := e.member
 	e.mutex.Unlock()
-	return e.config.Directory.Enrol(ctx, e.config.Node, member)
+	return e.config.Directory.PutMember(ctx, e.config.Node, member)
 }
 
 // read posts the members of all nodes as records of the stream of nodes.
 func (e *Enroller) read(ctx context.Context) error {
-	members, err := e.config.Directory.Words(ctx)
+	members, err := e.config.Directory.Members(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/carobentrance/entrance.go
+++ b/internal/carobentrance/entrance.go
@@ -38,7 +38,7 @@
 
 // querier runs a function on the control goroutine and waits for it.
 type querier interface {
-	Ask(ctx context.Context, query func(w *carobworld.World)) error
+	Query(ctx context.Context, query func(w *carobworld.World)) error
 }
 
 // Config holds the parameters of an Entrance.
@@ -181,7 +181,7 @@
 // profile, or 0 if the node has no profile of the service.
 func (e *Entrance) maxBufferedBody(service carobservice.Service) carobsize.Size {
 	var size carobsize.Size
-	_ = e.config.Control.Ask(context.Background(), func(w *carobworld.World) {
+	_ = e.config.Control.Query(context.Background(), func(w *carobworld.World) {
 		if profile := w.ProfileOf(service); profile != nil {
 			size = profile.BufferedBodyLimit
 		}
--- a/internal/carobentrance/listener.go
+++ b/internal/carobentrance/listener.go
@@ -91,7 +91,7 @@
 	if !ok || tcpConn.CloseWrite() != nil {
 		return
 	}
-	_ = tcpConn.SetReadDeadline(c.listener.timer.Wall().Add(lingerTimeout))
+	_ = tcpConn.SetReadDeadline(c.listener.timer.WallTime().Add(lingerTimeout))
 	_, _ = io.Copy(io.Discard, tcpConn)
 }
 
@@ -103,7 +103,7 @@
 		"%s: %s\r\n%s: %s\r\nRetry-After: %d\r\nContent-Length: %d\r\n\r\n%s",
 		kind.Status(), http.StatusText(kind.Status()), carobheader.Outcome, kind.Outcome(), carobheader.Kind, kind,
 		int(kind.RetryAfter()/time.Second), len(body), body)
-	_ = c.SetWriteDeadline(c.listener.timer.Wall().Add(lingerTimeout))
+	_ = c.SetWriteDeadline(c.listener.timer.WallTime().Add(lingerTimeout))
 	_, _ = io.WriteString(c.Conn, response)
 	c.linger.Store(true)
 	_ = c.Close()
--- a/internal/carobfollower/follower.go
+++ b/internal/carobfollower/follower.go
@@ -19,9 +19,9 @@
 
 // source provides the operator's route tables.
 type source interface {
-	// Routes returns the newest table as soon as there is one that it has not
+	// AwaitRoutes returns the newest table as soon as there is one that it has not
 	// returned before, or nil if none appears within wait.
-	Routes(ctx context.Context, wait time.Duration) (*carobroutetable.RouteTable, error)
+	AwaitRoutes(ctx context.Context, wait time.Duration) (*carobroutetable.RouteTable, error)
 }
 
 // Config holds the parameters of a poller.
@@ -132,7 +132,7 @@
 		wait = withJitter(f.meanWait)
 	}
 	f.mutex.Unlock()
-	routes, err := f.config.Source.Routes(inner, wait)
+	routes, err := f.config.Source.AwaitRoutes(inner, wait)
 	f.mutex.Lock()
 	f.cancel = nil
 	f.mutex.Unlock()
--- a/internal/carobfollower/follower_test.go
+++ b/internal/carobfollower/follower_test.go
@@ -25,7 +25,7 @@
 	table   *carobroutetable.RouteTable
 }
 
-func (s *stubSource) Routes(ctx context.Context, wait time.Duration) (*carobroutetable.RouteTable, error) {
+func (s *stubSource) AwaitRoutes(ctx context.Context, wait time.Duration) (*carobroutetable.RouteTable, error) {
 	s.reads <- wait
 	select {
 	case err := <-s.answers:
@@ -58,8 +58,8 @@
 	require.GreaterOrEqual(t, held, hold/2, "the store must hold a read that finds nothing")
 	require.LessOrEqual(t, held, hold*3/2, "a read must not be held longer than its jitter allows")
 	routeSource.answers <- nil
-	require.True(t, mailbox.Await(t.Context()))
-	require.Len(t, mailbox.Take().RouteTables, 1)
+	require.True(t, mailbox.AwaitTick(t.Context()))
+	require.Len(t, mailbox.TakeAll().RouteTables, 1)
 
 	// After two consecutive failures the store counts as unreadable, until a read
 	// succeeds.
@@ -67,13 +67,13 @@
 		<-routeSource.reads
 		routeSource.answers <- errors.New("refused")
 	}
-	require.True(t, mailbox.Await(t.Context()))
-	require.Equal(t, []bool{true}, mailbox.Take().StoreUnreadable)
+	require.True(t, mailbox.AwaitTick(t.Context()))
+	require.Equal(t, []bool{true}, mailbox.TakeAll().StoreUnreadable)
 	require.Contains(t, logged.LastEntry().Message, "cannot be read")
 	<-routeSource.reads
 	routeSource.answers <- nil
-	require.True(t, mailbox.Await(t.Context()))
-	require.Equal(t, []bool{false}, mailbox.Take().StoreUnreadable)
+	require.True(t, mailbox.AwaitTick(t.Context()))
+	require.Equal(t, []bool{false}, mailbox.TakeAll().StoreUnreadable)
 
 	// A read ends when the poller is disabled, and another one begins when it is
 	// enabled again.
--- a/internal/carobingress/ingress.go
+++ b/internal/carobingress/ingress.go
@@ -32,13 +32,13 @@
 
 // dialect decodes the requests and encodes the errors of a platform.
 type dialect interface {
-	// Arrival returns the fields of a request that the control goroutine needs. It
+	// ParseArrival returns the fields of a request that the control goroutine needs. It
 	// leaves only those headers in the request that the target is to receive.
-	Arrival(req *fasthttp.Request) (carobarrival.Arrival, error)
-	// Refuse fills in the response to a call that ended with an error. req is nil if
+	ParseArrival(req *fasthttp.Request) (carobarrival.Arrival, error)
+	// WriteRefusal fills in the response to a call that ended with an error. req is nil if
 	// no request could be read. after is the delay after which the caller may retry,
 	// or 0.
-	Refuse(resp *fasthttp.Response, req *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
+	WriteRefusal(resp *fasthttp.Response, req *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
 }
 
 // Config holds the parameters of an Ingress.
@@ -102,7 +102,7 @@
 func (i *Ingress) Handle(visit *carobvisit.Visit) {
 	req := visit.Request()
 	r := &responder{ingress: i, visit: visit}
-	arrival, err := i.config.Dialect.Arrival(req)
+	arrival, err := i.config.Dialect.ParseArrival(req)
 	if err != nil {
 		r.SendError(carobkind.Of(err), 0, err.Error())
 		return
@@ -129,7 +129,7 @@
 
 // Reject fills in the response to bytes that could not be read as a request.
 func (i *Ingress) Reject(resp *fasthttp.Response, err error) {
-	i.config.Dialect.Refuse(resp, nil, carobkind.Of(err), 0, err.Error())
+	i.config.Dialect.WriteRefusal(resp, nil, carobkind.Of(err), 0, err.Error())
 }
 
 // responder sends the result of a call to its caller.
@@ -155,6 +155,6 @@
 func (r *responder) SendError(kind carobkind.Kind, after time.Duration, detail string) {
 	resp := &fasthttp.Response{}
 	after = cmp.Or(after, kind.RetryAfter())
-	r.ingress.config.Dialect.Refuse(resp, r.visit.Request(), kind, after, detail)
+	r.ingress.config.Dialect.WriteRefusal(resp, r.visit.Request(), kind, after, detail)
 	r.visit.SendResponse(resp)
 }
--- a/internal/carobloader/call.go
+++ b/internal/carobloader/call.go
@@ -86,8 +86,8 @@
 	req := &fasthttp.Request{}
 	req.Header.SetMethod(fasthttp.MethodPost)
 	path := "/load"
-	if l.config.Answer > 0 {
-		path += "?size=" + strconv.FormatInt(int64(l.config.Answer), decimal) + "&seed=" + strconv.FormatUint(call.seed, decimal)
+	if l.config.AnswerSize > 0 {
+		path += "?size=" + strconv.FormatInt(int64(l.config.AnswerSize), decimal) + "&seed=" + strconv.FormatUint(call.seed, decimal)
 	}
 	req.SetRequestURI(path)
 	req.Header.SetHost(string(l.config.Service))
@@ -95,17 +95,17 @@
 	if call.keyed {
 		req.Header.Set(carobheader.Key, "load-"+strconv.FormatUint(call.seed, decimal))
 	}
-	if l.config.Size <= maxInMemory {
+	if l.config.RequestSize <= maxInMemory {
 		req.SetBodyRaw(l.requestBody(call).Bytes())
 	} else {
-		req.SetBodyStream(l.requestBody(call), int(l.config.Size))
+		req.SetBodyStream(l.requestBody(call), int(l.config.RequestSize))
 	}
 	return req
 }
 
 // requestBody returns the body of a call.
 func (l *Loader) requestBody(call call) *carobpattern.Pattern {
-	return carobpattern.NewPattern(carobpattern.Config{Seed: call.seed, Length: int64(l.config.Size)})
+	return carobpattern.NewPattern(carobpattern.Config{Seed: call.seed, Length: int64(l.config.RequestSize)})
 }
 
 // verify reads an answer to its end and reports whether it is complete and belongs
@@ -115,17 +115,17 @@
 		_, err := io.Copy(io.Discard, answer.Body)
 		return err == nil
 	}
-	if l.config.Answer == 0 && l.config.Size <= maxInMemory {
+	if l.config.AnswerSize == 0 && l.config.RequestSize <= maxInMemory {
 		got, err := io.ReadAll(answer.Body)
 		return err == nil && bytes.Equal(got, l.requestBody(call).Bytes())
 	}
 	if !l.uploadIntact(call, answer) {
 		return false
 	}
-	want := carobpattern.NewPattern(carobpattern.Config{Seed: call.seed, Length: int64(l.config.Answer)})
+	want := carobpattern.NewPattern(carobpattern.Config{Seed: call.seed, Length: int64(l.config.AnswerSize)})
 	got, length, err := carobpattern.Sum(answer.Body)
 	expected, _, _ := carobpattern.Sum(want)
-	return err == nil && length == int64(l.config.Answer) && got == expected
+	return err == nil && length == int64(l.config.AnswerSize) && got == expected
 }
 
 // uploadIntact reports whether the target received the whole body, by the checksum
--- a/internal/carobloader/loader.go
+++ b/internal/carobloader/loader.go
@@ -35,18 +35,18 @@
 	Service carobservice.Service
 	// Rate is the mean number of calls a second; it is positive.
 	Rate float64
-	// Count and Duration end the load, whichever comes first; 0 is no limit.
-	Count    int
+	// MaxCalls and Duration end the load, whichever comes first; 0 is no limit.
+	MaxCalls    int
 	Duration time.Duration
-	// Skip is the warm-up at the start, during which calls are sent but not counted.
-	Skip time.Duration
+	// Warmup is the warm-up at the start, during which calls are sent but not counted.
+	Warmup time.Duration
 	// Seed seeds the random arrivals, nodes, keys and bodies.
 	Seed uint64
-	// Size is the length of each request's body; Answer that of each answer's body, or
+	// RequestSize is the length of each request's body; AnswerSize that of each answer's body, or
 	// 0 if targets return the request's body.
-	Size, Answer carobsize.Size
-	// Keys is the share of calls with an idempotency key.
-	Keys carobshare.Share
+	RequestSize, AnswerSize carobsize.Size
+	// KeyShare is the share of calls with an idempotency key.
+	KeyShare carobshare.Share
 	// Deadline is how long the caller of each call waits; it is positive.
 	Deadline time.Duration
 	// Timer is the clock and the timer of the load.
@@ -88,7 +88,7 @@
 func (l *Loader) Run(ctx context.Context) *carobsummary.Summary {
 	defer l.pool.Close()
 	start := l.config.Timer.Now()
-	countFrom := start.Add(l.config.Skip)
+	countFrom := start.Add(l.config.Warmup)
 	next := start
 	for sent := 0; l.continues(sent, next.Sub(start)); sent++ {
 		next = next.Add(time.Duration(l.random.ExpFloat64() / l.config.Rate * float64(time.Second)))
@@ -106,7 +106,7 @@
 
 // continues reports whether the load continues after the given number of calls and time.
 func (l *Loader) continues(sent int, elapsed time.Duration) bool {
-	if l.config.Count > 0 && sent >= l.config.Count {
+	if l.config.MaxCalls > 0 && sent >= l.config.MaxCalls {
 		return false
 	}
 	return l.config.Duration <= 0 || elapsed < l.config.Duration
@@ -131,6 +131,6 @@
 		scheduledAt: at,
 		seed:        l.random.Uint64() >> 1,
 		node:        l.config.Nodes[l.random.IntN(len(l.config.Nodes))],
-		keyed:       l.random.Float64() < float64(l.config.Keys),
+		keyed:       l.random.Float64() < float64(l.config.KeyShare),
 	}
 }
--- a/internal/carobmailbox/mailbox.go
+++ b/internal/carobmailbox/mailbox.go
@@ -28,19 +28,19 @@
 	m.mu.Lock()
 	write(&m.inbox)
 	m.mu.Unlock()
-	m.Ring()
+	m.RequestTick()
 }
 
-// Ring makes a tick due even if there are no messages. It never blocks.
-func (m *Mailbox) Ring() {
+// RequestTick makes a tick due even if there are no messages. It never blocks.
+func (m *Mailbox) RequestTick() {
 	select {
 	case m.tickDue <- struct{}{}:
 	default:
 	}
 }
 
-// Await waits until a tick is due. It returns false if ctx has ended.
-func (m *Mailbox) Await(ctx context.Context) bool {
+// AwaitTick waits until a tick is due. It returns false if ctx has ended.
+func (m *Mailbox) AwaitTick(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -49,8 +49,8 @@
 	}
 }
 
-// Take removes and returns all messages.
-func (m *Mailbox) Take() carobinbox.Inbox {
+// TakeAll removes and returns all messages.
+func (m *Mailbox) TakeAll() carobinbox.Inbox {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	inbox := m.inbox
--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -52,29 +52,29 @@
 	// interface and log.
 	Dialect dialect
 	Store   store
-	// Beside describes a target that may already run on the VM; a health check finds out
+	// LocalTarget describes a target that may already run on the VM; a health check finds out
 	// its name and slots. No health check is sent if the address is empty.
-	Beside carobannouncement.Announcement
+	LocalTarget carobannouncement.Announcement
 }
 
 // dialect is the HTTP interface to a platform's callers and targets. The interfaces
 // of the same name in carobingress and carobadmitter describe the methods.
 type dialect interface {
-	Arrival(req *fasthttp.Request) (carobarrival.Arrival, error)
-	Refuse(resp *fasthttp.Response, req *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
-	Ask(req *fasthttp.Request, start *carobstart.Start, target carobtargetid.ID)
-	Check(req *fasthttp.Request, address carobaddress.Address)
-	Identity(resp *fasthttp.Response) (carobname.Name, int)
-	Mine(req *fasthttp.Request, resp *fasthttp.Response) bool
-	Judge(resp *fasthttp.Response) (carobkind.Kind, *carobtargetload.TargetLoad)
+	ParseArrival(req *fasthttp.Request) (carobarrival.Arrival, error)
+	WriteRefusal(resp *fasthttp.Response, req *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
+	PrepareRequest(req *fasthttp.Request, start *carobstart.Start, target carobtargetid.ID)
+	PrepareHealthCheck(req *fasthttp.Request, address carobaddress.Address)
+	ParseIdentity(resp *fasthttp.Response) (carobname.Name, int)
+	MatchesRequest(req *fasthttp.Request, resp *fasthttp.Response) bool
+	Classify(resp *fasthttp.Response) (carobkind.Kind, *carobtargetload.TargetLoad)
 }
 
 // store keeps a platform's route tables, and the descriptions by which nodes find each
 // other.
 type store interface {
-	Routes(ctx context.Context, wait time.Duration) (*carobroutetable.RouteTable, error)
-	Enrol(ctx context.Context, node carobnodeid.ID, member []byte) error
-	Words(ctx context.Context) ([][]byte, error)
+	AwaitRoutes(ctx context.Context, wait time.Duration) (*carobroutetable.RouteTable, error)
+	PutMember(ctx context.Context, node carobnodeid.ID, member []byte) error
+	Members(ctx context.Context) ([][]byte, error)
 }
 
 // callServer receives the calls of callers.
@@ -161,20 +161,20 @@
 	return n, nil
 }
 
-// Call returns the address at which the node receives calls.
-func (n *Node) Call() carobaddress.Address {
+// CallAddress returns the address at which the node receives calls.
+func (n *Node) CallAddress() carobaddress.Address {
 	return carobaddress.Address(n.callListener.Addr().String())
 }
 
-// Peer returns the address at which the node receives attempts and control messages
+// PeerAddress returns the address at which the node receives attempts and control messages
 // of other nodes.
-func (n *Node) Peer() carobaddress.Address {
+func (n *Node) PeerAddress() carobaddress.Address {
 	return carobaddress.Address(n.peerListener.Addr().String())
 }
 
-// Admin returns the address at which the node receives the announcements of the VM's
+// AdminAddress returns the address at which the node receives the announcements of the VM's
 // own targets and the requests of operators.
-func (n *Node) Admin() carobaddress.Address {
+func (n *Node) AdminAddress() carobaddress.Address {
 	return carobaddress.Address(n.adminListener.Addr().String())
 }
 
@@ -184,13 +184,13 @@
 	do.MustInvoke[*carobmailbox.Mailbox](n.injector).Post(func(inbox *carobinbox.Inbox) {
 		inbox.Announcements = append(inbox.Announcements, announcement)
 	})
-	return do.MustInvoke[*carobcontrol.Control](n.injector).Ask(ctx, func(*carobworld.World) {})
+	return do.MustInvoke[*carobcontrol.Control](n.injector).Query(ctx, func(*carobworld.World) {})
 }
 
 // Ready reports whether the node has a route table and is not shutting down.
 func (n *Node) Ready(ctx context.Context) bool {
 	ready := false
-	err := do.MustInvoke[*carobcontrol.Control](n.injector).Ask(ctx, func(world *carobworld.World) {
+	err := do.MustInvoke[*carobcontrol.Control](n.injector).Query(ctx, func(world *carobworld.World) {
 		ready = world.RouteTable != nil && !n.leaving.Load()
 	})
 	return err == nil && ready
@@ -203,11 +203,11 @@
 	n.attachParts(runCtx)
 	n.startBackground(runCtx)
 	failed := n.startServers(runCtx)
-	if n.config.Beside.Address != "" {
+	if n.config.LocalTarget.Address != "" {
 		go n.discoverTarget(runCtx)
 	}
 	n.config.Logger.WithFields(logrus.Fields{
-		"node": n.config.Settings.Name, "call": n.Call(), "peer": n.Peer(), "admin": n.Admin(),
+		"node": n.config.Settings.Name, "call": n.CallAddress(), "peer": n.PeerAddress(), "admin": n.AdminAddress(),
 	}).Info("node: started")
 	select {
 	case err := <-failed:
@@ -220,7 +220,7 @@
 
 // discoverTarget identifies and announces the target that may already run on the VM.
 func (n *Node) discoverTarget(ctx context.Context) {
-	if err := do.MustInvoke[*carobadmitter.Admitter](n.injector).Meet(ctx, n.config.Beside); err != nil {
+	if err := do.MustInvoke[*carobadmitter.Admitter](n.injector).Discover(ctx, n.config.LocalTarget); err != nil {
 		n.config.Logger.WithError(err).Info("target: could not be identified before its own announcement")
 	}
 }
@@ -228,29 +228,29 @@
 // attachParts connects the control goroutine to the parts that carry out its effects.
 func (n *Node) attachParts(ctx context.Context) {
 	control := do.MustInvoke[*carobcontrol.Control](n.injector)
-	control.Attach(do.MustInvoke[*carobadmitter.Admitter](n.injector))
-	control.Attach(do.MustInvoke[callServer](n.injector))
-	control.Attach(do.MustInvoke[*carobtransport.Transport](n.injector))
-	control.Attach(do.MustInvoke[*carobmeter.Meter](n.injector))
-	control.Attach(do.MustInvoke[*carobeventlog.EventLog](n.injector))
+	control.AddExecutor(do.MustInvoke[*carobadmitter.Admitter](n.injector))
+	control.AddExecutor(do.MustInvoke[callServer](n.injector))
+	control.AddExecutor(do.MustInvoke[*carobtransport.Transport](n.injector))
+	control.AddExecutor(do.MustInvoke[*carobmeter.Meter](n.injector))
+	control.AddExecutor(do.MustInvoke[*carobeventlog.EventLog](n.injector))
 	if n.config.Store != nil {
-		control.Attach(do.MustInvoke[*carobenroller.Enroller](n.injector))
-		control.Attach(do.MustInvoke[*carobfollower.Follower](n.injector))
+		control.AddExecutor(do.MustInvoke[*carobenroller.Enroller](n.injector))
+		control.AddExecutor(do.MustInvoke[*carobfollower.Follower](n.injector))
 	} else {
 		n.attachLog(ctx, control)
 	}
-	control.Attach(n)
+	control.AddExecutor(n)
 }
 
 // attachLog connects the control goroutine to the parts that write to the log.
 func (n *Node) attachLog(ctx context.Context, control *carobcontrol.Control) {
-	control.Attach(carobclaimlog.NewClaimLog(ctx, carobclaimlog.Config{
+	control.AddExecutor(carobclaimlog.NewClaimLog(ctx, carobclaimlog.Config{
 		Log:     do.MustInvoke[*carobplatform.Client](n.injector),
 		Mailbox: do.MustInvoke[*carobmailbox.Mailbox](n.injector),
 		Timer:   do.MustInvoke[*carobtimer.Timer](n.injector),
 		Logger:  logrus.NewEntry(n.config.Logger),
 	}))
-	control.Attach(do.MustInvoke[*carobtracewriter.TraceWriter](n.injector))
+	control.AddExecutor(do.MustInvoke[*carobtracewriter.TraceWriter](n.injector))
 }
 
 // startBackground starts the goroutines that run beside the servers.
@@ -283,8 +283,8 @@
 		}
 	}
 	go start("calls", do.MustInvoke[callServer](n.injector).Serve, n.callListener)
-	go start("attempts", do.MustInvoke[*attemptServer](n.injector).Serve, splitter.Calls)
-	go start("control messages", do.MustInvoke[*carobtransport.Transport](n.injector).Serve, splitter.Control)
+	go start("attempts", do.MustInvoke[*attemptServer](n.injector).Serve, splitter.AttemptListener)
+	go start("control messages", do.MustInvoke[*carobtransport.Transport](n.injector).Serve, splitter.ControlListener)
 	go start("admin", do.MustInvoke[*carobadmin.Admin](n.injector).Serve, n.adminListener)
 	return failed
 }
--- a/internal/carobnode/path_test.go
+++ b/internal/carobnode/path_test.go
@@ -42,7 +42,7 @@
 	for _, run := range []struct {
 		name    string
 		address carobaddress.Address
-	}{{"direct", carobaddress.Address(target)}, {"one-node", targetNode.Call()}, {"two-nodes", entryNode.Call()}} {
+	}{{"direct", carobaddress.Address(target)}, {"one-node", targetNode.CallAddress()}, {"two-nodes", entryNode.CallAddress()}} {
 		b.Run(run.name, func(b *testing.B) { measure(b, timer, string(run.address)) })
 	}
 }
@@ -131,7 +131,7 @@
 // the caller repeats the announcement.
 func announce(node *Node, target string) {
 	body := fmt.Sprintf(`{"address": %q, "profile": "lookups", "slots": 12, "conns": 100, "state": "ready"}`, target)
-	req, err := http.NewRequest(http.MethodPut, "http://"+string(node.Admin())+"/targets/lookups/a", strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPut, "http://"+string(node.AdminAddress())+"/targets/lookups/a", strings.NewReader(body))
 	if err != nil {
 		return
 	}
--- a/internal/carobnode/providers.go
+++ b/internal/carobnode/providers.go
@@ -32,10 +32,10 @@
 	do.ProvideValue(injector, carobmailbox.NewMailbox())
 	do.ProvideValue(injector, carobmeter.NewMeter())
 	do.Provide(injector, func(injector do.Injector) (carobmember.Member, error) {
-		startTime := do.MustInvoke[*carobtimer.Timer](injector).Wall()
+		startTime := do.MustInvoke[*carobtimer.Timer](injector).WallTime()
 		return carobmember.Member{
 			Node: settings.Name, Incarnation: carobincarnation.Incarnation(startTime.UnixNano()), //nolint:gosec // the year is past 1970
-			Region: settings.Region, Centre: settings.Centre, PeerAddress: cmp.Or(settings.Public, n.Peer()),
+			Region: settings.Region, Centre: settings.Centre, PeerAddress: cmp.Or(settings.Public, n.PeerAddress()),
 		}, nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobcore.Core, error) {
@@ -73,7 +73,7 @@
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobsplitter.Splitter, error) {
 		return carobsplitter.NewSplitter(carobsplitter.Config{
-			Listener: n.peerListener, Timer: do.MustInvoke[*carobtimer.Timer](injector), Patience: protocolDetectionTimeout,
+			Listener: n.peerListener, Timer: do.MustInvoke[*carobtimer.Timer](injector), DetectionTimeout: protocolDetectionTimeout,
 		}), nil
 	})
 	do.Provide(injector, func(do.Injector) (*carobplatform.Client, error) {
--- a/internal/carobnode/traffic_providers.go
+++ b/internal/carobnode/traffic_providers.go
@@ -56,7 +56,7 @@
 			StallTimeout: settings.Limits.StallTimeout.Duration(),
 		}
 		if n.config.Dialect != nil {
-			poolConfig.MaxReuseAge, poolConfig.KeepAliveInterval, poolConfig.AllowCloseDelimited, poolConfig.MatchesRequest = maxReuseAge, keepAliveInterval, true, n.config.Dialect.Mine
+			poolConfig.MaxReuseAge, poolConfig.KeepAliveInterval, poolConfig.AllowCloseDelimited, poolConfig.MatchesRequest = maxReuseAge, keepAliveInterval, true, n.config.Dialect.MatchesRequest
 			admitterConfig.Dialect, admitterConfig.Gather = n.config.Dialect, maxBufferedResponse
 		}
 		admitterConfig.TargetClient = carobpool.NewPool(poolConfig)
@@ -93,8 +93,8 @@
 	do.Provide(injector, func(injector do.Injector) (*attemptServer, error) {
 		return &attemptServer{Server: &fasthttp.Server{
 			Handler:              do.MustInvoke[*carobadmitter.Admitter](injector).Serve,
-			ExpectHandler:        do.MustInvoke[*carobadmitter.Admitter](injector).Expect,
-			ErrorHandler:         do.MustInvoke[*carobadmitter.Admitter](injector).Fail,
+			ExpectHandler:        do.MustInvoke[*carobadmitter.Admitter](injector).HandleExpect,
+			ErrorHandler:         do.MustInvoke[*carobadmitter.Admitter](injector).HandleError,
 			ReadBufferSize:       peerHeaderSpace + int(settings.Limits.HeaderSize),
 			MaxRequestBodySize:   math.MaxInt,
 			ReadTimeout:          settings.Limits.HeaderTimeout.Duration(),
--- a/internal/carobpool/exchange.go
+++ b/internal/carobpool/exchange.go
@@ -303,6 +303,6 @@
 
 func (s *bodyWriter) Write(data []byte) (int, error) {
 	config := s.exchange.config
-	_ = s.exchange.conn.SetWriteDeadline(config.Timer.Wall().Add(config.StallTimeout))
+	_ = s.exchange.conn.SetWriteDeadline(config.Timer.WallTime().Add(config.StallTimeout))
 	return s.exchange.conn.writer.Write(data)
 }
--- a/internal/carobpool/pool.go
+++ b/internal/carobpool/pool.go
@@ -144,7 +144,7 @@
 // deadline as it is while buffered bytes are left, since reading those cannot block.
 func (c *pooledConn) extendReadDeadline(config Config) {
 	if c.reader.Buffered() == 0 {
-		_ = c.SetReadDeadline(config.Timer.Wall().Add(config.StallTimeout))
+		_ = c.SetReadDeadline(config.Timer.WallTime().Add(config.StallTimeout))
 	}
 }
 
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -22,10 +22,10 @@
 type Scenario struct {
 	// Centres are the data centres; at least one.
 	Centres []carobcentre.Centre `json:"centres"`
-	// Hop is the network delay between two VMs of one data centre, and Far that between
+	// LocalDelay is the network delay between two VMs of one data centre, and Far that between
 	// two data centres.
-	Hop carobduration.Duration `json:"hop"`
-	Far carobduration.Duration `json:"far"`
+	LocalDelay carobduration.Duration `json:"hop"`
+	RemoteDelay carobduration.Duration `json:"far"`
 	// Noise is the effect of noisy neighbours on the VMs.
 	Noise noise `json:"noise"`
 	// Measure, Retries and Profile are settings of the nodes; one profile holds for all
@@ -35,8 +35,8 @@
 	Profile carobprofile.Profile         `json:"profile"`
 	// Services has at least one element.
 	Services []service `json:"services"`
-	// Kinds has at least one element. A kind must precede those that name it in Calls.
-	Kinds []callKind `json:"kinds"`
+	// CallKinds has at least one element. A kind must precede those that name it in Calls.
+	CallKinds []callKind `json:"kinds"`
 }
 
 // noise describes the slow periods of VMs.
@@ -44,10 +44,10 @@
 	// Factor multiplies the time of work that starts in a slow period; values up to 1
 	// mean no noise.
 	Factor float64 `json:"factor"`
-	// Every is the mean time from the start of one slow period to the start of the
-	// next, and Lasting their mean length. Every of 0 means no noise.
-	Every   carobduration.Duration `json:"every"`
-	Lasting carobduration.Duration `json:"lasting"`
+	// Interval is the mean time from the start of one slow period to the start of the
+	// next, and Lasting their mean length. Interval of 0 means no noise.
+	Interval   carobduration.Duration `json:"every"`
+	SlowPeriod carobduration.Duration `json:"lasting"`
 }
 
 // service is a service and its targets.
@@ -70,22 +70,22 @@
 	// deviation as a share of the mean.
 	Work   carobduration.Duration `json:"work"`
 	Spread carobshare.Share       `json:"spread"`
-	// Slo is the latency objective, Timeout the limit that the operator sets, and
+	// SLO is the latency objective, Timeout the limit that the operator sets, and
 	// Deadline the time after which callers give up.
-	Slo      carobduration.Duration   `json:"slo"`
+	SLO      carobduration.Duration   `json:"slo"`
 	Timeout  carobduration.Duration   `json:"timeout"`
 	Deadline carobduration.Duration   `json:"deadline"`
 	Once     carobguarantee.Guarantee `json:"once"`
-	// Rank is the priority, 0 the highest.
-	Rank int `json:"rank"`
+	// Priority is the priority, 0 the highest.
+	Priority int `json:"rank"`
 	// Retries is the number of times that a caller retries a failed call.
 	Retries int `json:"retries"`
-	// Calls is the kind of the nested calls that a target makes while it runs a call of
+	// NestedKind is the kind of the nested calls that a target makes while it runs a call of
 	// this kind; empty if it makes none. Times is their number, one after the other, and
 	// Share the share of runs that make them.
-	Calls carobname.Name   `json:"calls"`
-	Times int              `json:"times"`
-	Share carobshare.Share `json:"share"`
+	NestedKind carobname.Name   `json:"calls"`
+	NestedCalls int              `json:"times"`
+	NestedShare carobshare.Share `json:"share"`
 }
 
 // NewScenario returns the defaults, without services and kinds.
@@ -123,7 +123,7 @@
 // Check returns an error of kind Invalid if a part is missing, out of its bounds, or
 // refers to a service or kind that is not defined.
 func (s *Scenario) Check() error {
-	if len(s.Centres) == 0 || len(s.Services) == 0 || len(s.Kinds) == 0 {
+	if len(s.Centres) == 0 || len(s.Services) == 0 || len(s.CallKinds) == 0 {
 		return carobkind.New(carobkind.Invalid, "centres, services and kinds must not be empty")
 	}
 	if err := s.Profile.Check(); err != nil {
@@ -137,11 +137,11 @@
 		}
 		services[service.Name] = true
 	}
-	for i := range s.Kinds {
-		if err := s.Kinds[i].check(services, kinds); err != nil {
+	for i := range s.CallKinds {
+		if err := s.CallKinds[i].check(services, kinds); err != nil {
 			return err
 		}
-		kinds[s.Kinds[i].Name] = true
+		kinds[s.CallKinds[i].Name] = true
 	}
 	return nil
 }
@@ -151,11 +151,11 @@
 	switch {
 	case !services[k.Service]:
 		return carobkind.New(carobkind.Invalid, "kind %s: there is no service %q", k.Name, k.Service)
-	case k.Calls != "" && !before[k.Calls]:
-		return carobkind.New(carobkind.Invalid, "kind %s: no kind %q comes before it", k.Name, k.Calls)
-	case k.Work <= 0 || k.Slo <= 0 || k.Timeout <= 0 || k.Deadline <= 0:
+	case k.NestedKind != "" && !before[k.NestedKind]:
+		return carobkind.New(carobkind.Invalid, "kind %s: no kind %q comes before it", k.Name, k.NestedKind)
+	case k.Work <= 0 || k.SLO <= 0 || k.Timeout <= 0 || k.Deadline <= 0:
 		return carobkind.New(carobkind.Invalid, "kind %s: work, slo, timeout and deadline must be above 0s", k.Name)
-	case k.Rate < 0 || k.Retries < 0 || k.Times < 0:
+	case k.Rate < 0 || k.Retries < 0 || k.NestedCalls < 0:
 		return carobkind.New(carobkind.Invalid, "kind %s: rate, retries and times must not be below 0", k.Name)
 	}
 	return nil
--- a/internal/carobserver/conn.go
+++ b/internal/carobserver/conn.go
@@ -78,7 +78,7 @@
 		return false
 	}
 	config := &c.server.config
-	_ = c.SetReadDeadline(config.Timer.Wall().Add(config.HeaderTimeout))
+	_ = c.SetReadDeadline(config.Timer.WallTime().Add(config.HeaderTimeout))
 	req := &fasthttp.Request{}
 	req.Header.SetNoDefaultContentType(true)
 	if err := req.Header.Read(c.reader); err != nil {
@@ -129,7 +129,7 @@
 // held.
 func (c *conn) setIdleDeadline() {
 	if len(c.pending) == 0 {
-		_ = c.SetReadDeadline(c.server.config.Timer.Wall().Add(c.server.config.IdleTimeout))
+		_ = c.SetReadDeadline(c.server.config.Timer.WallTime().Add(c.server.config.IdleTimeout))
 		return
 	}
 	_ = c.SetReadDeadline(time.Time{})
@@ -150,7 +150,7 @@
 	if req.Header.ContentLength() == 0 {
 		return nil
 	}
-	_ = c.SetReadDeadline(config.Timer.Wall().Add(config.StallTimeout))
+	_ = c.SetReadDeadline(config.Timer.WallTime().Add(config.StallTimeout))
 	if err := req.ContinueReadBody(c.reader, int(config.MaxBody), false); err != nil {
 		return readError(err)
 	}
@@ -231,7 +231,7 @@
 
 // ExtendDeadline extends the write deadline by Config.Stall.
 func (c *conn) ExtendDeadline() {
-	_ = c.SetWriteDeadline(c.server.config.Timer.Wall().Add(c.server.config.StallTimeout))
+	_ = c.SetWriteDeadline(c.server.config.Timer.WallTime().Add(c.server.config.StallTimeout))
 }
 
 // Remove removes an answered request. If complete is false, the answer could not be
@@ -249,7 +249,7 @@
 	case !complete:
 		_ = c.Close()
 	case c.closing && len(c.pending) == 0:
-		_ = c.SetReadDeadline(c.server.config.Timer.Wall())
+		_ = c.SetReadDeadline(c.server.config.Timer.WallTime())
 	default:
 		c.setIdleDeadline()
 	}
@@ -266,7 +266,7 @@
 	defer c.mutex.Unlock()
 	c.closing = true
 	if len(c.pending) == 0 {
-		_ = c.SetReadDeadline(c.server.config.Timer.Wall())
+		_ = c.SetReadDeadline(c.server.config.Timer.WallTime())
 	}
 }
 
@@ -285,7 +285,7 @@
 	if !ok || tcpConn.CloseWrite() != nil {
 		return
 	}
-	_ = tcpConn.SetReadDeadline(c.server.config.Timer.Wall().Add(lingerTimeout))
+	_ = tcpConn.SetReadDeadline(c.server.config.Timer.WallTime().Add(lingerTimeout))
 	_, _ = io.Copy(io.Discard, tcpConn)
 }
 
--- a/internal/carobsplitter/splitter.go
+++ b/internal/carobsplitter/splitter.go
@@ -22,24 +22,24 @@
 	// Listener accepts the connections at the peer address.
 	Listener net.Listener
 	Timer    *carobtimer.Timer
-	// Patience is how long a new connection may take to send its first bytes. It is closed
+	// DetectionTimeout is how long a new connection may take to send its first bytes. It is closed
 	// afterwards.
-	Patience time.Duration
+	DetectionTimeout time.Duration
 }
 
 // Splitter accepts connections and passes each to the listener of its protocol.
 type Splitter struct {
 	config Config
-	// Calls accepts the connections for attempts, which use HTTP/1.1.
-	Calls net.Listener
-	// Control accepts the connections for control messages, which use HTTP/2.
-	Control net.Listener
+	// AttemptListener accepts the connections for attempts, which use HTTP/1.1.
+	AttemptListener net.Listener
+	// ControlListener accepts the connections for control messages, which use HTTP/2.
+	ControlListener net.Listener
 }
 
 // NewSplitter returns a splitter. It accepts no connections before Run.
 func NewSplitter(c Config) *Splitter {
 	address := c.Listener.Addr()
-	return &Splitter{config: c, Calls: newQueueListener(address), Control: newQueueListener(address)}
+	return &Splitter{config: c, AttemptListener: newQueueListener(address), ControlListener: newQueueListener(address)}
 }
 
 // Run accepts connections until ctx ends or the listener fails, and then closes Calls
@@ -47,7 +47,7 @@
 func (s *Splitter) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = s.config.Listener.Close() })
 	defer stop()
-	defer func() { _, _ = s.Calls.Close(), s.Control.Close() }()
+	defer func() { _, _ = s.AttemptListener.Close(), s.ControlListener.Close() }()
 	for {
 		conn, err := s.config.Listener.Accept()
 		if err != nil {
@@ -61,16 +61,16 @@
 // listener for it. It closes a connection that does not send enough bytes in time.
 func (s *Splitter) dispatch(conn net.Conn) {
 	reader := bufio.NewReader(conn)
-	_ = conn.SetReadDeadline(s.config.Timer.Wall().Add(s.config.Patience))
+	_ = conn.SetReadDeadline(s.config.Timer.WallTime().Add(s.config.DetectionTimeout))
 	firstBytes, err := reader.Peek(len(preface))
 	if err != nil {
 		_ = conn.Close()
 		return
 	}
 	_ = conn.SetReadDeadline(time.Time{})
-	listener := s.Calls
+	listener := s.AttemptListener
 	if string(firstBytes) == preface {
-		listener = s.Control
+		listener = s.ControlListener
 	}
 	listener.(*queueListener).put(&bufferedConn{Conn: conn, reader: reader}) //nolint:forcetypeassert // made by NewSplitter
 }
--- a/internal/carobsummary/summary.go
+++ b/internal/carobsummary/summary.go
@@ -42,16 +42,16 @@
 	// Failed counts errors of targets (status 500 and above) that nodes forwarded as
 	// answers.
 	Failed int `json:"failed"`
-	// Kinds counts the error kinds that nodes returned.
-	Kinds map[carobkind.Kind]int `json:"kinds"`
-	// Took is the time during which the counted calls were scheduled to arrive.
-	Took carobduration.Duration `json:"took"`
-	// Latency holds quantiles of the latency of good calls, from their scheduled
+	// ErrorKinds counts the error kinds that nodes returned.
+	ErrorKinds map[carobkind.Kind]int `json:"kinds"`
+	// Duration is the time during which the counted calls were scheduled to arrive.
+	Duration carobduration.Duration `json:"took"`
+	// GoodLatency holds quantiles of the latency of good calls, from their scheduled
 	// arrival.
-	Latency quantiles `json:"latency"`
-	// Felt holds quantiles of the latency of all calls. A call without a good answer
+	GoodLatency quantiles `json:"latency"`
+	// EffectiveLatency holds quantiles of the latency of all calls. A call without a good answer
 	// counts with its deadline, or with its own latency if that is longer.
-	Felt quantiles `json:"felt"`
+	EffectiveLatency quantiles `json:"felt"`
 
 	deadline           time.Duration
 	mutex              sync.Mutex
@@ -73,7 +73,7 @@
 	const digits = 3
 	longest := (10 * time.Minute).Nanoseconds()
 	return &Summary{
-		Name: c.Name, Kinds: map[carobkind.Kind]int{}, deadline: c.Deadline,
+		Name: c.Name, ErrorKinds: map[carobkind.Kind]int{}, deadline: c.Deadline,
 		goodHistogram: hdrhistogram.New(1, longest, digits), effectiveHistogram: hdrhistogram.New(1, longest, digits),
 	}
 }
@@ -105,7 +105,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.Calls++
-	s.Kinds[kind]++
+	s.ErrorKinds[kind]++
 	if outcome == caroboutcome.NotRun {
 		s.NotRun++
 	} else {
@@ -124,13 +124,13 @@
 func (s *Summary) Close(duration time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.Took = carobduration.Duration(duration)
-	s.Latency, s.Felt = quantilesOf(s.goodHistogram), quantilesOf(s.effectiveHistogram)
+	s.Duration = carobduration.Duration(duration)
+	s.GoodLatency, s.EffectiveLatency = quantilesOf(s.goodHistogram), quantilesOf(s.effectiveHistogram)
 }
 
 // Goodput returns the number of good answers a second.
 func (s *Summary) Goodput() float64 {
-	return float64(s.Good) / max(s.Took.Duration().Seconds(), 1e-9)
+	return float64(s.Good) / max(s.Duration.Duration().Seconds(), 1e-9)
 }
 
 func quantilesOf(h *hdrhistogram.Histogram) quantiles {
@@ -148,7 +148,7 @@
 	for _, s := range summaries {
 		_, _ = fmt.Fprintf(writer, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%s\t%s\t%s\t%s\t\n",
 			s.Name, s.Calls, s.Good, s.Answered, s.NotRun, s.Unknown, s.Wrong, s.Failed, s.Goodput(),
-			Milliseconds(s.Latency.P50), Milliseconds(s.Latency.P99), Milliseconds(s.Latency.P999), Milliseconds(s.Latency.Max))
+			Milliseconds(s.GoodLatency.P50), Milliseconds(s.GoodLatency.P99), Milliseconds(s.GoodLatency.P999), Milliseconds(s.GoodLatency.Max))
 	}
 	_ = writer.Flush()
 }
--- a/internal/carobtimer/timer.go
+++ b/internal/carobtimer/timer.go
@@ -40,8 +40,8 @@
 	return carobinstant.Instant(t.start.UnixNano()).Add(time.Since(t.start))
 }
 
-// Wall returns the wall-clock time, for logs, traces and deadlines of connections.
-func (t *Timer) Wall() time.Time {
+// WallTime returns the wall-clock time, for logs, traces and deadlines of connections.
+func (t *Timer) WallTime() time.Time {
 	return time.Now()
 }
 
--- a/internal/carobtracewriter/writer.go
+++ b/internal/carobtracewriter/writer.go
@@ -114,7 +114,7 @@
 // audit logs an audit entry and, unless it is local, adds it to the audit stream.
 func (t *TraceWriter) audit(entry *carobaudit.Audit) {
 	if entry.When.IsZero() {
-		entry.When = t.config.Timer.Wall().UTC()
+		entry.When = t.config.Timer.WallTime().UTC()
 	}
 	t.config.Logger.WithFields(logrus.Fields{
 		"part": entry.Component, "who": entry.Who, "what": entry.What, "from": entry.From, "to": entry.To,
--- a/internal/carobtransport/cost_test.go
+++ b/internal/carobtransport/cost_test.go
@@ -79,8 +79,8 @@
 			message.Report = &carobreport.Report{Target: target, Running: 1 << 20, Queued: 1 << 20, Slots: 1 << 20, Latency: 1<<62 + 1}
 		}
 		transport.Execute(&caroboutbox.Outbox{Messages: []carobmessage.Message{message}})
-		ok := mailbox.Await(t.Context())
-		inbox := mailbox.Take()
+		ok := mailbox.AwaitTick(t.Context())
+		inbox := mailbox.TakeAll()
 		require.True(t, ok)
 		require.Len(t, inbox.Messages, 1)
 	}
--- a/internal/carobtransport/messages_test.go
+++ b/internal/carobtransport/messages_test.go
@@ -53,8 +53,8 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	ok := e.mailbox.Await(ctx)
-	inbox := e.mailbox.Take()
+	ok := e.mailbox.AwaitTick(ctx)
+	inbox := e.mailbox.TakeAll()
 	require.True(t, ok)
 	return inbox.Messages
 }
--- a/internal/carobtransport/transport.go
+++ b/internal/carobtransport/transport.go
@@ -93,7 +93,7 @@
 
 // Rejected returns how many received messages and requests were rejected because they
 // were invalid or could not be decoded.
-func (t *Transport) Rejected() uint64 { return t.broken.Load() + t.config.Codec.Broken() }
+func (t *Transport) Rejected() uint64 { return t.broken.Load() + t.config.Codec.DecodeErrors() }
 
 // Shutdown waits until all messages have been sent, stops receiving messages and
 // closes all connections. It stops waiting when ctx ends.
--- a/internal/carobupload/upload.go
+++ b/internal/carobupload/upload.go
@@ -166,7 +166,7 @@
 func (u *Upload) read(stream io.Reader, buf []byte) (int, error) {
 	u.readMutex.Lock()
 	defer u.readMutex.Unlock()
-	_ = u.config.Conn.SetReadDeadline(u.config.Timer.Wall().Add(u.config.StallTimeout))
+	_ = u.config.Conn.SetReadDeadline(u.config.Timer.WallTime().Add(u.config.StallTimeout))
 	u.reading.Store(true)
 	defer u.reading.Store(false)
 	if u.released.Load() {
--- a/test/nodepair_test.go
+++ b/test/nodepair_test.go
@@ -149,7 +149,7 @@
 	const timeout = 20 * time.Second
 	conn, err := net.Dial("tcp", np.near.addresses["call"])
 	require.NoError(t, err)
-	require.NoError(t, conn.SetDeadline(clock.Wall().Add(timeout)))
+	require.NoError(t, conn.SetDeadline(clock.WallTime().Add(timeout)))
 	t.Cleanup(func() { _ = conn.Close() })
 	return conn, bufio.NewReader(conn)
 }
--- a/test/request_test.go
+++ b/test/request_test.go
@@ -271,7 +271,7 @@
 	// Idle connections use up the limit of connections.
 	require.Eventually(t, func() bool {
 		conn, reader := pair.dial(t)
-		_ = conn.SetReadDeadline(clock.Wall().Add(50 * time.Millisecond))
+		_ = conn.SetReadDeadline(clock.WallTime().Add(50 * time.Millisecond))
 		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			return false
--- a/test/stream_test.go
+++ b/test/stream_test.go
@@ -106,7 +106,7 @@
 	require.NoError(t, err)
 	// The buffers of the kernel and the nodes accept some bytes; then writes block,
 	// until the write deadline.
-	require.NoError(t, conn.SetWriteDeadline(clock.Wall().Add(2*time.Second)))
+	require.NoError(t, conn.SetWriteDeadline(clock.WallTime().Add(2*time.Second)))
 	n, err := io.Copy(conn, randomBytes(largeBody))
 	release()
 	require.Error(t, err)
