--- a/internal/carobbehaviour/behaviour.go
+++ b/internal/carobbehaviour/behaviour.go
@@ -19,21 +19,21 @@
 	Sigma float64 `json:"sigma"`
 	// Alpha is the exponent of the bounded Pareto distribution, above 1.
 	Alpha float64 `json:"alpha"`
-	// Straggle multiplies the service time of each call; 1 has no effect.
-	Straggle float64 `json:"straggle"`
-	// Jump multiplies the service times of calls that start during a jump of load, which
+	// SlowFactor multiplies the service time of each call; 1 has no effect.
+	SlowFactor float64 `json:"straggle"`
+	// JumpFactor multiplies the service times of calls that start during a jump of load, which
 	// models a noisy neighbour.
-	Jump float64 `json:"jump"`
-	// Gap is the mean time between two jumps; 0 means no jumps.
-	Gap carobduration.Duration `json:"gap"`
-	// Shortest and Longest bound the length of a jump.
-	Shortest carobduration.Duration `json:"shortest"`
-	Longest  carobduration.Duration `json:"longest"`
-	// Cold is the duration of the warm-up, which starts with the target and again when
+	JumpFactor float64 `json:"jump"`
+	// JumpInterval is the mean time between two jumps; 0 means no jumps.
+	JumpInterval carobduration.Duration `json:"gap"`
+	// MinJump and Longest bound the length of a jump.
+	MinJump carobduration.Duration `json:"shortest"`
+	MaxJump  carobduration.Duration `json:"longest"`
+	// Warmup is the duration of the warm-up, which starts with the target and again when
 	// this field is set; 0 means none. The factor on service times falls linearly from
 	// Chill to 1 during the warm-up.
-	Cold  carobduration.Duration `json:"cold"`
-	Chill float64                `json:"chill"`
+	Warmup  carobduration.Duration `json:"cold"`
+	ColdFactor float64                `json:"chill"`
 	// Fail answers every call with status 500, almost at once.
 	Fail bool `json:"fail"`
 	// Shed answers every call with status 503 at once, without running it.
@@ -61,8 +61,8 @@
 		defaultFactor = 10
 	)
 	return Behaviour{
-		Shape: Fixed, Sigma: 1, Alpha: 1.5, Straggle: 1, Jump: defaultFactor, Chill: defaultFactor,
-		Shortest: 5 * milliseconds, Longest: 50 * milliseconds,
+		Shape: Fixed, Sigma: 1, Alpha: 1.5, SlowFactor: 1, JumpFactor: defaultFactor, ColdFactor: defaultFactor,
+		MinJump: 5 * milliseconds, MaxJump: 50 * milliseconds,
 	}
 }
 
@@ -88,9 +88,9 @@
 		return carobkind.New(carobkind.Invalid, "shape: %q is none of %q, %q and %q", b.Shape, Fixed, LogNormal, Pareto)
 	case b.Shape == Pareto && b.Alpha <= 1:
 		return carobkind.New(carobkind.Invalid, "alpha: must be above 1")
-	case b.Straggle <= 0 || b.Jump <= 0 || b.Chill <= 0 || b.Sigma < 0:
+	case b.SlowFactor <= 0 || b.JumpFactor <= 0 || b.ColdFactor <= 0 || b.Sigma < 0:
 		return carobkind.New(carobkind.Invalid, "straggle, jump and chill must be above 0, and sigma not below 0")
-	case b.Longest < b.Shortest:
+	case b.MaxJump < b.MinJump:
 		return carobkind.New(carobkind.Invalid, "longest: must not be shorter than shortest")
 	default:
 		return nil
--- a/internal/carobbench/bench.go
+++ b/internal/carobbench/bench.go
@@ -28,13 +28,13 @@
 	// Duration is how long calls are counted in each cell, before the case's
 	// durationFactor.
 	Duration time.Duration
-	// Mean is the mean time that a call takes on its target.
-	Mean time.Duration
-	// Measure is the limit of bytes a second that a node sends for probes and their
+	// MeanLatency is the mean time that a call takes on its target.
+	MeanLatency time.Duration
+	// ProbeRate is the limit of bytes a second that a node sends for probes and their
 	// answers.
-	Measure carobrate.Rate
-	// Limit is the time after which no further cell is started.
-	Limit time.Duration
+	ProbeRate carobrate.Rate
+	// TimeLimit is the time after which no further cell is started.
+	TimeLimit time.Duration
 	// Seed seeds the load and the service times of targets.
 	Seed uint64
 	// Out receives a line for each cell and the tables.
@@ -64,7 +64,7 @@
 // Run measures all selected cells and writes a table for each deployment. It stops at
 // the first cell that cannot be measured and returns its error.
 func (b *Bench) Run(ctx context.Context) error {
-	b.deadline = b.config.Timer.Now().Add(b.config.Limit)
+	b.deadline = b.config.Timer.Now().Add(b.config.TimeLimit)
 	for _, deployment := range deployments {
 		if !selected(b.config.Deployments, deployment.name) {
 			continue
@@ -84,7 +84,7 @@
 		Duration time.Duration `json:"duration"`
 		Mean     time.Duration `json:"mean"`
 		Results  []result      `json:"results"`
-	}{b.config.Seed, b.config.Duration, b.config.Mean, b.results}
+	}{b.config.Seed, b.config.Duration, b.config.MeanLatency, b.results}
 }
 
 // measureDeployment measures all cells of one deployment. Each round measures all
--- a/internal/carobbench/cell.go
+++ b/internal/carobbench/cell.go
@@ -72,7 +72,7 @@
 	}
 	length := benchCase.duration(b.config.Duration)
 	service := cluster.deployment.services[0]
-	capacity := float64(slots*service.targets) / b.config.Mean.Seconds()
+	capacity := float64(slots*service.targets) / b.config.MeanLatency.Seconds()
 	loader := carobloader.NewLoader(carobloader.Config{
 		Name: variant.name, Nodes: cluster.callAddresses(), Service: carobservice.Service(service.name), Rate: benchCase.load * capacity,
 		Duration: warmup + length, Warmup: warmup, Seed: b.config.Seed + uint64(round), //nolint:gosec // not negative
--- a/internal/carobbench/cluster.go
+++ b/internal/carobbench/cluster.go
@@ -108,7 +108,7 @@
 	name := fmt.Sprintf("n%d", number)
 	settings := fmt.Sprintf(`{"name": %q, "region": "here", "centre": "c%d", "log": %q,
 		"call": "127.0.0.1:0", "peer": "127.0.0.1:0", "admin": "127.0.0.1:0", "measure": {"rate": "%dB/s", "share": "1%%"}}`,
-		name, index%c.deployment.centres, c.log.addresses["log"], int(b.config.Measure))
+		name, index%c.deployment.centres, c.log.addresses["log"], int(b.config.ProbeRate))
 	file := filepath.Join(b.config.Folder, name+".json")
 	if err := os.WriteFile(file, []byte(settings), fileMode); err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "write settings")
@@ -121,7 +121,7 @@
 	target, err := startProcess(ctx, b.config.Program, c.logFile, "target",
 		"-id", fmt.Sprintf("%s/t%d", service.name, index), "-profile", profileName, "-admin", node.addresses["admin"],
 		"-slots", strconv.Itoa(slots), "-conns", strconv.Itoa(c.deployment.conns),
-		"-latency", b.config.Mean.String(), "-shape", "lognormal", "-sigma", "0.8",
+		"-latency", b.config.MeanLatency.String(), "-shape", "lognormal", "-sigma", "0.8",
 		"-seed", strconv.FormatUint(b.config.Seed+uint64(number), 10)) //nolint:gosec // not negative
 	if err != nil {
 		return err
--- a/internal/carobcommand/bench.go
+++ b/internal/carobcommand/bench.go
@@ -24,19 +24,19 @@
 }
 
 func parseBench(flags *flag.FlagSet) runner {
-	c := carobbench.Config{Measure: carobprobelimits.NewProbeLimits().BytesPerSecond}
+	c := carobbench.Config{ProbeRate: carobprobelimits.NewProbeLimits().BytesPerSecond}
 	flags.Func("deployments", "`NAMES` of the deployments to measure, separated by commas; all if none", parseNames(&c.Deployments))
 	flags.Func("cases", "`NAMES` of the cases to measure, separated by commas; the default ones if none", parseNames(&c.Cases))
 	flags.Func("variants", "`NAMES` of the variants to compare, separated by commas; the default ones if none", parseNames(&c.Variants))
 	flags.IntVar(&c.Rounds, "rounds", 2, "how often each cell is measured")
 	flags.DurationVar(&c.Duration, "duration", 1500*time.Millisecond, "`TIME` of each cell whose calls are counted")
-	flags.DurationVar(&c.Mean, "mean", 25*time.Millisecond, "mean `TIME` of a call on its target")
-	flags.TextVar(&c.Measure, "measure", c.Measure, "maximum `BYTES` a second that a node sends for probes and reports")
-	flags.DurationVar(&c.Limit, "limit", 9*time.Minute, "`TIME` after which no further cell is started")
+	flags.DurationVar(&c.MeanLatency, "mean", 25*time.Millisecond, "mean `TIME` of a call on its target")
+	flags.TextVar(&c.ProbeRate, "measure", c.ProbeRate, "maximum `BYTES` a second that a node sends for probes and reports")
+	flags.DurationVar(&c.TimeLimit, "limit", 9*time.Minute, "`TIME` after which no further cell is started")
 	flags.Uint64Var(&c.Seed, "seed", 1, "`SEED` of load and faults")
 	report := flags.String("report", "", "`FILE` for a report as JSON")
 	return func(ctx context.Context, std *stdStreams, args []string) error {
-		if c.Rounds < 1 || c.Duration <= 0 || c.Mean <= 0 || len(args) > 0 {
+		if c.Rounds < 1 || c.Duration <= 0 || c.MeanLatency <= 0 || len(args) > 0 {
 			return errUsage("-rounds, -duration and -mean must be above 0, and no operands are taken")
 		}
 		c.Out = std.out
--- a/internal/carobcommand/check.go
+++ b/internal/carobcommand/check.go
@@ -43,12 +43,12 @@
 	if err != nil {
 		return profile, false, carobkind.Wrap(carobkind.Invalid, err, "read profile")
 	}
-	document := carobdocument.NewDocument(carobdocument.Config{Name: file, Data: data})
+	document := carobdocument.NewDocument(carobdocument.Config{FileName: file, Data: data})
 	if err := document.Decode(&profile); err != nil {
 		return profile, false, err
 	}
 	if !carobrouting.HasPolicy(profile.Policy) {
-		return profile, false, document.Refuse(carobkind.New(carobkind.Invalid, "policy: there is no policy %q", string(profile.Policy)))
+		return profile, false, document.WithPosition(carobkind.New(carobkind.Invalid, "policy: there is no policy %q", string(profile.Policy)))
 	}
 	return profile, document.Has("base"), nil
 }
--- a/internal/carobcommand/demo.go
+++ b/internal/carobcommand/demo.go
@@ -19,10 +19,10 @@
 
 func parseDemo(flags *flag.FlagSet) runner {
 	c := carobdemo.Config{}
-	flags.DurationVar(&c.Phase, "phase", 3*time.Second, "`TIME` that each of the three phases takes")
+	flags.DurationVar(&c.PhaseDuration, "phase", 3*time.Second, "`TIME` that each of the three phases takes")
 	flags.Uint64Var(&c.Seed, "seed", 1, "`SEED` of arrivals and service times")
 	return func(ctx context.Context, std *stdStreams, args []string) error {
-		if c.Phase <= 0 || c.Phase > 15*time.Second || len(args) > 0 {
+		if c.PhaseDuration <= 0 || c.PhaseDuration > 15*time.Second || len(args) > 0 {
 			return errUsage("-phase must be above 0 and at most 15s, and no operands are taken")
 		}
 		c.Out = std.out
--- a/internal/carobcommand/profiles.go
+++ b/internal/carobcommand/profiles.go
@@ -44,7 +44,7 @@
 		if *url == "" || len(args) > 0 {
 			return errUsage("-log URL is needed, and no operands")
 		}
-		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Patience: *timeout})
+		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Timeout: *timeout})
 		history := carobledger.NewLedger(carobledger.Config{Log: client})
 		if err := history.Read(ctx); err != nil {
 			return carobkind.Wrap(carobkind.AppendUncertain, err, "the log cannot be read")
@@ -62,14 +62,14 @@
 
 // settleChange prints the result of the change with an ID.
 func settleChange(std *stdStreams, history *carobledger.Ledger, id string) error {
-	result, ok := history.Find(id)
+	result, ok := history.FindResult(id)
 	if ok {
 		return reportResult(std, result)
 	}
-	if !history.Whole() {
+	if !history.Complete() {
 		return carobkind.New(carobkind.AppendUncertain, "unknown: the log no longer keeps the first changes")
 	}
-	return carobkind.New(carobkind.LogUnavailable, "not accepted: the log has no change %s up to offset %d; publish it again", id, history.Next()-1)
+	return carobkind.New(carobkind.LogUnavailable, "not accepted: the log has no change %s up to offset %d; publish it again", id, history.NextOffset()-1)
 }
 
 // printJSON prints the revisions in force as a JSON list.
@@ -84,7 +84,7 @@
 
 // printTables prints the profiles in force and the history of changes as tables.
 func printTables(std *stdStreams, history *carobledger.Ledger) error {
-	if !history.Whole() {
+	if !history.Complete() {
 		_, _ = fmt.Fprintln(std.err, "carobknot profiles: the log keeps neither the first changes nor a snapshot of them; the output is incomplete")
 	}
 	table := tabwriter.NewWriter(std.out, 0, 0, 2, ' ', 0)
@@ -95,7 +95,7 @@
 			revision.Change.Who, revision.Change.When.Format(time.RFC3339))
 	}
 	_, _ = fmt.Fprintln(table, "\nCHANGE\tPROFILE\tBASE\tEND\tWHO\tWHEN")
-	for _, result := range history.History {
+	for _, result := range history.Results {
 		_, _ = fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", result.Offset, result.Change.Profile.Name, formatBase(result.Change.Profile.Base),
 			formatResult(result), result.Change.Who, result.Change.When.Format(time.RFC3339))
 	}
@@ -104,7 +104,7 @@
 
 // sortedRevisions returns the revisions in force, sorted by the names of the profiles.
 func sortedRevisions(history *carobledger.Ledger) []carobrevision.Revision {
-	revisions := history.InForce()
+	revisions := history.RevisionsInForce()
 	slices.SortFunc(revisions, func(a, b carobrevision.Revision) int {
 		return cmp.Compare(a.Change.Profile.Name, b.Change.Profile.Name)
 	})
--- a/internal/carobcommand/publish.go
+++ b/internal/carobcommand/publish.go
@@ -48,7 +48,7 @@
 		if *url == "" || len(args) != 1 {
 			return errUsage("-log URL and one FILE are needed")
 		}
-		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Patience: *timeout})
+		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Timeout: *timeout})
 		p := &publisher{
 			std: std, url: *url, log: client,
 			history: carobledger.NewLedger(carobledger.Config{Log: client}),
@@ -77,12 +77,12 @@
 	if err := p.history.Read(ctx); err != nil {
 		return carobkind.New(carobkind.LogUnavailable, "not accepted: the log cannot be read: %s", err)
 	}
-	if !p.history.Whole() {
+	if !p.history.Complete() {
 		return carobkind.New(carobkind.LogUnavailable, "not accepted: the log keeps neither the first changes nor a snapshot of them; "+
 			"nodes that run append one within seconds, so try again")
 	}
 	if !hasBase {
-		profile.Base = p.history.Of(profile.Name)
+		profile.Base = p.history.CurrentOffset(profile.Name)
 	}
 	p.change = carobchange.Change{ID: rand.Text(), Profile: profile, Who: operator(), When: carobtimer.NewTimer().WallTime().UTC()}
 	data, err := json.Marshal(p.change)
@@ -107,7 +107,7 @@
 		if err := p.history.Read(ctx); err != nil {
 			break
 		}
-		if result, ok := p.history.Find(p.change.ID); ok {
+		if result, ok := p.history.FindResult(p.change.ID); ok {
 			return reportResult(p.std, result)
 		}
 	}
--- a/internal/carobcommand/status.go
+++ b/internal/carobcommand/status.go
@@ -54,7 +54,7 @@
 	if err := json.Unmarshal(data, &status); err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "decode the node's response")
 	}
-	return status.Write(std.out)
+	return status.WriteTables(std.out)
 }
 
 // fetchStatus returns the body of the node's response. Errors are of kind Unreachable if
--- a/internal/carobcommand/target.go
+++ b/internal/carobcommand/target.go
@@ -57,8 +57,8 @@
 	flags.StringVar(&behaviour.Shape, "shape", behaviour.Shape, "`NAME` of the distribution of times: fixed, lognormal or pareto")
 	flags.Float64Var(&behaviour.Sigma, "sigma", behaviour.Sigma, "width of the log-normal distribution")
 	flags.Float64Var(&behaviour.Alpha, "alpha", behaviour.Alpha, "exponent of the bounded Pareto distribution")
-	flags.TextVar(&behaviour.Gap, "gap", behaviour.Gap, "mean `TIME` between two jumps of load; 0s is none")
-	flags.TextVar(&behaviour.Cold, "cold", behaviour.Cold, "`TIME` of the warm-up after the start")
+	flags.TextVar(&behaviour.JumpInterval, "gap", behaviour.JumpInterval, "mean `TIME` between two jumps of load; 0s is none")
+	flags.TextVar(&behaviour.Warmup, "cold", behaviour.Warmup, "`TIME` of the warm-up after the start")
 }
 
 // runTarget runs the stand-in for a target until ctx is done.
--- a/internal/carobdemo/components.go
+++ b/internal/carobdemo/components.go
@@ -86,8 +86,8 @@
 	const anyPort = "127.0.0.1:0"
 	settings := carobsettings.Settings{
 		Name: carobnodeid.ID(fmt.Sprintf("node%d", index)), Region: "demo", Centre: "loopback",
-		Call: anyPort, Peer: anyPort, Admin: anyPort, Log: log,
-		Measure: carobprobelimits.NewProbeLimits(), Limits: caroblimits.NewLimits(),
+		CallAddress: anyPort, PeerAddress: anyPort, AdminAddress: anyPort, LogURL: log,
+		ProbeLimits: carobprobelimits.NewProbeLimits(), Limits: caroblimits.NewLimits(),
 	}
 	node, err := carobnode.NewNode(ctx, carobnode.Config{Settings: settings, Logger: d.logger})
 	if err != nil {
@@ -146,7 +146,7 @@
 	if err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "encode change")
 	}
-	_, err = carobplatform.NewClient(carobplatform.Config{URL: log, Patience: logTimeout}).
+	_, err = carobplatform.NewClient(carobplatform.Config{URL: log, Timeout: logTimeout}).
 		Append(ctx, carobstream.Profiles, data)
 	return err
 }
--- a/internal/carobdemo/demo.go
+++ b/internal/carobdemo/demo.go
@@ -23,8 +23,8 @@
 
 // Config holds the settings of a demo.
 type Config struct {
-	// Phase is the duration of each of the three phases.
-	Phase time.Duration
+	// PhaseDuration is the duration of each of the three phases.
+	PhaseDuration time.Duration
 	// Seed seeds the random arrivals and service times.
 	Seed uint64
 	// Out receives the table and the result.
@@ -110,7 +110,7 @@
 	for i, service := range services {
 		c := carobloader.Config{
 			Name: string(service.name) + ", " + phase, Service: service.name, Rate: service.rate, KeyShare: service.keys,
-			Duration: d.config.Phase, Deadline: deadline, Seed: d.seed(string(service.name) + phase), RequestSize: 512, Timer: d.timer,
+			Duration: d.config.PhaseDuration, Deadline: deadline, Seed: d.seed(string(service.name) + phase), RequestSize: 512, Timer: d.timer,
 		}
 		for _, node := range d.nodes {
 			c.Nodes = append(c.Nodes, node.call)
--- a/internal/carobdocument/document.go
+++ b/internal/carobdocument/document.go
@@ -21,8 +21,8 @@
 
 // Config holds the parameters of a document.
 type Config struct {
-	// Name is the name of the file, for errors.
-	Name string
+	// FileName is the name of the file, for errors.
+	FileName string
 	// Data is the contents of the file.
 	Data []byte
 }
@@ -45,14 +45,14 @@
 func (d *Document) Decode(result any) error {
 	tree, err := hujson.Parse(d.config.Data)
 	if err != nil {
-		return carobkind.New(carobkind.Invalid, "%s: %s", d.config.Name, strings.TrimPrefix(err.Error(), "hujson: "))
+		return carobkind.New(carobkind.Invalid, "%s: %s", d.config.FileName, strings.TrimPrefix(err.Error(), "hujson: "))
 	}
 	if err := d.validate(&tree, "", typeOf(result)); err != nil {
 		return err
 	}
 	tree.Standardize()
 	if err := json.Unmarshal(tree.Pack(), result); err != nil {
-		return d.Refuse(err)
+		return d.WithPosition(err)
 	}
 	return nil
 }
@@ -63,16 +63,16 @@
 	return ok
 }
 
-// Refuse returns an error of kind Invalid with the file and the text of err. If the
+// WithPosition returns an error of kind Invalid with the file and the text of err. If the
 // text starts with a key of the document and a colon, the line and column of its value
 // are added.
-func (d *Document) Refuse(err error) error {
+func (d *Document) WithPosition(err error) error {
 	text := reason(err)
 	key, _, _ := strings.Cut(text, ":")
 	if offset, ok := d.offsets[key]; ok {
 		return d.errorAt(offset, "%s", text)
 	}
-	return carobkind.New(carobkind.Invalid, "%s: %s", d.config.Name, text)
+	return carobkind.New(carobkind.Invalid, "%s: %s", d.config.FileName, text)
 }
 
 // errorAt returns an error of kind Invalid with the file, and the line and column of
@@ -80,7 +80,7 @@
 func (d *Document) errorAt(offset int, format string, args ...any) error {
 	line, column := d.position(offset)
 	err := carobkind.New(carobkind.Invalid, format, args...)
-	return carobkind.New(carobkind.Invalid, "%s:%d:%d: %s", d.config.Name, line, column, err)
+	return carobkind.New(carobkind.Invalid, "%s:%d:%d: %s", d.config.FileName, line, column, err)
 }
 
 // position returns the line and column of an offset, both counted from 1.
--- a/internal/carobeventlog/log.go
+++ b/internal/carobeventlog/log.go
@@ -26,12 +26,12 @@
 type Config struct {
 	Logger *logrus.Logger
 	Timer  *carobtimer.Timer
-	// Usual limits the lines a second about successful decisions; Failures limits
+	// MaxSuccessLines limits the lines a second about successful decisions; MaxFailureLines limits
 	// those about failures and audit entries.
-	Usual, Failures int
-	// Audits makes the log include the audit entries. Set it where no other part logs
+	MaxSuccessLines, MaxFailureLines int
+	// LogAudits makes the log include the audit entries. Set it where no other part logs
 	// them.
-	Audits bool
+	LogAudits bool
 }
 
 // queueSize is the maximum number of lines that wait to be written.
@@ -73,10 +73,10 @@
 		return
 	}
 	if now := l.config.Timer.Now(); l.secondStart == carobinstant.Never || now.Sub(l.secondStart) >= time.Second {
-		l.secondStart, l.remaining = now, [2]int{l.config.Usual, l.config.Failures}
+		l.secondStart, l.remaining = now, [2]int{l.config.MaxSuccessLines, l.config.MaxFailureLines}
 	}
 	for i := range out.Audits {
-		if !l.config.Audits {
+		if !l.config.LogAudits {
 			break
 		}
 		l.enqueue(failure, line{audit: &out.Audits[i]})
--- a/internal/carobeventlog/log_test.go
+++ b/internal/carobeventlog/log_test.go
@@ -21,7 +21,7 @@
 func TestLinesAreLimitedAndDroppedOnesAreCounted(t *testing.T) {
 	logger, logged := test.NewNullLogger()
 	eventLog := carobeventlog.NewEventLog(carobeventlog.Config{
-		Logger: logger, Timer: carobtimer.NewTimer(), Usual: 2, Failures: 5,
+		Logger: logger, Timer: carobtimer.NewTimer(), MaxSuccessLines: 2, MaxFailureLines: 5,
 	})
 	out := &caroboutbox.Outbox{}
 	for range 10 {
--- a/internal/carobledger/ledger.go
+++ b/internal/carobledger/ledger.go
@@ -37,9 +37,9 @@
 	// next is the offset from which to continue reading; first is the lowest offset
 	// that the log retains.
 	next, first caroboffset.Offset
-	// History holds the results of the changes that were read, in the order of the
+	// Results holds the results of the changes that were read, in the order of the
 	// log.
-	History []carobchangeresult.ChangeResult
+	Results []carobchangeresult.ChangeResult
 }
 
 // NewLedger returns a history without records. Read adds them.
@@ -58,47 +58,47 @@
 		if err != nil {
 			return err
 		}
-		l.first, l.next = page.First, max(l.next, page.Next)
+		l.first, l.next = page.FirstOffset, max(l.next, page.NextOffset)
 		if len(page.Records) == 0 {
 			return nil
 		}
 		l.world.BeginTick(carobinbox.Inbox{Records: page.Records})
 		l.fold.Run(l.world, 1)
-		l.History = append(l.History, l.world.Outbox.ChangeResults...)
+		l.Results = append(l.Results, l.world.Outbox.ChangeResults...)
 	}
 }
 
-// Whole reports whether all records that were read could be applied. If it is
+// Complete reports whether all records that were read could be applied. If it is
 // false, the first changes have expired from the log and it holds no snapshot that
 // replaces them.
-func (l *Ledger) Whole() bool {
+func (l *Ledger) Complete() bool {
 	return l.world.ProfilesRead+1 >= l.next
 }
 
-// Next returns the offset after the last record that was read.
-func (l *Ledger) Next() caroboffset.Offset {
+// NextOffset returns the offset after the last record that was read.
+func (l *Ledger) NextOffset() caroboffset.Offset {
 	return l.next
 }
 
-// InForce returns the revisions in force, one for each profile.
-func (l *Ledger) InForce() []carobrevision.Revision {
+// RevisionsInForce returns the revisions in force, one for each profile.
+func (l *Ledger) RevisionsInForce() []carobrevision.Revision {
 	return l.world.TakeSnapshot().Revisions
 }
 
-// Of returns the offset of the revision in force of a profile, or None if there is
+// CurrentOffset returns the offset of the revision in force of a profile, or None if there is
 // no such profile.
-func (l *Ledger) Of(name carobname.Name) caroboffset.Offset {
+func (l *Ledger) CurrentOffset(name carobname.Name) caroboffset.Offset {
 	if revision := l.world.Profiles.Get(name); revision != nil {
 		return revision.Offset
 	}
 	return caroboffset.BeforeFirst
 }
 
-// Find returns the result of the change with an ID. A change that was appended more
+// FindResult returns the result of the change with an ID. A change that was appended more
 // than once was accepted if one of its records was. A change whose record has
 // expired is found while its revision is in force.
-func (l *Ledger) Find(id string) (found carobchangeresult.ChangeResult, ok bool) {
-	for _, result := range l.History {
+func (l *Ledger) FindResult(id string) (found carobchangeresult.ChangeResult, ok bool) {
+	for _, result := range l.Results {
 		if result.Change.ID == id && (result.Applied || !ok) {
 			found, ok = result, true
 		}
@@ -106,7 +106,7 @@
 			return found, true
 		}
 	}
-	for _, revision := range l.InForce() {
+	for _, revision := range l.RevisionsInForce() {
 		if revision.Change.ID == id {
 			return carobchangeresult.ChangeResult{Change: revision.Change, Offset: revision.Offset, Applied: true}, true
 		}
--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -149,7 +149,7 @@
 	for _, endpoint := range []struct {
 		address carobaddress.Address
 		into    *net.Listener
-	}{{c.Settings.Call, &n.callListener}, {c.Settings.Peer, &n.peerListener}, {c.Settings.Admin, &n.adminListener}} {
+	}{{c.Settings.CallAddress, &n.callListener}, {c.Settings.PeerAddress, &n.peerListener}, {c.Settings.AdminAddress, &n.adminListener}} {
 		listener, err := listen.Listen(ctx, "tcp", string(endpoint.address))
 		if err != nil {
 			n.closeListeners()
@@ -305,13 +305,13 @@
 	logger.Info("node: shutting down")
 	n.leaving.Store(true)
 	mailbox := do.MustInvoke[*carobmailbox.Mailbox](n.injector)
-	graceCtx, cancelGrace := context.WithTimeout(ctx, n.config.Settings.Grace.Duration())
+	graceCtx, cancelGrace := context.WithTimeout(ctx, n.config.Settings.ShutdownTimeout.Duration())
 	defer cancelGrace()
 	calls := do.MustInvoke[callServer](n.injector)
-	deadline := do.MustInvoke[*carobtimer.Timer](n.injector).Now().Add(n.config.Settings.Grace.Duration())
+	deadline := do.MustInvoke[*carobtimer.Timer](n.injector).Now().Add(n.config.Settings.ShutdownTimeout.Duration())
 	mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.ShutdownDeadline = deadline })
 	calls.Drain()
-	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(graceCtx, n.config.Settings.Stay.Duration())
+	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(graceCtx, n.config.Settings.MinDrainTime.Duration())
 	mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.Stop = true })
 	_ = calls.Shutdown(graceCtx)
 	select {
@@ -319,7 +319,7 @@
 	case <-graceCtx.Done():
 	}
 	const divisor = 10
-	closeCtx, cancelClose := context.WithTimeout(ctx, min(closeTimeout, n.config.Settings.Grace.Duration()/divisor))
+	closeCtx, cancelClose := context.WithTimeout(ctx, min(closeTimeout, n.config.Settings.ShutdownTimeout.Duration()/divisor))
 	defer cancelClose()
 	if graceCtx.Err() != nil {
 		logger.Warn("node: calls still in flight get their last answer")
--- a/internal/carobnode/providers.go
+++ b/internal/carobnode/providers.go
@@ -35,21 +35,21 @@
 		startTime := do.MustInvoke[*carobtimer.Timer](injector).WallTime()
 		return carobmember.Member{
 			Node: settings.Name, Incarnation: carobincarnation.Incarnation(startTime.UnixNano()), //nolint:gosec // the year is past 1970
-			Region: settings.Region, Centre: settings.Centre, PeerAddress: cmp.Or(settings.Public, n.PeerAddress()),
+			Region: settings.Region, Centre: settings.Centre, PeerAddress: cmp.Or(settings.PublicAddress, n.PeerAddress()),
 		}, nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobcore.Core, error) {
 		self := do.MustInvoke[carobmember.Member](injector)
 		return carobcore.NewCore(carobcore.Config{
-			World: carobworld.Config{Self: self, Limits: settings.Limits, ProbeLimits: settings.Measure, RetryLimits: settings.Retries, Seed: uint64(self.Incarnation)},
-			Seeds: settings.Seeds, Profiles: settings.Profiles, AnnouncementTimeout: settings.Silence.Duration(),
+			World: carobworld.Config{Self: self, Limits: settings.Limits, ProbeLimits: settings.ProbeLimits, RetryLimits: settings.RetryLimits, Seed: uint64(self.Incarnation)},
+			Seeds: settings.Seeds, Profiles: settings.Profiles, AnnouncementTimeout: settings.AnnouncementTimeout.Duration(),
 			NoTracePropagation: n.config.Dialect != nil,
 		}), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobeventlog.EventLog, error) {
 		return carobeventlog.NewEventLog(carobeventlog.Config{
-			Logger: n.config.Logger, Timer: do.MustInvoke[*carobtimer.Timer](injector), Usual: settings.Lines, Failures: failureLines,
-			Audits: n.config.Store != nil,
+			Logger: n.config.Logger, Timer: do.MustInvoke[*carobtimer.Timer](injector), MaxSuccessLines: settings.MaxSuccessLines, MaxFailureLines: failureLines,
+			LogAudits: n.config.Store != nil,
 		}), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobcontrol.Control, error) {
@@ -77,12 +77,12 @@
 		}), nil
 	})
 	do.Provide(injector, func(do.Injector) (*carobplatform.Client, error) {
-		return carobplatform.NewClient(carobplatform.Config{URL: settings.Log, Patience: logTimeout}), nil
+		return carobplatform.NewClient(carobplatform.Config{URL: settings.LogURL, Timeout: logTimeout}), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobtracewriter.TraceWriter, error) {
 		return carobtracewriter.NewTraceWriter(carobtracewriter.Config{
 			Self: do.MustInvoke[carobmember.Member](injector), Log: do.MustInvoke[*carobplatform.Client](injector),
-			Timer: do.MustInvoke[*carobtimer.Timer](injector), Logger: logrus.NewEntry(n.config.Logger), Kept: maxTraceBacklog,
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), Logger: logrus.NewEntry(n.config.Logger), MaxBufferedSize: maxTraceBacklog,
 		}), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobadmin.Admin, error) {
--- a/internal/carobpage/page.go
+++ b/internal/carobpage/page.go
@@ -11,10 +11,10 @@
 	// Records are in the order of their offsets, without gaps. Empty if the stream
 	// has no records from the requested offset on.
 	Records []carobrecord.Record `json:"records"`
-	// First is the lowest offset that the log still retains.
-	First caroboffset.Offset `json:"first"`
-	// Next is the offset from which to continue: the one after the last record. If
+	// FirstOffset is the lowest offset that the log still retains.
+	FirstOffset caroboffset.Offset `json:"first"`
+	// NextOffset is the offset from which to continue: the one after the last record. If
 	// Records is empty, it is the requested offset, or the lowest retained one if that
 	// is higher.
-	Next caroboffset.Offset `json:"next"`
+	NextOffset caroboffset.Offset `json:"next"`
 }
--- a/internal/carobplatform/client.go
+++ b/internal/carobplatform/client.go
@@ -22,9 +22,9 @@
 type Config struct {
 	// URL is the base URL of the log.
 	URL string
-	// Patience is the timeout of a request, not counting the time for which Read
+	// Timeout is the timeout of a request, not counting the time for which Read
 	// waits for records.
-	Patience time.Duration
+	Timeout time.Duration
 }
 
 // Client appends records to the log and reads them.
@@ -45,7 +45,7 @@
 // kind LogOut if the record was certainly not appended, and Unsure if it may have
 // been.
 func (c *Client) Append(ctx context.Context, stream carobstream.Stream, data []byte) (caroboffset.Offset, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Patience)
+	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
 	var response struct {
 		Offset caroboffset.Offset `json:"offset"`
@@ -57,7 +57,7 @@
 // Read returns the records of a stream from an offset on. If there are none yet,
 // the log holds the request for up to wait until one is appended.
 func (c *Client) Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Patience+wait)
+	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout+wait)
 	defer cancel()
 	query := url.Values{}
 	query.Set("from", strconv.FormatInt(int64(from), 10))
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -110,12 +110,12 @@
 // Parse decodes and checks a scenario; the name of the file is used in errors.
 func Parse(file string, data []byte) (Scenario, error) {
 	scenario := NewScenario()
-	document := carobdocument.NewDocument(carobdocument.Config{Name: file, Data: data})
+	document := carobdocument.NewDocument(carobdocument.Config{FileName: file, Data: data})
 	if err := document.Decode(&scenario); err != nil {
 		return Scenario{}, err
 	}
 	if err := scenario.Check(); err != nil {
-		return Scenario{}, document.Refuse(err)
+		return Scenario{}, document.WithPosition(err)
 	}
 	return scenario, nil
 }
--- a/internal/carobsettings/settings.go
+++ b/internal/carobsettings/settings.go
@@ -26,34 +26,34 @@
 	Name   carobnodeid.ID     `json:"name"`
 	Region carobregion.Region `json:"region"`
 	Centre carobcentre.Centre `json:"centre"`
-	// Call is the address at which the node accepts calls.
-	Call carobaddress.Address `json:"call"`
-	// Peer is the address at which the node listens for other nodes.
-	Peer carobaddress.Address `json:"peer"`
-	// Public is the address at which other nodes reach the node. Empty if the node
+	// CallAddress is the address at which the node accepts calls.
+	CallAddress carobaddress.Address `json:"call"`
+	// PeerAddress is the address at which the node listens for other nodes.
+	PeerAddress carobaddress.Address `json:"peer"`
+	// PublicAddress is the address at which other nodes reach the node. Empty if the node
 	// listens there itself.
-	Public carobaddress.Address `json:"public,omitempty"`
-	// Admin is the address for the targets of the node's VM and for operators.
-	Admin carobaddress.Address `json:"admin"`
-	// Log is the base URL of the platform's log.
-	Log string `json:"log"`
+	PublicAddress carobaddress.Address `json:"public,omitempty"`
+	// AdminAddress is the address for the targets of the node's VM and for operators.
+	AdminAddress carobaddress.Address `json:"admin"`
+	// LogURL is the base URL of the platform's log.
+	LogURL string `json:"log"`
 	// Seeds are peer addresses of nodes to which this node sends its first messages.
 	// May be empty.
 	Seeds []carobaddress.Address `json:"seeds"`
-	// Measure limits probes, reports and health checks.
-	Measure carobprobelimits.ProbeLimits `json:"measure"`
-	// Retries limits how many attempts are sent beyond one for each call.
-	Retries carobretrylimits.RetryLimits `json:"retries"`
-	// Silence is the time without an announcement after which a target expires.
-	Silence carobduration.Duration `json:"silence"`
-	// Grace is the timeout of a graceful shutdown, after which the calls in flight are
+	// ProbeLimits limits probes, reports and health checks.
+	ProbeLimits carobprobelimits.ProbeLimits `json:"measure"`
+	// RetryLimits limits how many attempts are sent beyond one for each call.
+	RetryLimits carobretrylimits.RetryLimits `json:"retries"`
+	// AnnouncementTimeout is the time without an announcement after which a target expires.
+	AnnouncementTimeout carobduration.Duration `json:"silence"`
+	// ShutdownTimeout is the timeout of a graceful shutdown, after which the calls in flight are
 	// ended.
-	Grace carobduration.Duration `json:"grace"`
-	// Stay is the least time for which the node keeps accepting calls after a graceful
+	ShutdownTimeout carobduration.Duration `json:"grace"`
+	// MinDrainTime is the least time for which the node keeps accepting calls after a graceful
 	// shutdown has begun, because callers may not have noticed it yet.
-	Stay carobduration.Duration `json:"stay"`
-	// Lines limits the log lines a second about successful decisions.
-	Lines int `json:"lines"`
+	MinDrainTime carobduration.Duration `json:"stay"`
+	// MaxSuccessLines limits the log lines a second about successful decisions.
+	MaxSuccessLines int `json:"lines"`
 	// Profiles are in force on this node without having been published. May be empty.
 	Profiles []carobprofile.Profile `json:"profiles"`
 	Limits   caroblimits.Limits     `json:"limits"`
@@ -62,8 +62,8 @@
 // NewSettings returns the default settings. Names and addresses have no defaults.
 func NewSettings() Settings {
 	return Settings{
-		Measure: carobprobelimits.NewProbeLimits(), Retries: carobretrylimits.NewRetryLimits(), Limits: caroblimits.NewLimits(),
-		Silence: carobduration.Duration(3 * time.Second), Grace: carobduration.Duration(time.Minute),
+		ProbeLimits: carobprobelimits.NewProbeLimits(), RetryLimits: carobretrylimits.NewRetryLimits(), Limits: caroblimits.NewLimits(),
+		AnnouncementTimeout: carobduration.Duration(3 * time.Second), ShutdownTimeout: carobduration.Duration(time.Minute),
 	}
 }
 
@@ -81,15 +81,15 @@
 // column where these are known.
 func Parse(file string, data []byte) (Settings, error) {
 	settings := NewSettings()
-	document := carobdocument.NewDocument(carobdocument.Config{Name: file, Data: data})
+	document := carobdocument.NewDocument(carobdocument.Config{FileName: file, Data: data})
 	if err := document.Decode(&settings); err != nil {
 		return Settings{}, err
 	}
 	if err := checkRequired(document); err != nil {
-		return Settings{}, document.Refuse(err)
+		return Settings{}, document.WithPosition(err)
 	}
 	if err := settings.check(); err != nil {
-		return Settings{}, document.Refuse(err)
+		return Settings{}, document.WithPosition(err)
 	}
 	return settings, nil
 }
@@ -110,11 +110,11 @@
 
 // check checks the values that their own types do not check.
 func (s Settings) check() error {
-	if base, err := url.Parse(s.Log); err != nil || base.Scheme != "http" && base.Scheme != "https" || base.Host == "" {
-		return carobkind.New(carobkind.Invalid, "log: %q is not a URL such as \"http://127.0.0.1:7100\"", s.Log)
+	if base, err := url.Parse(s.LogURL); err != nil || base.Scheme != "http" && base.Scheme != "https" || base.Host == "" {
+		return carobkind.New(carobkind.Invalid, "log: %q is not a URL such as \"http://127.0.0.1:7100\"", s.LogURL)
 	}
-	if s.Measure.ChecksPerSecond < 0 {
-		return carobkind.New(carobkind.Invalid, "measure: checks: %d is below 0", s.Measure.ChecksPerSecond)
+	if s.ProbeLimits.ChecksPerSecond < 0 {
+		return carobkind.New(carobkind.Invalid, "measure: checks: %d is below 0", s.ProbeLimits.ChecksPerSecond)
 	}
 	return s.Limits.Check()
 }
--- a/internal/carobsettings/settings_test.go
+++ b/internal/carobsettings/settings_test.go
@@ -31,8 +31,8 @@
 	settings, err := carobsettings.Parse("node.json", []byte(valid))
 	require.NoError(t, err)
 	require.EqualValues(t, "first", settings.Name)
-	require.InDelta(t, 1024, float64(settings.Measure.BytesPerSecond), 0)
-	require.InDelta(t, 0.01, float64(settings.Measure.CPUShare), 1e-9, "a key that is left out must keep its default")
+	require.InDelta(t, 1024, float64(settings.ProbeLimits.BytesPerSecond), 0)
+	require.InDelta(t, 0.01, float64(settings.ProbeLimits.CPUShare), 1e-9, "a key that is left out must keep its default")
 	require.Equal(t, 10, settings.Limits.Calls)
 	require.Equal(t, 4000, settings.Limits.Peers)
 }
--- a/internal/carobstandlog/log.go
+++ b/internal/carobstandlog/log.go
@@ -73,7 +73,7 @@
 // retention to all streams.
 func (l *Log) setFault(c fiber.Ctx) error {
 	var fault carobfault.Fault
-	if err := carobdocument.NewDocument(carobdocument.Config{Name: "fault", Data: c.Body()}).Decode(&fault); err != nil {
+	if err := carobdocument.NewDocument(carobdocument.Config{FileName: "fault", Data: c.Body()}).Decode(&fault); err != nil {
 		return fiber.NewError(http.StatusBadRequest, err.Error())
 	}
 	if err := fault.Check(); err != nil {
@@ -99,10 +99,10 @@
 	l.mutex.Lock()
 	fault := l.fault
 	l.mutex.Unlock()
-	if fault.Slow > 0 {
-		_ = l.config.Timer.Wait(c.Context(), fault.Slow.Duration())
+	if fault.Delay > 0 {
+		_ = l.config.Timer.Wait(c.Context(), fault.Delay.Duration())
 	}
-	if fault.Out || fault.Deaf && c.Method() == fiber.MethodGet {
+	if fault.Outage || fault.ReadOutage && c.Method() == fiber.MethodGet {
 		return fiber.NewError(http.StatusServiceUnavailable, "outage")
 	}
 	return c.Next()
@@ -113,8 +113,8 @@
 func (l *Log) append(c fiber.Ctx) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.fault.Lose == 0 && l.fault.Drop > 0 {
-		l.fault.Drop--
+	if l.fault.LostAnswers == 0 && l.fault.DroppedAppends > 0 {
+		l.fault.DroppedAppends--
 		return fiber.NewError(http.StatusGatewayTimeout, "append dropped")
 	}
 	stream := l.streamOf(carobstream.Stream(c.Params("name")))
@@ -124,8 +124,8 @@
 	l.expire(stream)
 	close(stream.appended)
 	stream.appended = make(chan struct{})
-	if l.fault.Lose > 0 {
-		l.fault.Lose--
+	if l.fault.LostAnswers > 0 {
+		l.fault.LostAnswers--
 		return fiber.NewError(http.StatusGatewayTimeout, "answer lost")
 	}
 	return c.JSON(map[string]caroboffset.Offset{"offset": offset})
@@ -134,8 +134,8 @@
 // expire deletes the oldest records of a stream beyond the retention.
 func (l *Log) expire(stream *stream) {
 	keep := l.config.Retention
-	if l.fault.Keep > 0 {
-		keep = l.fault.Keep
+	if l.fault.Retention > 0 {
+		keep = l.fault.Retention
 	}
 	if keep > 0 && len(stream.records) > keep {
 		stream.records = slices.Clone(stream.records[len(stream.records)-keep:])
@@ -181,11 +181,11 @@
 	stream := l.streamOf(name)
 	first := stream.next - caroboffset.Offset(len(stream.records))
 	from = max(from, first)
-	page := carobpage.Page{First: first, Next: from, Records: []carobrecord.Record{}}
+	page := carobpage.Page{FirstOffset: first, NextOffset: from, Records: []carobrecord.Record{}}
 	if from < stream.next {
 		newer := stream.records[from-first:]
 		page.Records = append(page.Records, newer[:min(maxRecords, len(newer))]...)
-		page.Next = from + caroboffset.Offset(len(page.Records))
+		page.NextOffset = from + caroboffset.Offset(len(page.Records))
 	}
 	return page, stream.appended
 }
--- a/internal/carobstandlog/log_test.go
+++ b/internal/carobstandlog/log_test.go
@@ -31,7 +31,7 @@
 	go func() { _ = log.Serve(listener) }()
 	t.Cleanup(func() { _ = listener.Close() })
 	url := "http://" + listener.Addr().String()
-	return carobplatform.NewClient(carobplatform.Config{URL: url, Patience: timeout}), url
+	return carobplatform.NewClient(carobplatform.Config{URL: url, Timeout: timeout}), url
 }
 
 // setFault sends a fault to the log and returns the status of the response.
@@ -64,8 +64,8 @@
 	require.NoError(t, err)
 	require.Equal(t, []caroboffset.Offset{1, 2}, offsets(page.Records))
 	require.Equal(t, "1", string(page.Records[0].Data))
-	require.EqualValues(t, 0, page.First)
-	require.EqualValues(t, 3, page.Next)
+	require.EqualValues(t, 0, page.FirstOffset)
+	require.EqualValues(t, 3, page.NextOffset)
 }
 
 // Guards against reads that return an empty page before a record is appended, or miss
@@ -129,7 +129,7 @@
 	page, err := client.Read(t.Context(), "rota", 1, 0)
 	require.NoError(t, err)
 	require.Equal(t, []caroboffset.Offset{3, 4}, offsets(page.Records))
-	require.EqualValues(t, 3, page.First)
+	require.EqualValues(t, 3, page.FirstOffset)
 }
 
 func TestInvalidFaultsAreRejected(t *testing.T) {
--- a/internal/carobstandtarget/sampler.go
+++ b/internal/carobstandtarget/sampler.go
@@ -44,13 +44,13 @@
 func (s *sampler) sample(behaviour *carobbehaviour.Behaviour, now carobinstant.Instant) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	factor := s.shapeFactor(behaviour) * behaviour.Straggle
+	factor := s.shapeFactor(behaviour) * behaviour.SlowFactor
 	if s.inJump(behaviour, now) {
-		factor *= behaviour.Jump
+		factor *= behaviour.JumpFactor
 	}
-	if cold := behaviour.Cold.Duration(); cold > 0 && now.Sub(s.warmupStart) < cold {
+	if cold := behaviour.Warmup.Duration(); cold > 0 && now.Sub(s.warmupStart) < cold {
 		coldness := 1 - float64(now.Sub(s.warmupStart))/float64(cold)
-		factor *= 1 + (behaviour.Chill-1)*coldness
+		factor *= 1 + (behaviour.ColdFactor-1)*coldness
 	}
 	return time.Duration(float64(behaviour.Latency) * factor)
 }
@@ -73,7 +73,7 @@
 // inJump reports whether a jump of load by a noisy neighbour is in progress. It draws
 // the next jump if the last one has ended.
 func (s *sampler) inJump(behaviour *carobbehaviour.Behaviour, now carobinstant.Instant) bool {
-	if behaviour.Gap <= 0 {
+	if behaviour.JumpInterval <= 0 {
 		s.jumpStart, s.jumpEnd = carobinstant.Never, carobinstant.Never
 		return false
 	}
@@ -81,8 +81,8 @@
 		s.jumpEnd = now
 	}
 	for s.jumpEnd <= now {
-		s.jumpStart = s.jumpEnd.Add(time.Duration(s.jumpRandom.ExpFloat64() * float64(behaviour.Gap)))
-		s.jumpEnd = s.jumpStart.Add(behaviour.Shortest.Duration() + time.Duration(s.jumpRandom.Float64()*float64(behaviour.Longest-behaviour.Shortest)))
+		s.jumpStart = s.jumpEnd.Add(time.Duration(s.jumpRandom.ExpFloat64() * float64(behaviour.JumpInterval)))
+		s.jumpEnd = s.jumpStart.Add(behaviour.MinJump.Duration() + time.Duration(s.jumpRandom.Float64()*float64(behaviour.MaxJump-behaviour.MinJump)))
 	}
 	return s.jumpStart <= now
 }
--- a/internal/carobstandtarget/target_test.go
+++ b/internal/carobstandtarget/target_test.go
@@ -151,7 +151,7 @@
 func TestServiceTimesRepeatUnderSeed(t *testing.T) {
 	behaviour := carobbehaviour.NewBehaviour()
 	behaviour.Latency = carobduration.Duration(10 * time.Millisecond)
-	behaviour.Gap = carobduration.Duration(200 * time.Millisecond)
+	behaviour.JumpInterval = carobduration.Duration(200 * time.Millisecond)
 	for _, shape := range []string{carobbehaviour.LogNormal, carobbehaviour.Pareto} {
 		behaviour.Shape = shape
 		first, second := newSampler(5, 1), newSampler(5, 1)
--- a/internal/carobstatus/status.go
+++ b/internal/carobstatus/status.go
@@ -36,20 +36,20 @@
 	Targets  []target  `json:"targets"`
 	Peers    []peer    `json:"peers"`
 	Profiles []profile `json:"profiles"`
-	// Measured is the cost of probes, reports and hedges since the start.
-	Measured overhead `json:"measured"`
+	// Overhead is the cost of probes, reports and hedges since the start.
+	Overhead overhead `json:"measured"`
 }
 
 // overhead is what the node has spent of its probe limits and retry budgets.
 type overhead struct {
-	// Hedges is the total spent of all retry budgets, so it includes resent attempts.
-	Hedges uint64 `json:"hedges"`
-	// Bytes is the number of bytes that were charged to the probe limits.
-	Bytes float64 `json:"bytes"`
-	// Seconds is the processor time that was charged to the probe limits.
-	Seconds float64 `json:"seconds"`
-	// Denied counts the messages that the probe limits did not allow.
-	Denied uint64 `json:"denied"`
+	// RetryBudgetSpent is the total spent of all retry budgets, so it includes resent attempts.
+	RetryBudgetSpent uint64 `json:"hedges"`
+	// ProbeBytes is the number of bytes that were charged to the probe limits.
+	ProbeBytes float64 `json:"bytes"`
+	// ProbeSeconds is the processor time that was charged to the probe limits.
+	ProbeSeconds float64 `json:"seconds"`
+	// DeniedProbes counts the messages that the probe limits did not allow.
+	DeniedProbes uint64 `json:"denied"`
 }
 
 // target is a target as this node sees it. The load of the node's own targets is the
@@ -63,10 +63,10 @@
 	Running int                      `json:"running"`
 	Queued  int                      `json:"queued"`
 	Latency carobduration.Duration   `json:"latency"`
-	// Age is the age of the report; 0 for own targets and without a report.
-	Age carobduration.Duration `json:"age"`
-	// Known is false if the load is unknown because there is no report.
-	Known   bool `json:"known"`
+	// ReportAge is the age of the report; 0 for own targets and without a report.
+	ReportAge carobduration.Duration `json:"age"`
+	// LoadKnown is false if the load is unknown because there is no report.
+	LoadKnown   bool `json:"known"`
 	Ejected bool `json:"ejected"`
 }
 
@@ -76,17 +76,17 @@
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
 	Centre      carobcentre.Centre           `json:"centre"`
 	Leaving     bool                         `json:"leaving"`
-	// Age is the time since the last message from the peer; before the first one, since
+	// SinceLastHeard is the time since the last message from the peer; before the first one, since
 	// this node learned of the peer.
-	Age carobduration.Duration `json:"age"`
+	SinceLastHeard carobduration.Duration `json:"age"`
 }
 
 // profile is the revision of a profile that is in force.
 type profile struct {
 	Name   carobname.Name     `json:"name"`
 	Offset caroboffset.Offset `json:"offset"`
-	// Who is the operator who published the revision.
-	Who string `json:"who"`
+	// PublishedBy is the operator who published the revision.
+	PublishedBy string `json:"who"`
 }
 
 // Describe returns the status of a world. It has to run on the control goroutine.
@@ -102,20 +102,20 @@
 	for id, pr := range w.Peers.All() {
 		status.Peers = append(status.Peers, peer{
 			Node: id, Incarnation: pr.Member.Incarnation, Centre: pr.Member.Centre,
-			Leaving: pr.Member.Leaving, Age: carobduration.Duration(now.Sub(pr.LastContactAt)),
+			Leaving: pr.Member.Leaving, SinceLastHeard: carobduration.Duration(now.Sub(pr.LastContactAt)),
 		})
 	}
 	for name, revision := range w.Profiles.All() {
-		status.Profiles = append(status.Profiles, profile{Name: name, Offset: revision.Offset, Who: revision.Change.Who})
+		status.Profiles = append(status.Profiles, profile{Name: name, Offset: revision.Offset, PublishedBy: revision.Change.Who})
 	}
 	if bucket := w.ProbeBuckets.Get(carobprobing.BytesBucket); bucket != nil {
-		status.Measured.Bytes, status.Measured.Denied = bucket.Spent, bucket.Denied
+		status.Overhead.ProbeBytes, status.Overhead.DeniedProbes = bucket.Spent, bucket.Denied
 	}
 	if bucket := w.ProbeBuckets.Get(carobprobing.CPUTimeBucket); bucket != nil {
-		status.Measured.Seconds = bucket.Spent
+		status.Overhead.ProbeSeconds = bucket.Spent
 	}
 	for _, budget := range w.RetryBudgets.All() {
-		status.Measured.Hedges += budget.Spent
+		status.Overhead.RetryBudgetSpent += budget.Spent
 	}
 	slices.SortFunc(status.Targets, func(a, b target) int { return cmp.Compare(a.ID.String(), b.ID.String()) })
 	slices.SortFunc(status.Peers, func(a, b peer) int { return cmp.Compare(a.Node, b.Node) })
@@ -128,13 +128,13 @@
 	load := w.Loads.Get(id)
 	result.Ejected = load != nil && load.EjectionEnd != carobinstant.Never
 	if admission := w.AdmissionStates.Get(id); admission != nil && w.Owns(tg) {
-		result.Running, result.Queued, result.Latency, result.Known = admission.Running, admission.Queued, carobduration.Duration(admission.Latency), true
+		result.Running, result.Queued, result.Latency, result.LoadKnown = admission.Running, admission.Queued, carobduration.Duration(admission.Latency), true
 		return result
 	}
 	if load == nil || load.ReportedAt == carobinstant.Never {
 		return result
 	}
 	result.Running, result.Queued, result.Latency = load.Report.Running, load.Report.Queued, load.Report.Latency
-	result.Age, result.Known = carobduration.Duration(now.Sub(load.ReportedAt)), true
+	result.ReportAge, result.LoadKnown = carobduration.Duration(now.Sub(load.ReportedAt)), true
 	return result
 }
--- a/internal/carobstatus/write.go
+++ b/internal/carobstatus/write.go
@@ -9,8 +9,8 @@
 	"github.com/carobknot/carobknot/pkg/carobduration"
 )
 
-// Write prints the status as tables, for operators.
-func (s Status) Write(output io.Writer) error {
+// WriteTables prints the status as tables, for operators.
+func (s Status) WriteTables(output io.Writer) error {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	printRow := func(format string, args ...any) { _, _ = fmt.Fprintf(table, format+"\n", args...) }
 	printRow("node %s, incarnation %d, %s/%s, stopping %t, calls %d, jobs %d",
@@ -19,21 +19,21 @@
 	printRow("TARGET\tNODE\tPROFILE\tSTATE\tSLOTS\tRUNNING\tQUEUED\tLATENCY\tREPORT AGE\tEJECTED")
 	for _, t := range s.Targets {
 		load, age := "?\t?\t?", "none"
-		if t.Known {
+		if t.LoadKnown {
 			load = fmt.Sprintf("%d\t%d\t%s", t.Running, t.Queued, formatDuration(t.Latency))
-			age = formatDuration(t.Age)
+			age = formatDuration(t.ReportAge)
 		}
 		printRow("%s\t%s\t%s\t%s\t%d\t%s\t%s\t%t", t.ID, t.Node, t.Profile, t.State, t.Slots, load, age, t.Ejected)
 	}
 	printRow("")
 	printRow("PEER\tINCARNATION\tCENTRE\tLEAVING\tLAST HEARD")
 	for _, p := range s.Peers {
-		printRow("%s\t%d\t%s\t%t\t%s", p.Node, p.Incarnation, p.Centre, p.Leaving, formatDuration(p.Age))
+		printRow("%s\t%d\t%s\t%t\t%s", p.Node, p.Incarnation, p.Centre, p.Leaving, formatDuration(p.SinceLastHeard))
 	}
 	printRow("")
 	printRow("PROFILE\tREVISION\tBY")
 	for _, p := range s.Profiles {
-		printRow("%s\t%d\t%s", p.Name, p.Offset, p.Who)
+		printRow("%s\t%d\t%s", p.Name, p.Offset, p.PublishedBy)
 	}
 	return table.Flush()
 }
--- a/internal/carobtail/tail.go
+++ b/internal/carobtail/tail.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		t.logChange(&failing, nil)
-		next, wait = max(next, page.Next), longPollTimeout
+		next, wait = max(next, page.NextOffset), longPollTimeout
 		t.post(page)
 	}
 }
@@ -70,7 +70,7 @@
 func (t *Tail) post(page carobpage.Page) {
 	t.config.Mailbox.Post(func(in *carobinbox.Inbox) {
 		in.Records = append(in.Records, page.Records...)
-		in.StreamBounds = append(in.StreamBounds, carobstreambounds.StreamBounds{Stream: t.config.Stream, First: page.First, Next: page.Next})
+		in.StreamBounds = append(in.StreamBounds, carobstreambounds.StreamBounds{Stream: t.config.Stream, First: page.FirstOffset, Next: page.NextOffset})
 	})
 }
 
--- a/internal/carobtracewriter/buffer.go
+++ b/internal/carobtracewriter/buffer.go
@@ -60,7 +60,7 @@
 const maxBatchEntries = 1000
 
 func newBuffer(c Config) *buffer {
-	return &buffer{self: c.Self, maxSize: int(c.Kept)}
+	return &buffer{self: c.Self, maxSize: int(c.MaxBufferedSize)}
 }
 
 // add adds an entry.
--- a/internal/carobtracewriter/writer.go
+++ b/internal/carobtracewriter/writer.go
@@ -38,8 +38,8 @@
 	Log    appender
 	Timer  *carobtimer.Timer
 	Logger *logrus.Entry
-	// Kept limits the compressed entries that are buffered for each stream.
-	Kept carobsize.Size
+	// MaxBufferedSize limits the compressed entries that are buffered for each stream.
+	MaxBufferedSize carobsize.Size
 }
 
 const (
@@ -124,8 +124,8 @@
 	}
 }
 
-// Lost returns how many hops and audit entries were dropped since the start.
-func (t *TraceWriter) Lost() (hops, audits int) {
+// Dropped returns how many hops and audit entries were dropped since the start.
+func (t *TraceWriter) Dropped() (hops, audits int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.buffers[carobstream.Traces].dropped, t.buffers[carobstream.Audit].dropped
--- a/internal/carobtracewriter/writer_test.go
+++ b/internal/carobtracewriter/writer_test.go
@@ -91,7 +91,7 @@
 	timer := carobtimer.NewTimer()
 	go timer.Run(t.Context())
 	return carobtracewriter.NewTraceWriter(carobtracewriter.Config{
-		Self: carobmember.Member{Node: "first", Incarnation: 7}, Log: log, Timer: timer, Logger: logrus.NewEntry(logger), Kept: 512 * carobsize.KiB,
+		Self: carobmember.Member{Node: "first", Incarnation: 7}, Log: log, Timer: timer, Logger: logrus.NewEntry(logger), MaxBufferedSize: 512 * carobsize.KiB,
 	}), &lines
 }
 
@@ -176,7 +176,7 @@
 	for range 100 {
 		writer.Flush(t.Context())
 	}
-	dropped, _ := writer.Lost()
+	dropped, _ := writer.Dropped()
 	require.Positive(t, dropped)
 	entries, lost := log.readEntries(t, carobstream.Traces)
 	require.Equal(t, all+1, entries+dropped)
--- a/test/fuzz/decoders_test.go
+++ b/test/fuzz/decoders_test.go
@@ -58,7 +58,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var pf carobprofile.Profile
-		if carobdocument.NewDocument(carobdocument.Config{Name: "p", Data: data}).Decode(&pf) == nil {
+		if carobdocument.NewDocument(carobdocument.Config{FileName: "p", Data: data}).Decode(&pf) == nil {
 			require.NoError(t, pf.Check())
 			again(t, pf)
 		}
