--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -62,12 +62,12 @@
 	TargetClient exchanger
 	// Dialect is the HTTP interface of the targets; nil means carobknot's own headers.
 	Dialect dialect
-	// Gather is the size of the largest response body that is read to its end before
+	// MaxBufferedAnswer is the size of the largest response body that is read to its end before
 	// the response is forwarded; 0 means that every response is forwarded as it is
 	// received.
-	Gather carobsize.Size
-	// Watch detects that entry nodes close their connections.
-	Watch *carobwatch.Watch
+	MaxBufferedAnswer carobsize.Size
+	// DisconnectWatch detects that entry nodes close their connections.
+	DisconnectWatch *carobwatch.Watch
 	Timer *carobtimer.Timer
 	// StallTimeout is how long an entry node may send or accept no bytes of a body.
 	StallTimeout time.Duration
@@ -166,7 +166,7 @@
 	finish := carobfinish.Finish{Job: start.Job, Status: answer.Response.StatusCode()}
 	kind, pressure := a.config.Dialect.Classify(answer.Response)
 	finish.TargetLoad = pressure
-	if limit := int(a.config.Gather); limit > 0 && answer.Length <= limit {
+	if limit := int(a.config.MaxBufferedAnswer); limit > 0 && answer.Length <= limit {
 		if errGather := answer.Buffer(limit); errGather != nil && kind == carobkind.None {
 			kind = carobkind.ConnectionLost
 		}
--- a/internal/carobadmitter/serve.go
+++ b/internal/carobadmitter/serve.go
@@ -54,7 +54,7 @@
 	}
 	job := &incomingJob{admitter: a, offer: offer}
 	job.context, job.cancel = context.WithCancel(context.Background())
-	job.unwatch = a.config.Watch.Add(ctx.Conn(), job.cancel)
+	job.unwatch = a.config.DisconnectWatch.Add(ctx.Conn(), job.cancel)
 	if job.start, err = a.admit(job.context, offer); err != nil {
 		job.close()
 		a.addReport(ctx, offer.Target)
--- a/internal/carobcommand/emulate.go
+++ b/internal/carobcommand/emulate.go
@@ -40,7 +40,7 @@
 			scenario.Profile.Policy = carobname.Name(*policy)
 		}
 		if *checks >= 0 {
-			scenario.Measure.ChecksPerSecond = *checks
+			scenario.ProbeLimits.ChecksPerSecond = *checks
 		}
 		if *queue >= 0 {
 			scenario.Profile.QueueLimit = *queue
--- a/internal/carobcommand/target.go
+++ b/internal/carobcommand/target.go
@@ -36,7 +36,7 @@
 		return c.Admin.Check()
 	})
 	flags.IntVar(&c.Slots, "slots", 12, "maximum number of calls that run at once")
-	flags.IntVar(&c.Conns, "conns", 200, "maximum number of connections")
+	flags.IntVar(&c.Connections, "conns", 200, "maximum number of connections")
 	flags.Uint64Var(&c.Seed, "seed", 1, "`SEED` of all random times")
 	behaviourFlags(flags, &c.Behaviour)
 	return func(ctx context.Context, std *stdStreams, args []string) error {
--- a/internal/carobdemo/components.go
+++ b/internal/carobdemo/components.go
@@ -107,7 +107,7 @@
 	behaviour.Latency, behaviour.Shape = carobduration.Duration(latency), carobbehaviour.LogNormal
 	id := carobtargetid.ID{Service: service.name, Name: carobname.Name(fmt.Sprintf("t%d", index))}
 	target := carobstandtarget.NewTarget(carobstandtarget.Config{
-		ID: id, Profile: carobname.Name(service.name), Slots: slots, Conns: slots * slots, Behaviour: behaviour,
+		ID: id, Profile: carobname.Name(service.name), Slots: slots, Connections: slots * slots, Behaviour: behaviour,
 		Seed: d.config.Seed + uint64(len(d.targets)), Admin: node.admin, Timer: d.timer, Logger: d.logger,
 	})
 	d.targets = append(d.targets, runningTarget{
--- a/internal/carobemulator/emulator_test.go
+++ b/internal/carobemulator/emulator_test.go
@@ -66,7 +66,7 @@
 func TestHealthChecksIncreaseAnswersInTime(t *testing.T) {
 	for seed := range uint64(3) {
 		noChecks := noisy(t)
-		noChecks.Measure.ChecksPerSecond = 0
+		noChecks.ProbeLimits.ChecksPerSecond = 0
 		without, with := play(t, noChecks, seed), play(t, noisy(t), seed)
 		for _, kind := range []string{"lookup", "payout"} {
 			require.Greater(t, good(with[kind]), good(without[kind])+0.05, "%s, seed %d", kind, seed)
--- a/internal/carobemulator/node.go
+++ b/internal/carobemulator/node.go
@@ -95,7 +95,7 @@
 	}
 	node.core = carobcore.NewCore(carobcore.Config{
 		World: carobworld.Config{
-			Self: node.self, Limits: caroblimits.NewLimits(), ProbeLimits: e.scenario.Measure, RetryLimits: e.scenario.Retries,
+			Self: node.self, Limits: caroblimits.NewLimits(), ProbeLimits: e.scenario.ProbeLimits, RetryLimits: e.scenario.RetryLimits,
 			Seed: e.random.Uint64(),
 		},
 		Seeds: seedAddresses, Profiles: []carobprofile.Profile{e.scenario.Profile}, AnnouncementTimeout: forever, NoTracePropagation: true,
--- a/internal/carobentrance/entrance.go
+++ b/internal/carobentrance/entrance.go
@@ -49,7 +49,7 @@
 	Mailbox     *carobmailbox.Mailbox
 	Relay       relay
 	Control     querier
-	Watch       *carobwatch.Watch
+	DisconnectWatch       *carobwatch.Watch
 	Timer       *carobtimer.Timer
 }
 
@@ -132,7 +132,7 @@
 		arrival.Timeout = max(1, arrival.Timeout-e.config.Timer.Now().Sub(arrivedAt))
 	}
 	arrival.Streamed = upload.Streamed()
-	defer e.config.Watch.Add(ctx.Conn(), func() { e.exchanges.ReportDisconnect(call) })()
+	defer e.config.DisconnectWatch.Add(ctx.Conn(), func() { e.exchanges.ReportDisconnect(call) })()
 	e.exchanges.Run(arrival, &ctx.Request, upload, &responder{entrance: e, ctx: ctx, call: call})
 }
 
--- a/internal/carobentrance/responder.go
+++ b/internal/carobentrance/responder.go
@@ -34,7 +34,7 @@
 		recorder = recordBody(answer)
 	}
 	config := r.entrance.config
-	unwatch := config.Watch.Add(r.ctx.Conn(), abandon)
+	unwatch := config.DisconnectWatch.Add(r.ctx.Conn(), abandon)
 	carobbody.Attach(r.ctx, answer, config.Timer, config.Limits.StallTimeout.Duration(), func(kind carobkind.Kind) {
 		unwatch()
 		if kind != carobkind.None {
--- a/internal/carobnode/traffic_providers.go
+++ b/internal/carobnode/traffic_providers.go
@@ -48,16 +48,16 @@
 	do.Provide(injector, func(injector do.Injector) (*carobadmitter.Admitter, error) {
 		poolConfig := carobpool.Config{
 			Timer: do.MustInvoke[*carobtimer.Timer](injector), DialTimeout: dialTimeout, IdleTimeout: targetIdleTimeout, MaxIdleConns: maxIdleConns,
-			Header: int(settings.Limits.HeaderSize), StallTimeout: settings.Limits.StallTimeout.Duration(),
+			MaxHeader: int(settings.Limits.HeaderSize), StallTimeout: settings.Limits.StallTimeout.Duration(),
 		}
 		admitterConfig := carobadmitter.Config{
 			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
-			Watch:   do.MustInvoke[*carobwatch.Watch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+			DisconnectWatch:   do.MustInvoke[*carobwatch.Watch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
 			StallTimeout: settings.Limits.StallTimeout.Duration(),
 		}
 		if n.config.Dialect != nil {
 			poolConfig.MaxReuseAge, poolConfig.KeepAliveInterval, poolConfig.AllowCloseDelimited, poolConfig.MatchesRequest = maxReuseAge, keepAliveInterval, true, n.config.Dialect.MatchesRequest
-			admitterConfig.Dialect, admitterConfig.Gather = n.config.Dialect, maxBufferedResponse
+			admitterConfig.Dialect, admitterConfig.MaxBufferedAnswer = n.config.Dialect, maxBufferedResponse
 		}
 		admitterConfig.TargetClient = carobpool.NewPool(poolConfig)
 		return carobadmitter.NewAdmitter(admitterConfig), nil
@@ -65,12 +65,12 @@
 	do.Provide(injector, func(injector do.Injector) (*carobrelay.Relay, error) {
 		poolConfig := carobpool.Config{
 			Timer: do.MustInvoke[*carobtimer.Timer](injector), DialTimeout: dialTimeout, IdleTimeout: peerIdleTimeout, MaxIdleConns: maxIdleConns, ExpectContinue: true,
-			Header: peerHeaderSpace + int(settings.Limits.HeaderSize), StallTimeout: settings.Limits.StallTimeout.Duration(),
+			MaxHeader: peerHeaderSpace + int(settings.Limits.HeaderSize), StallTimeout: settings.Limits.StallTimeout.Duration(),
 		}
 		if n.config.Dialect != nil {
 			poolConfig.DialTimeout, poolConfig.MaxReuseAge, poolConfig.KeepAliveInterval = peerDialTimeout, maxReuseAge, keepAliveInterval
 		}
-		return carobrelay.NewRelay(carobrelay.Config{Peers: carobpool.NewPool(poolConfig), Local: do.MustInvoke[*carobadmitter.Admitter](injector)}), nil
+		return carobrelay.NewRelay(carobrelay.Config{PeerClient: carobpool.NewPool(poolConfig), Local: do.MustInvoke[*carobadmitter.Admitter](injector)}), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (callServer, error) {
 		self := do.MustInvoke[carobmember.Member](injector)
@@ -78,7 +78,7 @@
 			return carobentrance.NewEntrance(carobentrance.Config{
 				Node: self.Node, Incarnation: self.Incarnation, Limits: settings.Limits,
 				Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Control: do.MustInvoke[*carobcontrol.Control](injector),
-				Watch: do.MustInvoke[*carobwatch.Watch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+				DisconnectWatch: do.MustInvoke[*carobwatch.Watch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
 				Relay: do.MustInvoke[*carobrelay.Relay](injector),
 			}), nil
 		}
--- a/internal/carobpool/pool.go
+++ b/internal/carobpool/pool.go
@@ -39,9 +39,9 @@
 	IdleTimeout time.Duration
 	// MaxIdleConns is the largest number of idle connections to one address.
 	MaxIdleConns int
-	// Header is the size of the read buffer of a connection, in bytes. A response
+	// MaxHeader is the size of the read buffer of a connection, in bytes. A response
 	// whose header is longer is rejected. It is 4096 at least.
-	Header int
+	MaxHeader int
 	// StallTimeout is how long the peer may send or accept nothing while a body is being
 	// transferred.
 	StallTimeout time.Duration
@@ -209,7 +209,7 @@
 	}
 	return &pooledConn{
 		Conn: conn, address: address, idleTimeout: p.config.IdleTimeout,
-		reader: bufio.NewReaderSize(conn, max(p.config.Header, minReadBufferSize)), writer: bufio.NewWriterSize(conn, writeBufferSize),
+		reader: bufio.NewReaderSize(conn, max(p.config.MaxHeader, minReadBufferSize)), writer: bufio.NewWriterSize(conn, writeBufferSize),
 	}, nil
 }
 
--- a/internal/carobpool/pool_test.go
+++ b/internal/carobpool/pool_test.go
@@ -65,7 +65,7 @@
 	t.Helper()
 	timer := carobtimer.NewTimer()
 	go timer.Run(t.Context())
-	c := Config{Timer: timer, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxIdleConns: 4, Header: 4096, StallTimeout: 10 * time.Second}
+	c := Config{Timer: timer, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxIdleConns: 4, MaxHeader: 4096, StallTimeout: 10 * time.Second}
 	if change != nil {
 		change(&c)
 	}
--- a/internal/carobrelay/relay.go
+++ b/internal/carobrelay/relay.go
@@ -31,8 +31,8 @@
 
 // Config holds the parameters of a Relay.
 type Config struct {
-	// Peers sends requests to other nodes.
-	Peers peerClient
+	// PeerClient sends requests to other nodes.
+	PeerClient peerClient
 	// Local runs attempts on this node's own targets.
 	Local admitter
 }
@@ -58,7 +58,7 @@
 		return r.sendToOwn(ctx, send, req)
 	}
 	req.Header.Set(carobheader.Offer, carobheader.FormatOffer(send))
-	answer, err := r.config.Peers.Do(ctx, send.PeerAddress, req, send.Guarantee != carobguarantee.Idempotent)
+	answer, err := r.config.PeerClient.Do(ctx, send.PeerAddress, req, send.Guarantee != carobguarantee.Idempotent)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -28,10 +28,10 @@
 	RemoteDelay carobduration.Duration `json:"far"`
 	// Noise is the effect of noisy neighbours on the VMs.
 	Noise noise `json:"noise"`
-	// Measure, Retries and Profile are settings of the nodes; one profile holds for all
+	// ProbeLimits, Retries and Profile are settings of the nodes; one profile holds for all
 	// services.
-	Measure carobprobelimits.ProbeLimits `json:"measure"`
-	Retries carobretrylimits.RetryLimits `json:"retries"`
+	ProbeLimits carobprobelimits.ProbeLimits `json:"measure"`
+	RetryLimits carobretrylimits.RetryLimits `json:"retries"`
 	Profile carobprofile.Profile         `json:"profile"`
 	// Services has at least one element.
 	Services []service `json:"services"`
@@ -94,7 +94,7 @@
 	profile := carobprofile.NewProfile("emulated")
 	profile.HedgeQuantile, profile.LocalLoadLimit, profile.Policy = 0, 0, "local"
 	return Scenario{
-		Centres: []carobcentre.Centre{centre}, Measure: carobprobelimits.NewProbeLimits(), Retries: carobretrylimits.NewRetryLimits(), Profile: profile,
+		Centres: []carobcentre.Centre{centre}, ProbeLimits: carobprobelimits.NewProbeLimits(), RetryLimits: carobretrylimits.NewRetryLimits(), Profile: profile,
 	}
 }
 
--- a/internal/carobstandtarget/announce.go
+++ b/internal/carobstandtarget/announce.go
@@ -49,7 +49,7 @@
 // announce sends an announcement with the given readiness to the node.
 func (t *Target) announce(ctx context.Context, address carobaddress.Address, readiness carobreadiness.Readiness) {
 	data, err := json.Marshal(carobannouncement.Announcement{
-		Address: address, Profile: t.config.Profile, Slots: t.config.Slots, Connections: t.config.Conns, Readiness: readiness,
+		Address: address, Profile: t.config.Profile, Slots: t.config.Slots, Connections: t.config.Connections, Readiness: readiness,
 	})
 	if err == nil {
 		t.sendToNode(ctx, http.MethodPut, data)
--- a/internal/carobstandtarget/target.go
+++ b/internal/carobstandtarget/target.go
@@ -26,7 +26,7 @@
 	// calls that run at once; below 1 it counts as 1.
 	Profile carobname.Name
 	Slots   int
-	Conns   int
+	Connections   int
 	// Behaviour is the initial behaviour; the default one if its Shape is empty.
 	Behaviour carobbehaviour.Behaviour
 	// Seed seeds all random times.
