--- a/internal/carobstatus/status.go
+++ b/internal/carobstatus/status.go
@@ -58,7 +58,7 @@
 	ID      carobtargetid.ID         `json:"id"`
 	Node    carobnodeid.ID           `json:"node"`
 	Profile carobname.Name           `json:"profile"`
-	State   carobreadiness.Readiness `json:"state"`
+	Readiness   carobreadiness.Readiness `json:"state"`
 	Slots   int                      `json:"slots"`
 	Running int                      `json:"running"`
 	Queued  int                      `json:"queued"`
@@ -124,7 +124,7 @@
 }
 
 func describeTarget(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, tg *carobtarget.Target) target {
-	result := target{ID: id, Node: tg.Node, Profile: tg.Profile, State: tg.Readiness, Slots: tg.Slots}
+	result := target{ID: id, Node: tg.Node, Profile: tg.Profile, Readiness: tg.Readiness, Slots: tg.Slots}
 	load := w.Loads.Get(id)
 	result.Ejected = load != nil && load.EjectionEnd != carobinstant.Never
 	if admission := w.AdmissionStates.Get(id); admission != nil && w.Owns(tg) {
--- a/internal/carobstatus/write.go
+++ b/internal/carobstatus/write.go
@@ -23,7 +23,7 @@
 			load = fmt.Sprintf("%d\t%d\t%s", t.Running, t.Queued, formatDuration(t.Latency))
 			age = formatDuration(t.ReportAge)
 		}
-		printRow("%s\t%s\t%s\t%s\t%d\t%s\t%s\t%t", t.ID, t.Node, t.Profile, t.State, t.Slots, load, age, t.Ejected)
+		printRow("%s\t%s\t%s\t%s\t%d\t%s\t%s\t%t", t.ID, t.Node, t.Profile, t.Readiness, t.Slots, load, age, t.Ejected)
 	}
 	printRow("")
 	printRow("PEER\tINCARNATION\tCENTRE\tLEAVING\tLAST HEARD")
