--- a/internal/carobadmin/admin.go
+++ b/internal/carobadmin/admin.go
@@ -37,15 +37,15 @@
 	Metrics http.Handler
 }
 
-// Admin serves the admin address.
-type Admin struct {
+// AdminServer serves the admin address.
+type AdminServer struct {
 	config Config
 	app    *fiber.App
 }
 
-// NewAdmin returns a server that does not listen until Serve is called.
-func NewAdmin(c Config) *Admin {
-	a := &Admin{config: c, app: fiber.New(fiber.Config{ErrorHandler: writeError, Immutable: true})}
+// NewAdminServer returns a server that does not listen until Serve is called.
+func NewAdminServer(c Config) *AdminServer {
+	a := &AdminServer{config: c, app: fiber.New(fiber.Config{ErrorHandler: writeError, Immutable: true})}
 	a.app.Put("/targets/:service/:name", a.announce)
 	a.app.Delete("/targets/:service/:name", a.withdraw)
 	a.app.Get("/health", a.health)
@@ -55,17 +55,17 @@
 }
 
 // Serve accepts connections until Shutdown is called.
-func (a *Admin) Serve(listener net.Listener) error {
+func (a *AdminServer) Serve(listener net.Listener) error {
 	return a.app.Listener(listener, fiber.ListenConfig{DisableStartupMessage: true})
 }
 
 // Shutdown stops accepting connections and waits for the requests in progress, until
 // ctx is done at the latest.
-func (a *Admin) Shutdown(ctx context.Context) error {
+func (a *AdminServer) Shutdown(ctx context.Context) error {
 	return a.app.ShutdownWithContext(ctx)
 }
 
-func (a *Admin) announce(c fiber.Ctx) error {
+func (a *AdminServer) announce(c fiber.Ctx) error {
 	id, err := parseTarget(c)
 	if err != nil {
 		return err
@@ -79,7 +79,7 @@
 	return c.SendStatus(http.StatusNoContent)
 }
 
-func (a *Admin) withdraw(c fiber.Ctx) error {
+func (a *AdminServer) withdraw(c fiber.Ctx) error {
 	id, err := parseTarget(c)
 	if err != nil {
 		return err
@@ -88,13 +88,13 @@
 	return c.SendStatus(http.StatusNoContent)
 }
 
-func (a *Admin) postAnnouncement(announcement carobannouncement.Announcement) {
+func (a *AdminServer) postAnnouncement(announcement carobannouncement.Announcement) {
 	a.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Announcements = append(in.Announcements, announcement) })
 }
 
 // health answers 200 if the node can route calls: it has profiles and is not
 // shutting down. Otherwise it answers with the status of Leaving or NotReady.
-func (a *Admin) health(c fiber.Ctx) error {
+func (a *AdminServer) health(c fiber.Ctx) error {
 	kind := carobkind.None
 	err := a.config.Control.Query(c.Context(), func(w *carobworld.World) {
 		switch {
@@ -114,7 +114,7 @@
 }
 
 // status answers with the node's status as JSON.
-func (a *Admin) status(c fiber.Ctx) error {
+func (a *AdminServer) status(c fiber.Ctx) error {
 	var status carobstatus.Status
 	err := a.config.Control.Query(c.Context(), func(w *carobworld.World) {
 		status = carobstatus.Describe(w, a.config.Timer.Now())
--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -67,7 +67,7 @@
 	// received.
 	MaxBufferedAnswer carobsize.Size
 	// DisconnectWatch detects that entry nodes close their connections.
-	DisconnectWatch *carobwatch.Watch
+	DisconnectWatch *carobwatch.DisconnectWatch
 	Timer *carobtimer.Timer
 	// StallTimeout is how long an entry node may send or accept no bytes of a body.
 	StallTimeout time.Duration
--- a/internal/carobadmitter/incoming_job.go
+++ b/internal/carobadmitter/incoming_job.go
@@ -63,7 +63,7 @@
 // call limits the wait for the header of the response, not the transfer of its body.
 func (j *incomingJob) run(ctx *fasthttp.RequestCtx) error {
 	config := j.admitter.config
-	upload, err := carobupload.NewUpload(carobupload.Config{
+	upload, err := carobupload.NewRequestBody(carobupload.Config{
 		Stream: ctx.RequestBodyStream(), Length: ctx.Request.Header.ContentLength(), MaxBuffered: maxBufferedBody,
 		Conn: ctx.Conn(), Timer: config.Timer, StallTimeout: config.StallTimeout,
 	})
@@ -89,10 +89,10 @@
 }
 
 // forward sends a response to the entry node.
-func (j *incomingJob) forward(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, upload *carobupload.Upload) {
+func (j *incomingJob) forward(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, upload *carobupload.RequestBody) {
 	answer.Response.Header.CopyTo(&ctx.Response.Header)
 	j.admitter.addReport(ctx, j.offer.Target)
-	carobbody.Attach(ctx, answer, j.admitter.config.Timer, j.admitter.config.StallTimeout, func(carobkind.Kind) {
+	carobbody.SetResponseBody(ctx, answer, j.admitter.config.Timer, j.admitter.config.StallTimeout, func(carobkind.Kind) {
 		upload.Release()
 		j.close()
 	})
--- a/internal/carobadmitter/native_dialect.go
+++ b/internal/carobadmitter/native_dialect.go
@@ -23,9 +23,9 @@
 func (nativeDialect) PrepareRequest(req *fasthttp.Request, start *carobstart.Start, _ carobtargetid.ID) {
 	const base = 10
 	req.Header.Set(carobheader.Deadline, strconv.FormatInt(max(1, int64(start.TimeLeft/time.Millisecond)), base))
-	req.Header.Set(carobheader.Call, start.Job.Call.String())
+	req.Header.Set(carobheader.CallID, start.Job.Call.String())
 	if start.Traceparent != "" {
-		req.Header.Set(carobheader.Trace, start.Traceparent)
+		req.Header.Set(carobheader.TraceContext, start.Traceparent)
 	}
 }
 
--- a/internal/carobadmitter/serve.go
+++ b/internal/carobadmitter/serve.go
@@ -75,7 +75,7 @@
 func (a *Admitter) refuse(ctx *fasthttp.RequestCtx, job *incomingJob, err error) {
 	kind := carobkind.Of(err)
 	ctx.Response.SetStatusCode(kind.Status())
-	ctx.Response.Header.Set(carobheader.Kind, string(kind))
+	ctx.Response.Header.Set(carobheader.ErrorKind, string(kind))
 	if job != nil {
 		a.addReport(ctx, job.offer.Target)
 	}
@@ -89,6 +89,6 @@
 // parseOffer reads the offer of a job from the header of an attempt.
 func parseOffer(header *fasthttp.RequestHeader) (caroboffer.Offer, error) {
 	offer, err := carobheader.ParseOffer(string(header.Peek(carobheader.Offer)))
-	offer.Key, offer.Traceparent = string(header.Peek(carobheader.Key)), string(header.Peek(carobheader.Trace))
+	offer.Key, offer.Traceparent = string(header.Peek(carobheader.IdempotencyKey)), string(header.Peek(carobheader.TraceContext))
 	return offer, err
 }
--- a/internal/carobbench/cell.go
+++ b/internal/carobbench/cell.go
@@ -73,7 +73,7 @@
 	length := benchCase.duration(b.config.Duration)
 	service := cluster.deployment.services[0]
 	capacity := float64(slots*service.targets) / b.config.MeanLatency.Seconds()
-	loader := carobloader.NewLoader(carobloader.Config{
+	loader := carobloader.NewLoadGenerator(carobloader.Config{
 		Name: variant.name, Nodes: cluster.callAddresses(), Service: carobservice.Service(service.name), Rate: benchCase.load * capacity,
 		Duration: warmup + length, Warmup: warmup, Seed: b.config.Seed + uint64(round), //nolint:gosec // not negative
 		RequestSize: bodySize, Deadline: benchCase.deadline, Timer: b.config.Timer,
@@ -227,8 +227,8 @@
 func (r result) line() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s %s %s #%d: p50 %s p99 %s p99.9 %s", r.Deployment, r.Case, r.Variant, r.Round,
-		carobsummary.Milliseconds(r.Callers.EffectiveLatency.P50), carobsummary.Milliseconds(r.Callers.EffectiveLatency.P99),
-		carobsummary.Milliseconds(r.Callers.EffectiveLatency.P999))
+		carobsummary.FormatMilliseconds(r.Callers.EffectiveLatency.P50), carobsummary.FormatMilliseconds(r.Callers.EffectiveLatency.P99),
+		carobsummary.FormatMilliseconds(r.Callers.EffectiveLatency.P999))
 	fmt.Fprintf(&text, " good %.1f%% of %d, hedges %.1f%%, sick %.2f%%, back %.1f%%, %.0f B/s, cpu %.3f",
 		100*float64(r.Callers.Good)/max(float64(r.Callers.Calls), 1), r.Callers.Calls, 100*r.Hedges,
 		100*r.FaultyShare, 100*r.RecoveredShare, r.ProbeBytes, r.CPU)
--- a/internal/carobbody/attach.go
+++ b/internal/carobbody/attach.go
@@ -14,10 +14,10 @@
 // header, in bytes. The header of a response with a longer body is sent at once.
 const maxSingleWriteBody = 4096
 
-// Attach forwards the body of answer as the body of the response to ctx, whose header
+// SetResponseBody forwards the body of answer as the body of the response to ctx, whose header
 // must already be set. Sending fails if the receiver accepts no bytes for the duration
 // stall. onEnd is called like Config.Over.
-func Attach(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, timer *carobtimer.Timer, stall time.Duration, onEnd func(kind carobkind.Kind)) {
+func SetResponseBody(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, timer *carobtimer.Timer, stall time.Duration, onEnd func(kind carobkind.Kind)) {
 	ctx.Response.Header.SetNoDefaultContentType(true)
 	conn := ctx.Conn()
 	extendDeadline := func() { _ = conn.SetWriteDeadline(timer.WallTime().Add(stall)) }
--- a/internal/carobclaimlog/claimlog.go
+++ b/internal/carobclaimlog/claimlog.go
@@ -21,7 +21,7 @@
 
 // Config holds the parameters of a claim log.
 type Config struct {
-	Log     *carobplatform.Client
+	Log     *carobplatform.LogClient
 	Mailbox *carobmailbox.Mailbox
 	Timer   *carobtimer.Timer
 	Logger  *logrus.Entry
--- a/internal/carobcommand/emulate.go
+++ b/internal/carobcommand/emulate.go
@@ -52,7 +52,7 @@
 		if err != nil {
 			return err
 		}
-		carobsummary.Table(std.out, emulator.Run(*duration)...)
+		carobsummary.WriteTable(std.out, emulator.Run(*duration)...)
 		return nil
 	}
 }
--- a/internal/carobcommand/load.go
+++ b/internal/carobcommand/load.go
@@ -85,10 +85,10 @@
 	summaries := make([]*carobsummary.Summary, len(configs))
 	var running sync.WaitGroup
 	for i, config := range configs {
-		running.Go(func() { summaries[i] = carobloader.NewLoader(config).Run(ctx) })
+		running.Go(func() { summaries[i] = carobloader.NewLoadGenerator(config).Run(ctx) })
 	}
 	running.Wait()
-	carobsummary.Table(std.out, summaries...)
+	carobsummary.WriteTable(std.out, summaries...)
 	if err := writeReport(file, summaries); err != nil {
 		return err
 	}
--- a/internal/carobcommand/log.go
+++ b/internal/carobcommand/log.go
@@ -54,7 +54,7 @@
 	}
 	timer := carobtimer.NewTimer()
 	go timer.Run(ctx)
-	server := carobstandlog.NewLog(carobstandlog.Config{Timer: timer, Retention: retention})
+	server := carobstandlog.NewFakeLog(carobstandlog.Config{Timer: timer, Retention: retention})
 	_, _ = fmt.Fprintf(std.out, "log=http://%s\n", listener.Addr())
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(listener) }()
--- a/internal/carobcommand/profiles.go
+++ b/internal/carobcommand/profiles.go
@@ -44,8 +44,8 @@
 		if *url == "" || len(args) > 0 {
 			return errUsage("-log URL is needed, and no operands")
 		}
-		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Timeout: *timeout})
-		history := carobledger.NewLedger(carobledger.Config{Log: client})
+		client := carobplatform.NewLogClient(carobplatform.Config{URL: *url, Timeout: *timeout})
+		history := carobledger.NewProfileHistory(carobledger.Config{Log: client})
 		if err := history.Read(ctx); err != nil {
 			return carobkind.Wrap(carobkind.AppendUncertain, err, "the log cannot be read")
 		}
@@ -61,7 +61,7 @@
 }
 
 // settleChange prints the result of the change with an ID.
-func settleChange(std *stdStreams, history *carobledger.Ledger, id string) error {
+func settleChange(std *stdStreams, history *carobledger.ProfileHistory, id string) error {
 	result, ok := history.FindResult(id)
 	if ok {
 		return reportResult(std, result)
@@ -73,7 +73,7 @@
 }
 
 // printJSON prints the revisions in force as a JSON list.
-func printJSON(out io.Writer, history *carobledger.Ledger) error {
+func printJSON(out io.Writer, history *carobledger.ProfileHistory) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(sortedRevisions(history)); err != nil {
@@ -83,7 +83,7 @@
 }
 
 // printTables prints the profiles in force and the history of changes as tables.
-func printTables(std *stdStreams, history *carobledger.Ledger) error {
+func printTables(std *stdStreams, history *carobledger.ProfileHistory) error {
 	if !history.Complete() {
 		_, _ = fmt.Fprintln(std.err, "carobknot profiles: the log keeps neither the first changes nor a snapshot of them; the output is incomplete")
 	}
@@ -103,7 +103,7 @@
 }
 
 // sortedRevisions returns the revisions in force, sorted by the names of the profiles.
-func sortedRevisions(history *carobledger.Ledger) []carobrevision.Revision {
+func sortedRevisions(history *carobledger.ProfileHistory) []carobrevision.Revision {
 	revisions := history.RevisionsInForce()
 	slices.SortFunc(revisions, func(a, b carobrevision.Revision) int {
 		return cmp.Compare(a.Change.Profile.Name, b.Change.Profile.Name)
--- a/internal/carobcommand/publish.go
+++ b/internal/carobcommand/publish.go
@@ -48,10 +48,10 @@
 		if *url == "" || len(args) != 1 {
 			return errUsage("-log URL and one FILE are needed")
 		}
-		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Timeout: *timeout})
+		client := carobplatform.NewLogClient(carobplatform.Config{URL: *url, Timeout: *timeout})
 		p := &publisher{
 			std: std, url: *url, log: client,
-			history: carobledger.NewLedger(carobledger.Config{Log: client}),
+			history: carobledger.NewProfileHistory(carobledger.Config{Log: client}),
 		}
 		return p.publish(ctx, args[0])
 	}
@@ -61,8 +61,8 @@
 type publisher struct {
 	std     *stdStreams
 	url     string
-	log     *carobplatform.Client
-	history *carobledger.Ledger
+	log     *carobplatform.LogClient
+	history *carobledger.ProfileHistory
 	// change is empty until publish has read the file.
 	change carobchange.Change
 }
--- a/internal/carobcommand/target.go
+++ b/internal/carobcommand/target.go
@@ -73,5 +73,5 @@
 	c.Timer, c.Logger = carobtimer.NewTimer(), newLogger(std)
 	go c.Timer.Run(inner)
 	_, _ = fmt.Fprintf(std.out, "target=%s\n", listener.Addr())
-	return carobstandtarget.NewTarget(c).Run(ctx, listener)
+	return carobstandtarget.NewFakeTarget(c).Run(ctx, listener)
 }
--- a/internal/carobdemo/components.go
+++ b/internal/carobdemo/components.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return "", err
 	}
-	server := carobstandlog.NewLog(carobstandlog.Config{Timer: d.timer})
+	server := carobstandlog.NewFakeLog(carobstandlog.Config{Timer: d.timer})
 	go func() { _ = server.Serve(listener) }()
 	d.stops = append(d.stops, func() { _ = listener.Close() })
 	return "http://" + listener.Addr().String(), nil
@@ -106,7 +106,7 @@
 	behaviour := carobbehaviour.NewBehaviour()
 	behaviour.Latency, behaviour.Shape = carobduration.Duration(latency), carobbehaviour.LogNormal
 	id := carobtargetid.ID{Service: service.name, Name: carobname.Name(fmt.Sprintf("t%d", index))}
-	target := carobstandtarget.NewTarget(carobstandtarget.Config{
+	target := carobstandtarget.NewFakeTarget(carobstandtarget.Config{
 		ID: id, Profile: carobname.Name(service.name), Slots: slots, Connections: slots * slots, Behaviour: behaviour,
 		Seed: d.config.Seed + uint64(len(d.targets)), Admin: node.admin, Timer: d.timer, Logger: d.logger,
 	})
@@ -146,7 +146,7 @@
 	if err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "encode change")
 	}
-	_, err = carobplatform.NewClient(carobplatform.Config{URL: log, Timeout: logTimeout}).
+	_, err = carobplatform.NewLogClient(carobplatform.Config{URL: log, Timeout: logTimeout}).
 		Append(ctx, carobstream.Profiles, data)
 	return err
 }
--- a/internal/carobdemo/demo.go
+++ b/internal/carobdemo/demo.go
@@ -99,7 +99,7 @@
 		summaries = append(summaries, d.load(ctx, phase.name)...)
 	}
 	d.printf("in the phase jump, the first target of lookups takes %d times as long:\n", slowFactor)
-	carobsummary.Table(d.config.Out, summaries...)
+	carobsummary.WriteTable(d.config.Out, summaries...)
 	return d.verify(ctx, summaries)
 }
 
@@ -115,7 +115,7 @@
 		for _, node := range d.nodes {
 			c.Nodes = append(c.Nodes, node.call)
 		}
-		loaders.Go(func() { summaries[i] = carobloader.NewLoader(c).Run(ctx) })
+		loaders.Go(func() { summaries[i] = carobloader.NewLoadGenerator(c).Run(ctx) })
 	}
 	loaders.Wait()
 	return summaries
--- a/internal/carobemulator/emulator_test.go
+++ b/internal/carobemulator/emulator_test.go
@@ -29,7 +29,7 @@
 	kinds := map[string]*carobsummary.Summary{}
 	summaries := emulator.Run(10 * time.Second)
 	if testing.Verbose() {
-		carobsummary.Table(os.Stdout, summaries...)
+		carobsummary.WriteTable(os.Stdout, summaries...)
 	}
 	for _, summary := range summaries {
 		kinds[summary.Name] = summary
--- a/internal/carobenroller/enroller.go
+++ b/internal/carobenroller/enroller.go
@@ -45,8 +45,8 @@
 	requestTimeout = time.Second
 )
 
-// Enroller writes and reads the directory.
-type Enroller struct {
+// MemberSync writes and reads the directory.
+type MemberSync struct {
 	config Config
 	mutex  sync.Mutex
 	// member is the newest one to be written, encoded; nil before the first.
@@ -55,14 +55,14 @@
 	wake chan struct{}
 }
 
-// NewEnroller starts nothing; Run does.
-func NewEnroller(c Config) *Enroller {
-	return &Enroller{config: c, wake: make(chan struct{}, 1)}
+// NewMemberSync starts nothing; Run does.
+func NewMemberSync(c Config) *MemberSync {
+	return &MemberSync{config: c, wake: make(chan struct{}, 1)}
 }
 
 // Execute takes the newest member that the tick appends to the stream of nodes. It
 // does not wait for the directory.
-func (e *Enroller) Execute(out *caroboutbox.Outbox) {
+func (e *MemberSync) Execute(out *caroboutbox.Outbox) {
 	for _, ap := range out.Appends {
 		if ap.Stream != carobstream.Nodes {
 			continue
@@ -80,7 +80,7 @@
 // Run writes the node's member after each change and then reads those of all nodes,
 // until ctx is done. It writes before it reads, so that of two nodes that start
 // together at least one finds the other.
-func (e *Enroller) Run(ctx context.Context) {
+func (e *MemberSync) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -94,7 +94,7 @@
 
 // retry repeats an operation with backoff until it succeeds or ctx is done. It logs
 // only the first failure.
-func (e *Enroller) retry(ctx context.Context, failureText string, operation func(ctx context.Context) error) {
+func (e *MemberSync) retry(ctx context.Context, failureText string, operation func(ctx context.Context) error) {
 	backoff := minBackoff
 	for tries := 0; ctx.Err() == nil; tries++ {
 		inner, cancel := context.WithTimeout(ctx, requestTimeout)
@@ -111,7 +111,7 @@
 	}
 }
 
-func (e *Enroller) write(ctx context.Context) error {
+func (e *MemberSync) write(ctx context.Context) error {
 	e.mutex.Lock()
 	member := e.member
 	e.mutex.Unlock()
@@ -119,7 +119,7 @@
 }
 
 // read posts the members of all nodes as records of the stream of nodes.
-func (e *Enroller) read(ctx context.Context) error {
+func (e *MemberSync) read(ctx context.Context) error {
 	members, err := e.config.Directory.Members(ctx)
 	if err != nil {
 		return err
--- a/internal/carobentrance/arrival.go
+++ b/internal/carobentrance/arrival.go
@@ -26,7 +26,7 @@
 	if err := carobheader.Check(header); err != nil {
 		return arrival, err
 	}
-	arrival.Key, arrival.Traceparent = string(header.Peek(carobheader.Key)), string(header.Peek(carobheader.Trace))
+	arrival.Key, arrival.Traceparent = string(header.Peek(carobheader.IdempotencyKey)), string(header.Peek(carobheader.TraceContext))
 	var err error
 	if arrival.Service, err = parseService(string(header.Host())); err != nil {
 		return arrival, err
--- a/internal/carobentrance/entrance.go
+++ b/internal/carobentrance/entrance.go
@@ -49,12 +49,12 @@
 	Mailbox     *carobmailbox.Mailbox
 	Relay       relay
 	Control     querier
-	DisconnectWatch       *carobwatch.Watch
+	DisconnectWatch       *carobwatch.DisconnectWatch
 	Timer       *carobtimer.Timer
 }
 
-// Entrance is the HTTP server for callers.
-type Entrance struct {
+// FrontEnd is the HTTP server for callers.
+type FrontEnd struct {
 	config    Config
 	server    *fasthttp.Server
 	exchanges *carobexchange.Exchanges
@@ -69,9 +69,9 @@
 // that the library streams every body and the limit of Config.Limits applies.
 const unlimitedBody = math.MaxInt
 
-// NewEntrance returns an entrance that does not listen yet.
-func NewEntrance(c Config) *Entrance {
-	e := &Entrance{config: c, exchanges: carobexchange.NewExchanges(carobexchange.Config{Mailbox: c.Mailbox, Relay: c.Relay})}
+// NewFrontEnd returns an entrance that does not listen yet.
+func NewFrontEnd(c Config) *FrontEnd {
+	e := &FrontEnd{config: c, exchanges: carobexchange.NewExchanges(carobexchange.Config{Mailbox: c.Mailbox, Relay: c.Relay})}
 	e.server = &fasthttp.Server{
 		Handler:                      e.handle,
 		ExpectHandler:                e.handleExpect,
@@ -92,26 +92,26 @@
 }
 
 // Serve accepts and serves connections until Shutdown.
-func (e *Entrance) Serve(listener net.Listener) error {
+func (e *FrontEnd) Serve(listener net.Listener) error {
 	return e.server.Serve(&boundedListener{Listener: listener, timer: e.config.Timer, limit: int64(e.config.Limits.Connections)})
 }
 
 // Drain does nothing: Shutdown closes each connection after its answer.
-func (e *Entrance) Drain() {}
+func (e *FrontEnd) Drain() {}
 
 // Shutdown stops listening and returns when all connections are closed or ctx
 // ends.
-func (e *Entrance) Shutdown(ctx context.Context) error {
+func (e *FrontEnd) Shutdown(ctx context.Context) error {
 	return e.server.ShutdownWithContext(ctx)
 }
 
 // Execute forwards the effects of a tick to the goroutines of the calls.
-func (e *Entrance) Execute(out *caroboutbox.Outbox) {
+func (e *FrontEnd) Execute(out *caroboutbox.Outbox) {
 	e.exchanges.Execute(out)
 }
 
 // handle runs a call from the received header to the end of its answer.
-func (e *Entrance) handle(ctx *fasthttp.RequestCtx) {
+func (e *FrontEnd) handle(ctx *fasthttp.RequestCtx) {
 	call := e.newCallID()
 	arrivedAt := e.config.Timer.Now()
 	arrival, err := parseArrival(call, &ctx.Request.Header)
@@ -137,13 +137,13 @@
 }
 
 // newCallID returns the ID of the next call of this node.
-func (e *Entrance) newCallID() carobcallid.ID {
+func (e *FrontEnd) newCallID() carobcallid.ID {
 	return carobcallid.ID{Node: e.config.Node, Incarnation: e.config.Incarnation, Sequence: e.sequence.Add(1)}
 }
 
 // openUpload prepares the body of a call and reads it if it is to be buffered.
-func (e *Entrance) openUpload(ctx *fasthttp.RequestCtx, reserved carobsize.Size) (*carobupload.Upload, error) {
-	return carobupload.NewUpload(carobupload.Config{
+func (e *FrontEnd) openUpload(ctx *fasthttp.RequestCtx, reserved carobsize.Size) (*carobupload.RequestBody, error) {
+	return carobupload.NewRequestBody(carobupload.Config{
 		Stream: ctx.RequestBodyStream(), Length: ctx.Request.Header.ContentLength(),
 		MaxBuffered: max(reserved, smallBody), MaxSize: e.config.Limits.BodySize,
 		Conn: ctx.Conn(), Timer: e.config.Timer, StallTimeout: e.config.Limits.StallTimeout.Duration(),
@@ -158,7 +158,7 @@
 // size in bytes. It returns 0 if the call has no body, if the body is small
 // enough to need no reservation, or if it exceeds the limit of the profile or of
 // the node and has to be streamed.
-func (e *Entrance) reserveBuffer(ctx *fasthttp.RequestCtx, service carobservice.Service) carobsize.Size {
+func (e *FrontEnd) reserveBuffer(ctx *fasthttp.RequestCtx, service carobservice.Service) carobsize.Size {
 	length := carobsize.Size(ctx.Request.Header.ContentLength())
 	if ctx.RequestBodyStream() == nil || 0 <= length && length <= smallBody {
 		return 0
@@ -179,7 +179,7 @@
 
 // maxBufferedBody returns the maximum size of a buffered body in the service's
 // profile, or 0 if the node has no profile of the service.
-func (e *Entrance) maxBufferedBody(service carobservice.Service) carobsize.Size {
+func (e *FrontEnd) maxBufferedBody(service carobservice.Service) carobsize.Size {
 	var size carobsize.Size
 	_ = e.config.Control.Query(context.Background(), func(w *carobworld.World) {
 		if profile := w.ProfileOf(service); profile != nil {
@@ -191,7 +191,7 @@
 
 // handleExpect answers the header "Expect: 100-continue": it returns 100 if the
 // caller may send the body, and the status of an error response otherwise.
-func (e *Entrance) handleExpect(ctx *fasthttp.RequestCtx) int {
+func (e *FrontEnd) handleExpect(ctx *fasthttp.RequestCtx) int {
 	call := e.newCallID()
 	_, err := parseArrival(call, &ctx.Request.Header)
 	if length := ctx.Request.Header.ContentLength(); err == nil && length > int(e.config.Limits.BodySize) {
--- a/internal/carobentrance/listener.go
+++ b/internal/carobentrance/listener.go
@@ -101,7 +101,7 @@
 	body := fmt.Sprintf("%s: the limit of %d connections is reached\n", kind, c.listener.limit)
 	response := fmt.Sprintf("HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Type: text/plain; charset=utf-8\r\n"+
 		"%s: %s\r\n%s: %s\r\nRetry-After: %d\r\nContent-Length: %d\r\n\r\n%s",
-		kind.Status(), http.StatusText(kind.Status()), carobheader.Outcome, kind.Outcome(), carobheader.Kind, kind,
+		kind.Status(), http.StatusText(kind.Status()), carobheader.Outcome, kind.Outcome(), carobheader.ErrorKind, kind,
 		int(kind.RetryAfter()/time.Second), len(body), body)
 	_ = c.SetWriteDeadline(c.listener.timer.WallTime().Add(lingerTimeout))
 	_, _ = io.WriteString(c.Conn, response)
--- a/internal/carobentrance/refuse.go
+++ b/internal/carobentrance/refuse.go
@@ -15,14 +15,14 @@
 
 // refuse responds with an error. If parts of the body may be unread, the
 // connection is closed afterwards.
-func (e *Entrance) refuse(ctx *fasthttp.RequestCtx, call carobcallid.ID, err error) {
+func (e *FrontEnd) refuse(ctx *fasthttp.RequestCtx, call carobcallid.ID, err error) {
 	kind := carobkind.Of(err)
 	ctx.Response.Reset()
 	ctx.Response.SetStatusCode(kind.Status())
 	ctx.Response.Header.SetContentType("text/plain; charset=utf-8")
 	ctx.Response.Header.Set(carobheader.Outcome, string(kind.Outcome()))
-	ctx.Response.Header.Set(carobheader.Call, call.String())
-	ctx.Response.Header.Set(carobheader.Kind, string(kind))
+	ctx.Response.Header.Set(carobheader.CallID, call.String())
+	ctx.Response.Header.Set(carobheader.ErrorKind, string(kind))
 	if retry := kind.RetryAfter(); retry > 0 {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(retry/time.Second)))
 	}
@@ -35,7 +35,7 @@
 // reject refuses a call that could not be parsed or read completely. The
 // connection is closed afterwards, because the bytes that follow may belong to
 // the call's body and must not be taken for a new request.
-func (e *Entrance) reject(ctx *fasthttp.RequestCtx, call carobcallid.ID, err error) {
+func (e *FrontEnd) reject(ctx *fasthttp.RequestCtx, call carobcallid.ID, err error) {
 	e.refuse(ctx, call, err)
 	closeAfterResponse(ctx)
 }
@@ -52,7 +52,7 @@
 }
 
 // handleError responds to a request that the HTTP library could not read.
-func (e *Entrance) handleError(ctx *fasthttp.RequestCtx, err error) {
+func (e *FrontEnd) handleError(ctx *fasthttp.RequestCtx, err error) {
 	var smallBuffer *fasthttp.ErrSmallBuffer
 	var netErr net.Error
 	switch {
--- a/internal/carobentrance/responder.go
+++ b/internal/carobentrance/responder.go
@@ -16,7 +16,7 @@
 
 // responder sends the result of a call to its caller.
 type responder struct {
-	entrance *Entrance
+	entrance *FrontEnd
 	ctx      *fasthttp.RequestCtx
 	call     carobcallid.ID
 }
@@ -28,14 +28,14 @@
 	carobheader.CleanResponse(&answer.Response.Header)
 	answer.Response.Header.CopyTo(&r.ctx.Response.Header)
 	r.ctx.Response.Header.Set(carobheader.Outcome, string(caroboutcome.Answered))
-	r.ctx.Response.Header.Set(carobheader.Call, r.call.String())
+	r.ctx.Response.Header.Set(carobheader.CallID, r.call.String())
 	var recorder *bodyRecorder
-	if len(r.ctx.Request.Header.Peek(carobheader.Key)) > 0 {
+	if len(r.ctx.Request.Header.Peek(carobheader.IdempotencyKey)) > 0 {
 		recorder = recordBody(answer)
 	}
 	config := r.entrance.config
 	unwatch := config.DisconnectWatch.Add(r.ctx.Conn(), abandon)
-	carobbody.Attach(r.ctx, answer, config.Timer, config.Limits.StallTimeout.Duration(), func(kind carobkind.Kind) {
+	carobbody.SetResponseBody(r.ctx, answer, config.Timer, config.Limits.StallTimeout.Duration(), func(kind carobkind.Kind) {
 		unwatch()
 		if kind != carobkind.None {
 			done(kind, nil)
--- a/internal/carobentrance/stored.go
+++ b/internal/carobentrance/stored.go
@@ -19,7 +19,7 @@
 	ctx.Response.SetStatusCode(stored.Status)
 	ctx.Response.Header.SetContentType(stored.Type)
 	ctx.Response.Header.Set(carobheader.Outcome, string(caroboutcome.Answered))
-	ctx.Response.Header.Set(carobheader.Call, call.String())
+	ctx.Response.Header.Set(carobheader.CallID, call.String())
 	ctx.Response.SetBody(stored.Body)
 }
 
--- a/internal/carobexchange/exchange.go
+++ b/internal/carobexchange/exchange.go
@@ -28,7 +28,7 @@
 	request   *fasthttp.Request
 	responder responder
 	// upload is the body, which every attempt sends.
-	upload *carobupload.Upload
+	upload *carobupload.RequestBody
 	// mutex guards answer and cancelled of the attempts.
 	mutex sync.Mutex
 	// attempts holds the attempts sent so far, by number.
--- a/internal/carobexchange/exchanges.go
+++ b/internal/carobexchange/exchanges.go
@@ -91,7 +91,7 @@
 
 // Run reports a call to the control goroutine and carries it out until its result
 // was sent. Every attempt has the header of req and the body of upload.
-func (e *Exchanges) Run(arrival carobarrival.Arrival, req *fasthttp.Request, upload *carobupload.Upload, responder responder) {
+func (e *Exchanges) Run(arrival carobarrival.Arrival, req *fasthttp.Request, upload *carobupload.RequestBody, responder responder) {
 	orders := e.dispatcher.Subscribe(arrival.Call)
 	defer e.dispatcher.Unsubscribe(arrival.Call)
 	e.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Arrivals = append(in.Arrivals, arrival) })
--- a/internal/carobfault/fault.go
+++ b/internal/carobfault/fault.go
@@ -6,9 +6,9 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Fault is the fault in force at a log, until the next one is set. The zero value means
+// LogFault is the fault in force at a log, until the next one is set. The zero value means
 // no fault.
-type Fault struct {
+type LogFault struct {
 	// Outage refuses every request with status 503, without effect.
 	Outage bool `json:"out"`
 	// ReadOutage refuses reads with status 503; appends work.
@@ -27,7 +27,7 @@
 }
 
 // Check returns an error of kind Invalid if a number is negative.
-func (f Fault) Check() error {
+func (f LogFault) Check() error {
 	if f.LostAnswers < 0 || f.DroppedAppends < 0 || f.Retention < 0 {
 		return carobkind.New(carobkind.Invalid, "lose, drop and keep must not be negative")
 	}
--- a/internal/carobfollower/follower.go
+++ b/internal/carobfollower/follower.go
@@ -43,8 +43,8 @@
 	recheckInterval = 10 * time.Second
 )
 
-// Follower reads route tables and posts them to the control goroutine's mailbox.
-type Follower struct {
+// RoutePoller reads route tables and posts them to the control goroutine's mailbox.
+type RoutePoller struct {
 	config Config
 	mutex  sync.Mutex
 	// enabled is true while the control goroutine needs tables. cancel ends the read in
@@ -62,14 +62,14 @@
 	unreadable bool
 }
 
-// NewFollower returns a poller that reads nothing until an outbox enables it and Run
+// NewRoutePoller returns a poller that reads nothing until an outbox enables it and Run
 // is called.
-func NewFollower(c Config) *Follower {
-	return &Follower{config: c, changed: make(chan struct{}, 1)}
+func NewRoutePoller(c Config) *RoutePoller {
+	return &RoutePoller{config: c, changed: make(chan struct{}, 1)}
 }
 
 // Execute starts or stops the reading of tables, as the tick decided.
-func (f *Follower) Execute(out *caroboutbox.Outbox) {
+func (f *RoutePoller) Execute(out *caroboutbox.Outbox) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.meanWait = out.LongPollTimeout
@@ -87,7 +87,7 @@
 }
 
 // Run reads tables until ctx is done.
-func (f *Follower) Run(ctx context.Context) {
+func (f *RoutePoller) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !f.isEnabled() && !f.idle(ctx) {
 			continue
@@ -96,7 +96,7 @@
 	}
 }
 
-func (f *Follower) isEnabled() bool {
+func (f *RoutePoller) isEnabled() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.enabled
@@ -104,7 +104,7 @@
 
 // idle waits until enabled changes, or until an unreadable store has to be checked
 // again. It reports whether to read although tables are not needed.
-func (f *Follower) idle(ctx context.Context) bool {
+func (f *RoutePoller) idle(ctx context.Context) bool {
 	inner, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if f.unreadable {
@@ -122,7 +122,7 @@
 
 // read reads once. The store may hold the read only while tables are needed, not if
 // it is checked for recovery.
-func (f *Follower) read(ctx context.Context) {
+func (f *RoutePoller) read(ctx context.Context) {
 	inner, cancel := context.WithCancel(ctx)
 	defer cancel()
 	wait := time.Duration(0)
@@ -156,7 +156,7 @@
 
 // updateState counts failures, and logs and posts when the store becomes unreadable
 // or readable again.
-func (f *Follower) updateState(err error) {
+func (f *RoutePoller) updateState(err error) {
 	f.failures++
 	if err == nil {
 		f.failures = 0
--- a/internal/carobfollower/follower_test.go
+++ b/internal/carobfollower/follower_test.go
@@ -48,7 +48,7 @@
 	go timer.Run(t.Context())
 	routeSource := &stubSource{reads: make(chan time.Duration), answers: make(chan error), table: table}
 	logger, logged := test.NewNullLogger()
-	poller := carobfollower.NewFollower(carobfollower.Config{
+	poller := carobfollower.NewRoutePoller(carobfollower.Config{
 		Source: routeSource, Mailbox: mailbox, Timer: timer, Logger: logrus.NewEntry(logger),
 	})
 	go poller.Run(t.Context())
--- a/internal/carobheader/header.go
+++ b/internal/carobheader/header.go
@@ -9,14 +9,14 @@
 	// Outcome tells whether the call was answered, did not run, or has an unknown
 	// outcome.
 	Outcome = "Carobknot-Outcome"
-	// Call is the call ID.
-	Call = "Carobknot-Call"
-	// Kind is the error kind. It is absent if there is no error.
-	Kind = "Carobknot-Kind"
-	// Key is the caller's idempotency key.
-	Key = "Idempotency-Key"
-	// Trace is the W3C trace context.
-	Trace = "Traceparent"
+	// CallID is the call ID.
+	CallID = "Carobknot-Call"
+	// ErrorKind is the error kind. It is absent if there is no error.
+	ErrorKind = "Carobknot-Kind"
+	// IdempotencyKey is the caller's idempotency key.
+	IdempotencyKey = "Idempotency-Key"
+	// TraceContext is the W3C trace context.
+	TraceContext = "Traceparent"
 )
 
 // Headers between nodes. Callers and targets cannot set them.
--- a/internal/carobheader/hop.go
+++ b/internal/carobheader/hop.go
@@ -83,7 +83,7 @@
 // isProtected reports whether a header is needed by the request itself. Naming it
 // in a Connection header does not remove it.
 func isProtected(name string) bool {
-	for _, needed := range []string{"Host", "Content-Length", "Content-Type", "Transfer-Encoding", Key, Trace} {
+	for _, needed := range []string{"Host", "Content-Length", "Content-Type", "Transfer-Encoding", IdempotencyKey, TraceContext} {
 		if strings.EqualFold(name, needed) {
 			return true
 		}
--- a/internal/carobingress/ingress.go
+++ b/internal/carobingress/ingress.go
@@ -51,8 +51,8 @@
 	Timer       *carobtimer.Timer
 }
 
-// Ingress is the server for callers that use the platform's dialect.
-type Ingress struct {
+// DialectFrontEnd is the server for callers that use the platform's dialect.
+type DialectFrontEnd struct {
 	config Config
 	server *carobserver.Server
 	// sequence is the sequence number of the newest call.
@@ -65,9 +65,9 @@
 // concurrently.
 const maxPipelined = 32
 
-// NewIngress returns an ingress that does not listen yet.
-func NewIngress(c Config) *Ingress {
-	i := &Ingress{config: c}
+// NewDialectFrontEnd returns an ingress that does not listen yet.
+func NewDialectFrontEnd(c Config) *DialectFrontEnd {
+	i := &DialectFrontEnd{config: c}
 	i.server = carobserver.NewServer(carobserver.Config{
 		Handler: i, Timer: c.Timer, MaxHeader: c.Limits.HeaderSize, MaxBody: c.Limits.BodySize,
 		HeaderTimeout: c.Limits.HeaderTimeout.Duration(), StallTimeout: c.Limits.StallTimeout.Duration(), IdleTimeout: c.Limits.IdleTimeout.Duration(),
@@ -77,29 +77,29 @@
 }
 
 // Serve accepts and serves connections until Shutdown.
-func (i *Ingress) Serve(listener net.Listener) error {
+func (i *DialectFrontEnd) Serve(listener net.Listener) error {
 	return i.server.Serve(listener)
 }
 
 // Drain makes the server close each connection after its pending answers.
-func (i *Ingress) Drain() {
+func (i *DialectFrontEnd) Drain() {
 	i.server.Drain()
 }
 
 // Shutdown stops listening and returns when all connections are closed or ctx
 // ends. The error is always nil.
-func (i *Ingress) Shutdown(ctx context.Context) error {
+func (i *DialectFrontEnd) Shutdown(ctx context.Context) error {
 	i.server.Close(ctx)
 	return nil
 }
 
 // Execute forwards the effects of a tick to the goroutines of the calls.
-func (i *Ingress) Execute(out *caroboutbox.Outbox) {
+func (i *DialectFrontEnd) Execute(out *caroboutbox.Outbox) {
 	i.config.Exchanges.Execute(out)
 }
 
 // Handle runs the call of a request to the end of its answer.
-func (i *Ingress) Handle(visit *carobvisit.Visit) {
+func (i *DialectFrontEnd) Handle(visit *carobvisit.PipelinedRequest) {
 	req := visit.Request()
 	r := &responder{ingress: i, visit: visit}
 	arrival, err := i.config.Dialect.ParseArrival(req)
@@ -117,7 +117,7 @@
 		Node: i.config.Node, Incarnation: i.config.Incarnation, Sequence: i.sequence.Add(1),
 	}
 	arrival.Size = carobsize.Size(bodySize)
-	upload, err := carobupload.NewUpload(carobupload.Config{Body: req.Body()})
+	upload, err := carobupload.NewRequestBody(carobupload.Config{Body: req.Body()})
 	if err != nil {
 		r.SendError(carobkind.Of(err), 0, err.Error())
 		return
@@ -128,14 +128,14 @@
 }
 
 // Reject fills in the response to bytes that could not be read as a request.
-func (i *Ingress) Reject(resp *fasthttp.Response, err error) {
+func (i *DialectFrontEnd) Reject(resp *fasthttp.Response, err error) {
 	i.config.Dialect.WriteRefusal(resp, nil, carobkind.Of(err), 0, err.Error())
 }
 
 // responder sends the result of a call to its caller.
 type responder struct {
-	ingress *Ingress
-	visit   *carobvisit.Visit
+	ingress *DialectFrontEnd
+	visit   *carobvisit.PipelinedRequest
 }
 
 // SendAnswer streams an answer of a target to the caller. Nothing is stored, because
--- a/internal/carobledger/ledger.go
+++ b/internal/carobledger/ledger.go
@@ -20,7 +20,7 @@
 
 // reader reads records of the log.
 type reader interface {
-	Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.Page, error)
+	Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.LogPage, error)
 }
 
 // Config holds what the profiles are read from.
@@ -28,9 +28,9 @@
 	Log reader
 }
 
-// Ledger holds the profiles and their changes as recorded in the log. It applies
+// ProfileHistory holds the profiles and their changes as recorded in the log. It applies
 // records with the same system as the nodes, so that both reach the same result.
-type Ledger struct {
+type ProfileHistory struct {
 	log   reader
 	world *carobworld.World
 	fold  *carobfold.System
@@ -42,9 +42,9 @@
 	Results []carobchangeresult.ChangeResult
 }
 
-// NewLedger returns a history without records. Read adds them.
-func NewLedger(c Config) *Ledger {
-	return &Ledger{
+// NewProfileHistory returns a history without records. Read adds them.
+func NewProfileHistory(c Config) *ProfileHistory {
+	return &ProfileHistory{
 		log: c.Log, fold: carobfold.NewSystem(),
 		world: carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()}),
 	}
@@ -52,7 +52,7 @@
 
 // Read applies all records up to the present end of the log. It can be called again
 // to apply later ones.
-func (l *Ledger) Read(ctx context.Context) error {
+func (l *ProfileHistory) Read(ctx context.Context) error {
 	for {
 		page, err := l.log.Read(ctx, carobstream.Profiles, l.next, 0)
 		if err != nil {
@@ -71,23 +71,23 @@
 // Complete reports whether all records that were read could be applied. If it is
 // false, the first changes have expired from the log and it holds no snapshot that
 // replaces them.
-func (l *Ledger) Complete() bool {
+func (l *ProfileHistory) Complete() bool {
 	return l.world.ProfilesRead+1 >= l.next
 }
 
 // NextOffset returns the offset after the last record that was read.
-func (l *Ledger) NextOffset() caroboffset.Offset {
+func (l *ProfileHistory) NextOffset() caroboffset.Offset {
 	return l.next
 }
 
 // RevisionsInForce returns the revisions in force, one for each profile.
-func (l *Ledger) RevisionsInForce() []carobrevision.Revision {
+func (l *ProfileHistory) RevisionsInForce() []carobrevision.Revision {
 	return l.world.TakeSnapshot().Revisions
 }
 
 // CurrentOffset returns the offset of the revision in force of a profile, or None if there is
 // no such profile.
-func (l *Ledger) CurrentOffset(name carobname.Name) caroboffset.Offset {
+func (l *ProfileHistory) CurrentOffset(name carobname.Name) caroboffset.Offset {
 	if revision := l.world.Profiles.Get(name); revision != nil {
 		return revision.Offset
 	}
@@ -97,7 +97,7 @@
 // FindResult returns the result of the change with an ID. A change that was appended more
 // than once was accepted if one of its records was. A change whose record has
 // expired is found while its revision is in force.
-func (l *Ledger) FindResult(id string) (found carobchangeresult.ChangeResult, ok bool) {
+func (l *ProfileHistory) FindResult(id string) (found carobchangeresult.ChangeResult, ok bool) {
 	for _, result := range l.Results {
 		if result.Change.ID == id && (result.Applied || !ok) {
 			found, ok = result, true
--- a/internal/carobloader/call.go
+++ b/internal/carobloader/call.go
@@ -47,7 +47,7 @@
 
 // send sends a call and counts its result. It ignores the end of the context: a
 // load that is stopped still waits for the calls in progress.
-func (l *Loader) send(ctx context.Context, call call) {
+func (l *LoadGenerator) send(ctx context.Context, call call) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), l.config.Deadline+answerGrace)
 	defer cancel()
 	answer, err := l.pool.Do(ctx, call.node, l.request(call), false)
@@ -63,7 +63,7 @@
 		outcome = caroboutcome.Answered
 	}
 	if outcome != caroboutcome.Answered {
-		l.addError(call, outcome, carobkind.Kind(header.Peek(carobheader.Kind)))
+		l.addError(call, outcome, carobkind.Kind(header.Peek(carobheader.ErrorKind)))
 		return
 	}
 	if call.counted {
@@ -71,18 +71,18 @@
 	}
 }
 
-func (l *Loader) addError(call call, outcome caroboutcome.Outcome, kind carobkind.Kind) {
+func (l *LoadGenerator) addError(call call, outcome caroboutcome.Outcome, kind carobkind.Kind) {
 	if call.counted {
 		l.summary.AddError(l.elapsed(call), outcome, kind)
 	}
 }
 
 // elapsed returns the time since the call should have been sent.
-func (l *Loader) elapsed(call call) time.Duration {
+func (l *LoadGenerator) elapsed(call call) time.Duration {
 	return l.config.Timer.Now().Sub(call.scheduledAt)
 }
 
-func (l *Loader) request(call call) *fasthttp.Request {
+func (l *LoadGenerator) request(call call) *fasthttp.Request {
 	req := &fasthttp.Request{}
 	req.Header.SetMethod(fasthttp.MethodPost)
 	path := "/load"
@@ -93,7 +93,7 @@
 	req.Header.SetHost(string(l.config.Service))
 	req.Header.Set(carobheader.Deadline, strconv.FormatInt(l.config.Deadline.Milliseconds(), decimal))
 	if call.keyed {
-		req.Header.Set(carobheader.Key, "load-"+strconv.FormatUint(call.seed, decimal))
+		req.Header.Set(carobheader.IdempotencyKey, "load-"+strconv.FormatUint(call.seed, decimal))
 	}
 	if l.config.RequestSize <= maxInMemory {
 		req.SetBodyRaw(l.requestBody(call).Bytes())
@@ -104,13 +104,13 @@
 }
 
 // requestBody returns the body of a call.
-func (l *Loader) requestBody(call call) *carobpattern.Pattern {
+func (l *LoadGenerator) requestBody(call call) *carobpattern.Pattern {
 	return carobpattern.NewPattern(carobpattern.Config{Seed: call.seed, Length: int64(l.config.RequestSize)})
 }
 
 // verify reads an answer to its end and reports whether it is complete and belongs
 // to the call. An error of the target has no body to compare.
-func (l *Loader) verify(call call, answer *carobanswer.Answer) bool {
+func (l *LoadGenerator) verify(call call, answer *carobanswer.Answer) bool {
 	if answer.Response.StatusCode() != fasthttp.StatusOK {
 		_, err := io.Copy(io.Discard, answer.Body)
 		return err == nil
@@ -123,15 +123,15 @@
 		return false
 	}
 	want := carobpattern.NewPattern(carobpattern.Config{Seed: call.seed, Length: int64(l.config.AnswerSize)})
-	got, length, err := carobpattern.Sum(answer.Body)
-	expected, _, _ := carobpattern.Sum(want)
+	got, length, err := carobpattern.Checksum(answer.Body)
+	expected, _, _ := carobpattern.Checksum(want)
 	return err == nil && length == int64(l.config.AnswerSize) && got == expected
 }
 
 // uploadIntact reports whether the target received the whole body, by the checksum
 // that it returned.
-func (l *Loader) uploadIntact(call call, answer *carobanswer.Answer) bool {
+func (l *LoadGenerator) uploadIntact(call call, answer *carobanswer.Answer) bool {
 	const hexadecimal = 16
-	sum, _, err := carobpattern.Sum(l.requestBody(call))
+	sum, _, err := carobpattern.Checksum(l.requestBody(call))
 	return err == nil && string(answer.Response.Header.Peek(headerSum)) == strconv.FormatUint(sum, hexadecimal)
 }
--- a/internal/carobloader/loader.go
+++ b/internal/carobloader/loader.go
@@ -53,8 +53,8 @@
 	Timer *carobtimer.Timer
 }
 
-// Loader sends one load.
-type Loader struct {
+// LoadGenerator sends one load.
+type LoadGenerator struct {
 	config  Config
 	random  *rand.Rand
 	pool    *carobpool.Pool
@@ -72,10 +72,10 @@
 	stallTimeout = 10 * time.Second
 )
 
-// NewLoader returns a load that has not started.
-func NewLoader(c Config) *Loader {
+// NewLoadGenerator returns a load that has not started.
+func NewLoadGenerator(c Config) *LoadGenerator {
 	const stream = 3
-	return &Loader{
+	return &LoadGenerator{
 		config:  c,
 		random:  rand.New(rand.NewPCG(c.Seed, stream)), //nolint:gosec // loads must repeat under a seed
 		pool:    carobpool.NewPool(carobpool.Config{Timer: c.Timer, DialTimeout: dialTimeout, IdleTimeout: idleTimeout, MaxIdleConns: maxIdleConns, StallTimeout: stallTimeout}),
@@ -85,7 +85,7 @@
 
 // Run sends the load until a limit is reached or ctx ends, waits for the last
 // answer and returns the summary. A loader runs once.
-func (l *Loader) Run(ctx context.Context) *carobsummary.Summary {
+func (l *LoadGenerator) Run(ctx context.Context) *carobsummary.Summary {
 	defer l.pool.Close()
 	start := l.config.Timer.Now()
 	countFrom := start.Add(l.config.Warmup)
@@ -105,7 +105,7 @@
 }
 
 // continues reports whether the load continues after the given number of calls and time.
-func (l *Loader) continues(sent int, elapsed time.Duration) bool {
+func (l *LoadGenerator) continues(sent int, elapsed time.Duration) bool {
 	if l.config.MaxCalls > 0 && sent >= l.config.MaxCalls {
 		return false
 	}
@@ -113,7 +113,7 @@
 }
 
 // waitUntil waits until an instant. It returns false if the load is stopped.
-func (l *Loader) waitUntil(ctx context.Context, at carobinstant.Instant) bool {
+func (l *LoadGenerator) waitUntil(ctx context.Context, at carobinstant.Instant) bool {
 	for {
 		remaining := at.Sub(l.config.Timer.Now())
 		if remaining <= 0 {
@@ -126,7 +126,7 @@
 }
 
 // newCall draws the next call, which should be sent at the given instant.
-func (l *Loader) newCall(at carobinstant.Instant) call {
+func (l *LoadGenerator) newCall(at carobinstant.Instant) call {
 	return call{
 		scheduledAt: at,
 		seed:        l.random.Uint64() >> 1,
--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -234,8 +234,8 @@
 	control.AddExecutor(do.MustInvoke[*carobmeter.Meter](n.injector))
 	control.AddExecutor(do.MustInvoke[*carobeventlog.EventLog](n.injector))
 	if n.config.Store != nil {
-		control.AddExecutor(do.MustInvoke[*carobenroller.Enroller](n.injector))
-		control.AddExecutor(do.MustInvoke[*carobfollower.Follower](n.injector))
+		control.AddExecutor(do.MustInvoke[*carobenroller.MemberSync](n.injector))
+		control.AddExecutor(do.MustInvoke[*carobfollower.RoutePoller](n.injector))
 	} else {
 		n.attachLog(ctx, control)
 	}
@@ -245,12 +245,12 @@
 // attachLog connects the control goroutine to the parts that write to the log.
 func (n *Node) attachLog(ctx context.Context, control *carobcontrol.Control) {
 	control.AddExecutor(carobclaimlog.NewClaimLog(ctx, carobclaimlog.Config{
-		Log:     do.MustInvoke[*carobplatform.Client](n.injector),
+		Log:     do.MustInvoke[*carobplatform.LogClient](n.injector),
 		Mailbox: do.MustInvoke[*carobmailbox.Mailbox](n.injector),
 		Timer:   do.MustInvoke[*carobtimer.Timer](n.injector),
 		Logger:  logrus.NewEntry(n.config.Logger),
 	}))
-	control.AddExecutor(do.MustInvoke[*carobtracewriter.TraceWriter](n.injector))
+	control.AddExecutor(do.MustInvoke[*carobtracewriter.LogWriter](n.injector))
 }
 
 // startBackground starts the goroutines that run beside the servers.
@@ -260,11 +260,11 @@
 	go do.MustInvoke[*carobsplitter.Splitter](n.injector).Run(ctx)
 	go do.MustInvoke[*carobeventlog.EventLog](n.injector).Run(ctx)
 	if n.config.Store != nil {
-		go do.MustInvoke[*carobenroller.Enroller](n.injector).Run(ctx)
-		go do.MustInvoke[*carobfollower.Follower](n.injector).Run(ctx)
+		go do.MustInvoke[*carobenroller.MemberSync](n.injector).Run(ctx)
+		go do.MustInvoke[*carobfollower.RoutePoller](n.injector).Run(ctx)
 		return
 	}
-	go do.MustInvoke[*carobtracewriter.TraceWriter](n.injector).Run(ctx)
+	go do.MustInvoke[*carobtracewriter.LogWriter](n.injector).Run(ctx)
 	go n.readStream(ctx, carobstream.Profiles)
 	go n.readStream(ctx, carobstream.Nodes)
 }
@@ -285,7 +285,7 @@
 	go start("calls", do.MustInvoke[callServer](n.injector).Serve, n.callListener)
 	go start("attempts", do.MustInvoke[*attemptServer](n.injector).Serve, splitter.AttemptListener)
 	go start("control messages", do.MustInvoke[*carobtransport.Transport](n.injector).Serve, splitter.ControlListener)
-	go start("admin", do.MustInvoke[*carobadmin.Admin](n.injector).Serve, n.adminListener)
+	go start("admin", do.MustInvoke[*carobadmin.AdminServer](n.injector).Serve, n.adminListener)
 	return failed
 }
 
@@ -328,11 +328,11 @@
 	}
 	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(graceCtx, finalSendDelay)
 	if n.config.Store == nil {
-		do.MustInvoke[*carobtracewriter.TraceWriter](n.injector).Flush(closeCtx)
+		do.MustInvoke[*carobtracewriter.LogWriter](n.injector).Flush(closeCtx)
 	}
 	_ = do.MustInvoke[*attemptServer](n.injector).ShutdownWithContext(closeCtx)
 	_ = do.MustInvoke[*carobtransport.Transport](n.injector).Shutdown(closeCtx)
-	_ = do.MustInvoke[*carobadmin.Admin](n.injector).Shutdown(closeCtx)
+	_ = do.MustInvoke[*carobadmin.AdminServer](n.injector).Shutdown(closeCtx)
 	logger.Info("node: stopped")
 }
 
@@ -352,7 +352,7 @@
 // readStream reads a stream of the platform's log until ctx ends.
 func (n *Node) readStream(ctx context.Context, stream carobstream.Stream) {
 	carobtail.NewTail(carobtail.Config{
-		Stream: stream, Log: do.MustInvoke[*carobplatform.Client](n.injector),
+		Stream: stream, Log: do.MustInvoke[*carobplatform.LogClient](n.injector),
 		Mailbox: do.MustInvoke[*carobmailbox.Mailbox](n.injector),
 		Timer:   do.MustInvoke[*carobtimer.Timer](n.injector), Logger: logrus.NewEntry(n.config.Logger),
 	}).Run(ctx)
--- a/internal/carobnode/path_test.go
+++ b/internal/carobnode/path_test.go
@@ -29,7 +29,7 @@
 	defer cancel()
 	timer := carobtimer.NewTimer()
 	go timer.Run(ctx)
-	log := listen(b, carobstandlog.NewLog(carobstandlog.Config{Timer: timer}).Serve)
+	log := listen(b, carobstandlog.NewFakeLog(carobstandlog.Config{Timer: timer}).Serve)
 	entryNode, targetNode := runNode(b, "near", log), runNode(b, "far", log)
 	server := &fasthttp.Server{Handler: func(reqCtx *fasthttp.RequestCtx) { reqCtx.SetBodyString(strings.Repeat("x", 512)) }}
 	target := listen(b, server.Serve)
--- a/internal/carobnode/providers.go
+++ b/internal/carobnode/providers.go
@@ -76,17 +76,17 @@
 			Listener: n.peerListener, Timer: do.MustInvoke[*carobtimer.Timer](injector), DetectionTimeout: protocolDetectionTimeout,
 		}), nil
 	})
-	do.Provide(injector, func(do.Injector) (*carobplatform.Client, error) {
-		return carobplatform.NewClient(carobplatform.Config{URL: settings.LogURL, Timeout: logTimeout}), nil
+	do.Provide(injector, func(do.Injector) (*carobplatform.LogClient, error) {
+		return carobplatform.NewLogClient(carobplatform.Config{URL: settings.LogURL, Timeout: logTimeout}), nil
 	})
-	do.Provide(injector, func(injector do.Injector) (*carobtracewriter.TraceWriter, error) {
-		return carobtracewriter.NewTraceWriter(carobtracewriter.Config{
-			Self: do.MustInvoke[carobmember.Member](injector), Log: do.MustInvoke[*carobplatform.Client](injector),
+	do.Provide(injector, func(injector do.Injector) (*carobtracewriter.LogWriter, error) {
+		return carobtracewriter.NewLogWriter(carobtracewriter.Config{
+			Self: do.MustInvoke[carobmember.Member](injector), Log: do.MustInvoke[*carobplatform.LogClient](injector),
 			Timer: do.MustInvoke[*carobtimer.Timer](injector), Logger: logrus.NewEntry(n.config.Logger), MaxBufferedSize: maxTraceBacklog,
 		}), nil
 	})
-	do.Provide(injector, func(injector do.Injector) (*carobadmin.Admin, error) {
-		return carobadmin.NewAdmin(carobadmin.Config{
+	do.Provide(injector, func(injector do.Injector) (*carobadmin.AdminServer, error) {
+		return carobadmin.NewAdminServer(carobadmin.Config{
 			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Control: do.MustInvoke[*carobcontrol.Control](injector),
 			Timer: do.MustInvoke[*carobtimer.Timer](injector), Metrics: do.MustInvoke[*carobmeter.Meter](injector).Handler(),
 		}), nil
--- a/internal/carobnode/traffic_providers.go
+++ b/internal/carobnode/traffic_providers.go
@@ -40,8 +40,8 @@
 // provideTraffic adds the constructors of the parts that carry calls.
 func (n *Node) provideTraffic(injector do.Injector) {
 	settings := n.config.Settings
-	do.Provide(injector, func(injector do.Injector) (*carobwatch.Watch, error) {
-		return carobwatch.NewWatch(carobwatch.Config{
+	do.Provide(injector, func(injector do.Injector) (*carobwatch.DisconnectWatch, error) {
+		return carobwatch.NewDisconnectWatch(carobwatch.Config{
 			Timer: do.MustInvoke[*carobtimer.Timer](injector), PollInterval: disconnectCheckInterval,
 		}), nil
 	})
@@ -52,7 +52,7 @@
 		}
 		admitterConfig := carobadmitter.Config{
 			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
-			DisconnectWatch:   do.MustInvoke[*carobwatch.Watch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+			DisconnectWatch:   do.MustInvoke[*carobwatch.DisconnectWatch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
 			StallTimeout: settings.Limits.StallTimeout.Duration(),
 		}
 		if n.config.Dialect != nil {
@@ -75,14 +75,14 @@
 	do.Provide(injector, func(injector do.Injector) (callServer, error) {
 		self := do.MustInvoke[carobmember.Member](injector)
 		if n.config.Dialect == nil {
-			return carobentrance.NewEntrance(carobentrance.Config{
+			return carobentrance.NewFrontEnd(carobentrance.Config{
 				Node: self.Node, Incarnation: self.Incarnation, Limits: settings.Limits,
 				Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Control: do.MustInvoke[*carobcontrol.Control](injector),
-				DisconnectWatch: do.MustInvoke[*carobwatch.Watch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+				DisconnectWatch: do.MustInvoke[*carobwatch.DisconnectWatch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
 				Relay: do.MustInvoke[*carobrelay.Relay](injector),
 			}), nil
 		}
-		return carobingress.NewIngress(carobingress.Config{
+		return carobingress.NewDialectFrontEnd(carobingress.Config{
 			Node: self.Node, Incarnation: self.Incarnation, Limits: settings.Limits, Dialect: n.config.Dialect,
 			Exchanges: carobexchange.NewExchanges(carobexchange.Config{
 				Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Relay: do.MustInvoke[*carobrelay.Relay](injector), MaxBufferedAnswer: maxBufferedResponse,
@@ -109,15 +109,15 @@
 
 // provideStore adds the constructors of the parts that use a platform's store.
 func (n *Node) provideStore(injector do.Injector) {
-	do.Provide(injector, func(injector do.Injector) (*carobenroller.Enroller, error) {
-		return carobenroller.NewEnroller(carobenroller.Config{
+	do.Provide(injector, func(injector do.Injector) (*carobenroller.MemberSync, error) {
+		return carobenroller.NewMemberSync(carobenroller.Config{
 			Node: n.config.Settings.Name, Directory: n.config.Store,
 			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
 			Logger: logrus.NewEntry(n.config.Logger),
 		}), nil
 	})
-	do.Provide(injector, func(injector do.Injector) (*carobfollower.Follower, error) {
-		return carobfollower.NewFollower(carobfollower.Config{
+	do.Provide(injector, func(injector do.Injector) (*carobfollower.RoutePoller, error) {
+		return carobfollower.NewRoutePoller(carobfollower.Config{
 			Source: n.config.Store, Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
 			Timer: do.MustInvoke[*carobtimer.Timer](injector), Logger: logrus.NewEntry(n.config.Logger),
 		}), nil
--- a/internal/carobpage/page.go
+++ b/internal/carobpage/page.go
@@ -6,8 +6,8 @@
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 )
 
-// Page holds consecutive records of a stream, from the requested offset on.
-type Page struct {
+// LogPage holds consecutive records of a stream, from the requested offset on.
+type LogPage struct {
 	// Records are in the order of their offsets, without gaps. Empty if the stream
 	// has no records from the requested offset on.
 	Records []carobrecord.Record `json:"records"`
--- a/internal/carobpattern/pattern.go
+++ b/internal/carobpattern/pattern.go
@@ -68,9 +68,9 @@
 	return data
 }
 
-// Sum reads a source to its end and returns the checksum (xxHash64) and the number
+// Checksum reads a source to its end and returns the checksum (xxHash64) and the number
 // of bytes, or the source's error.
-func Sum(source io.Reader) (sum uint64, length int64, err error) {
+func Checksum(source io.Reader) (sum uint64, length int64, err error) {
 	digest := xxhash.New()
 	length, err = io.Copy(digest, source)
 	return digest.Sum64(), length, err
--- a/internal/carobpattern/pattern_test.go
+++ b/internal/carobpattern/pattern_test.go
@@ -17,10 +17,10 @@
 	require.NoError(t, err)
 	require.Equal(t, whole, pieces)
 	require.NotEqual(t, whole, NewPattern(Config{Seed: 8, Length: 1001}).Bytes())
-	sum, length, err := Sum(NewPattern(c))
+	sum, length, err := Checksum(NewPattern(c))
 	require.NoError(t, err)
 	require.EqualValues(t, 1001, length)
-	same, _, err := Sum(bytes.NewReader(whole))
+	same, _, err := Checksum(bytes.NewReader(whole))
 	require.NoError(t, err)
 	require.Equal(t, same, sum)
 }
--- a/internal/carobplatform/client.go
+++ b/internal/carobplatform/client.go
@@ -27,8 +27,8 @@
 	Timeout time.Duration
 }
 
-// Client appends records to the log and reads them.
-type Client struct {
+// LogClient appends records to the log and reads them.
+type LogClient struct {
 	config Config
 	http   *http.Client
 }
@@ -36,15 +36,15 @@
 // maxResponseSize is the maximum size of a response in bytes.
 const maxResponseSize = 64 << 20
 
-// NewClient returns a client of the log at c.URL. It opens no connection yet.
-func NewClient(c Config) *Client {
-	return &Client{config: c, http: &http.Client{}}
+// NewLogClient returns a client of the log at c.URL. It opens no connection yet.
+func NewLogClient(c Config) *LogClient {
+	return &LogClient{config: c, http: &http.Client{}}
 }
 
 // Append appends a record to a stream and returns its offset. The error is of
 // kind LogOut if the record was certainly not appended, and Unsure if it may have
 // been.
-func (c *Client) Append(ctx context.Context, stream carobstream.Stream, data []byte) (caroboffset.Offset, error) {
+func (c *LogClient) Append(ctx context.Context, stream carobstream.Stream, data []byte) (caroboffset.Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
 	var response struct {
@@ -56,13 +56,13 @@
 
 // Read returns the records of a stream from an offset on. If there are none yet,
 // the log holds the request for up to wait until one is appended.
-func (c *Client) Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.Page, error) {
+func (c *LogClient) Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.LogPage, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout+wait)
 	defer cancel()
 	query := url.Values{}
 	query.Set("from", strconv.FormatInt(int64(from), 10))
 	query.Set("wait", strconv.FormatInt(int64(wait/time.Millisecond), 10))
-	var page carobpage.Page
+	var page carobpage.LogPage
 	if err := c.do(ctx, http.MethodGet, c.path(stream)+"?"+query.Encode(), nil, &page); err != nil {
 		return page, err
 	}
@@ -72,11 +72,11 @@
 	return page, nil
 }
 
-func (c *Client) path(stream carobstream.Stream) string {
+func (c *LogClient) path(stream carobstream.Stream) string {
 	return c.config.URL + "/streams/" + url.PathEscape(string(stream))
 }
 
-func (c *Client) do(ctx context.Context, method, path string, body []byte, result any) error {
+func (c *LogClient) do(ctx context.Context, method, path string, body []byte, result any) error {
 	req, err := http.NewRequestWithContext(ctx, method, path, bytes.NewReader(body))
 	if err != nil {
 		return carobkind.Wrap(carobkind.Invalid, err, "create request to the log")
--- a/internal/carobrelay/relay.go
+++ b/internal/carobrelay/relay.go
@@ -52,7 +52,7 @@
 // present with either; nil if there is none.
 func (r *Relay) Do(ctx context.Context, send carobsend.Send, req *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error) {
 	if send.Traceparent != "" {
-		req.Header.Set(carobheader.Trace, send.Traceparent)
+		req.Header.Set(carobheader.TraceContext, send.Traceparent)
 	}
 	if send.PeerAddress == "" {
 		return r.sendToOwn(ctx, send, req)
@@ -63,7 +63,7 @@
 		return nil, nil, err
 	}
 	report := carobheader.ParseReport(send.Target, string(answer.Response.Header.Peek(carobheader.Report)))
-	if kind := carobkind.Kind(answer.Response.Header.Peek(carobheader.Kind)); kind != carobkind.None {
+	if kind := carobkind.Kind(answer.Response.Header.Peek(carobheader.ErrorKind)); kind != carobkind.None {
 		_ = answer.Body.Close()
 		return nil, report, peerError(kind)
 	}
@@ -83,7 +83,7 @@
 func (r *Relay) sendToOwn(ctx context.Context, send carobsend.Send, req *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error) {
 	offer := caroboffer.Offer{
 		Job: send.Job, Target: send.Target, Incarnation: send.Incarnation, TimeLeft: send.TimeLeft, Requirements: send.Requirements,
-		Key: string(req.Header.Peek(carobheader.Key)), Traceparent: string(req.Header.Peek(carobheader.Trace)),
+		Key: string(req.Header.Peek(carobheader.IdempotencyKey)), Traceparent: string(req.Header.Peek(carobheader.TraceContext)),
 	}
 	answer, err := r.config.Local.Do(ctx, offer, req)
 	return answer, r.config.Local.Report(send.Target), err
--- a/internal/carobserver/server_test.go
+++ b/internal/carobserver/server_test.go
@@ -46,7 +46,7 @@
 	return h.releases[path]
 }
 
-func (h *handler) Handle(visit *carobvisit.Visit) {
+func (h *handler) Handle(visit *carobvisit.PipelinedRequest) {
 	path := string(visit.Request().Header.RequestURI())
 	disconnected := make(chan struct{})
 	visit.OnDisconnect(sync.OnceFunc(func() {
--- a/internal/carobstandlog/log.go
+++ b/internal/carobstandlog/log.go
@@ -28,15 +28,15 @@
 	Retention int
 }
 
-// Log keeps streams of records in memory.
-type Log struct {
+// FakeLog keeps streams of records in memory.
+type FakeLog struct {
 	config Config
 	app    *fiber.App
 	mutex  sync.Mutex
 	// streams has the records of each stream.
 	streams map[carobstream.Stream]*stream
 	// fault is the fault in force; zero if there is none.
-	fault carobfault.Fault
+	fault carobfault.LogFault
 }
 
 type stream struct {
@@ -48,9 +48,9 @@
 	appended chan struct{}
 }
 
-// NewLog returns an empty log.
-func NewLog(c Config) *Log {
-	l := &Log{config: c, app: fiber.New(fiber.Config{Immutable: true}), streams: map[carobstream.Stream]*stream{}}
+// NewFakeLog returns an empty log.
+func NewFakeLog(c Config) *FakeLog {
+	l := &FakeLog{config: c, app: fiber.New(fiber.Config{Immutable: true}), streams: map[carobstream.Stream]*stream{}}
 	l.app.Put("/fault", l.setFault)
 	l.app.Get("/fault", l.getFault)
 	l.app.Use("/streams", l.applyFault)
@@ -60,19 +60,19 @@
 }
 
 // Serve answers requests until Shutdown is called or the listener is closed.
-func (l *Log) Serve(listener net.Listener) error {
+func (l *FakeLog) Serve(listener net.Listener) error {
 	return l.app.Listener(listener, fiber.ListenConfig{DisableStartupMessage: true})
 }
 
 // Shutdown stops the server gracefully, or at the end of ctx.
-func (l *Log) Shutdown(ctx context.Context) error {
+func (l *FakeLog) Shutdown(ctx context.Context) error {
 	return l.app.ShutdownWithContext(ctx)
 }
 
 // setFault sets the fault in force to that of the request's body, and applies its
 // retention to all streams.
-func (l *Log) setFault(c fiber.Ctx) error {
-	var fault carobfault.Fault
+func (l *FakeLog) setFault(c fiber.Ctx) error {
+	var fault carobfault.LogFault
 	if err := carobdocument.NewDocument(carobdocument.Config{FileName: "fault", Data: c.Body()}).Decode(&fault); err != nil {
 		return fiber.NewError(http.StatusBadRequest, err.Error())
 	}
@@ -88,14 +88,14 @@
 	return c.SendStatus(http.StatusNoContent)
 }
 
-func (l *Log) getFault(c fiber.Ctx) error {
+func (l *FakeLog) getFault(c fiber.Ctx) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return c.JSON(l.fault)
 }
 
 // applyFault delays or refuses a request according to the fault in force.
-func (l *Log) applyFault(c fiber.Ctx) error {
+func (l *FakeLog) applyFault(c fiber.Ctx) error {
 	l.mutex.Lock()
 	fault := l.fault
 	l.mutex.Unlock()
@@ -110,7 +110,7 @@
 
 // append appends the request's body to a stream and returns its offset. According to
 // the fault in force, the record is dropped or the answer is lost.
-func (l *Log) append(c fiber.Ctx) error {
+func (l *FakeLog) append(c fiber.Ctx) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.fault.LostAnswers == 0 && l.fault.DroppedAppends > 0 {
@@ -132,7 +132,7 @@
 }
 
 // expire deletes the oldest records of a stream beyond the retention.
-func (l *Log) expire(stream *stream) {
+func (l *FakeLog) expire(stream *stream) {
 	keep := l.config.Retention
 	if l.fault.Retention > 0 {
 		keep = l.fault.Retention
@@ -144,7 +144,7 @@
 
 // read returns records of a stream from an offset on. If there are none, it waits
 // until one is appended or the wait of the query has passed.
-func (l *Log) read(c fiber.Ctx) error {
+func (l *FakeLog) read(c fiber.Ctx) error {
 	from, err := strconv.ParseInt(c.Query("from", "0"), 10, 64)
 	if err != nil || from < 0 {
 		return fiber.NewError(http.StatusBadRequest, "from is not an offset")
@@ -163,7 +163,7 @@
 }
 
 // waitForAppend returns when the channel is closed or the timeout has passed.
-func (l *Log) waitForAppend(appended <-chan struct{}, timeout time.Duration) {
+func (l *FakeLog) waitForAppend(appended <-chan struct{}, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	select {
@@ -174,14 +174,14 @@
 
 // page returns the records of a stream from an offset on, at most maxRecords, and the
 // channel that is closed at the stream's next append.
-func (l *Log) page(name carobstream.Stream, from caroboffset.Offset) (carobpage.Page, <-chan struct{}) {
+func (l *FakeLog) page(name carobstream.Stream, from caroboffset.Offset) (carobpage.LogPage, <-chan struct{}) {
 	const maxRecords = 1000
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	stream := l.streamOf(name)
 	first := stream.next - caroboffset.Offset(len(stream.records))
 	from = max(from, first)
-	page := carobpage.Page{FirstOffset: first, NextOffset: from, Records: []carobrecord.Record{}}
+	page := carobpage.LogPage{FirstOffset: first, NextOffset: from, Records: []carobrecord.Record{}}
 	if from < stream.next {
 		newer := stream.records[from-first:]
 		page.Records = append(page.Records, newer[:min(maxRecords, len(newer))]...)
@@ -191,7 +191,7 @@
 }
 
 // streamOf returns the stream with the given name and creates it if needed.
-func (l *Log) streamOf(name carobstream.Stream) *stream {
+func (l *FakeLog) streamOf(name carobstream.Stream) *stream {
 	entry, ok := l.streams[name]
 	if !ok {
 		entry = &stream{appended: make(chan struct{})}
--- a/internal/carobstandlog/log_test.go
+++ b/internal/carobstandlog/log_test.go
@@ -21,17 +21,17 @@
 
 // start runs a log and returns a client for it, with the given request timeout, and
 // its URL.
-func start(t *testing.T, timeout time.Duration) (*carobplatform.Client, string) {
+func start(t *testing.T, timeout time.Duration) (*carobplatform.LogClient, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	timer := carobtimer.NewTimer()
 	go timer.Run(t.Context())
-	log := carobstandlog.NewLog(carobstandlog.Config{Timer: timer})
+	log := carobstandlog.NewFakeLog(carobstandlog.Config{Timer: timer})
 	go func() { _ = log.Serve(listener) }()
 	t.Cleanup(func() { _ = listener.Close() })
 	url := "http://" + listener.Addr().String()
-	return carobplatform.NewClient(carobplatform.Config{URL: url, Timeout: timeout}), url
+	return carobplatform.NewLogClient(carobplatform.Config{URL: url, Timeout: timeout}), url
 }
 
 // setFault sends a fault to the log and returns the status of the response.
--- a/internal/carobstandtarget/announce.go
+++ b/internal/carobstandtarget/announce.go
@@ -13,7 +13,7 @@
 
 // sendHeartbeat announces the target once, then waits for heartbeatInterval or until
 // the behaviour changes. A frozen target sends no announcement.
-func (t *Target) sendHeartbeat(ctx context.Context, address carobaddress.Address) {
+func (t *FakeTarget) sendHeartbeat(ctx context.Context, address carobaddress.Address) {
 	behaviour, changed := t.currentBehaviour()
 	switch {
 	case behaviour.Freeze:
@@ -37,7 +37,7 @@
 // shutDown announces that the target is leaving, waits for running calls to end and
 // withdraws the target from its node. It returns an error if calls still run after
 // ten times nodeTimeout.
-func (t *Target) shutDown(ctx context.Context, address carobaddress.Address) error {
+func (t *FakeTarget) shutDown(ctx context.Context, address carobaddress.Address) error {
 	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 10*nodeTimeout)
 	defer cancel()
 	t.announce(shutdownCtx, address, carobreadiness.Leaving)
@@ -47,7 +47,7 @@
 }
 
 // announce sends an announcement with the given readiness to the node.
-func (t *Target) announce(ctx context.Context, address carobaddress.Address, readiness carobreadiness.Readiness) {
+func (t *FakeTarget) announce(ctx context.Context, address carobaddress.Address, readiness carobreadiness.Readiness) {
 	data, err := json.Marshal(carobannouncement.Announcement{
 		Address: address, Profile: t.config.Profile, Slots: t.config.Slots, Connections: t.config.Connections, Readiness: readiness,
 	})
@@ -58,7 +58,7 @@
 
 // sendToNode sends a request about the target to its node. It does not retry: after a
 // lost request, the next heartbeat brings the node up to date.
-func (t *Target) sendToNode(ctx context.Context, method string, data []byte) {
+func (t *FakeTarget) sendToNode(ctx context.Context, method string, data []byte) {
 	ctx, cancel := context.WithTimeout(ctx, nodeTimeout)
 	defer cancel()
 	url := "http://" + string(t.config.Admin) + "/targets/" + t.config.ID.String()
--- a/internal/carobstandtarget/serve.go
+++ b/internal/carobstandtarget/serve.go
@@ -45,7 +45,7 @@
 )
 
 // serve handles all requests; those on other paths than the listed ones are calls.
-func (t *Target) serve(ctx *fasthttp.RequestCtx) {
+func (t *FakeTarget) serve(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case pathRuns:
 		t.answerJSON(ctx, func() any { return &t.record })
@@ -60,7 +60,7 @@
 
 // serveBehaviour returns the behaviour; unless the method is GET, it changes the fields
 // that the body names before.
-func (t *Target) serveBehaviour(ctx *fasthttp.RequestCtx) {
+func (t *FakeTarget) serveBehaviour(ctx *fasthttp.RequestCtx) {
 	if !ctx.IsGet() {
 		body, err := io.ReadAll(bodyOf(ctx))
 		if err != nil {
@@ -77,7 +77,7 @@
 
 // changeBehaviour decodes a change of the behaviour and puts it in force. A change that
 // names the field cold restarts the warm-up, also if its value stays the same.
-func (t *Target) changeBehaviour(body []byte) error {
+func (t *FakeTarget) changeBehaviour(body []byte) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	next := t.behaviour
@@ -94,7 +94,7 @@
 }
 
 // answerJSON answers with a value that it reads and encodes under the mutex.
-func (t *Target) answerJSON(ctx *fasthttp.RequestCtx, value func() any) {
+func (t *FakeTarget) answerJSON(ctx *fasthttp.RequestCtx, value func() any) {
 	t.mutex.Lock()
 	data, err := json.Marshal(value())
 	t.mutex.Unlock()
@@ -107,7 +107,7 @@
 }
 
 // serveCall reads one call, runs it in a slot and answers.
-func (t *Target) serveCall(ctx *fasthttp.RequestCtx) {
+func (t *FakeTarget) serveCall(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Header.Set(headerTarget, t.config.ID.String())
 	behaviour, _ := t.currentBehaviour()
 	if behaviour.Shed || behaviour.Drain {
@@ -137,7 +137,7 @@
 }
 
 // shed refuses a call with status 503, and closes its connection under the fault Drain.
-func (t *Target) shed(ctx *fasthttp.RequestCtx, behaviour carobbehaviour.Behaviour) {
+func (t *FakeTarget) shed(ctx *fasthttp.RequestCtx, behaviour carobbehaviour.Behaviour) {
 	t.count(func(totals *totals) { totals.Shed++ })
 	_, _ = io.Copy(io.Discard, bodyOf(ctx))
 	ctx.SetStatusCode(http.StatusServiceUnavailable)
@@ -148,7 +148,7 @@
 
 // acquireSlot waits for a slot. It returns false if the caller closes the connection
 // before.
-func (t *Target) acquireSlot(ctx *fasthttp.RequestCtx) bool {
+func (t *FakeTarget) acquireSlot(ctx *fasthttp.RequestCtx) bool {
 	for {
 		waitCtx, cancel := context.WithCancel(context.Background())
 		waited := make(chan struct{})
@@ -171,7 +171,7 @@
 
 // run waits for the service time of a call, or longer while the target is frozen. It
 // returns false if the caller closes the connection before.
-func (t *Target) run(ctx *fasthttp.RequestCtx) bool {
+func (t *FakeTarget) run(ctx *fasthttp.RequestCtx) bool {
 	behaviour, _ := t.currentBehaviour()
 	serviceTime := t.sampler.sample(&behaviour, t.config.Timer.Now())
 	if behaviour.Fail {
@@ -200,7 +200,7 @@
 
 // answer returns the request's body, or a pattern of the size and seed that the query
 // gives.
-func (t *Target) answer(ctx *fasthttp.RequestCtx, body *body) {
+func (t *FakeTarget) answer(ctx *fasthttp.RequestCtx, body *body) {
 	behaviour, _ := t.currentBehaviour()
 	if behaviour.Fail {
 		t.count(func(totals *totals) { totals.Failed++ })
@@ -259,16 +259,16 @@
 }
 
 // recordStart records the start of a call's run.
-func (t *Target) recordStart(ctx *fasthttp.RequestCtx) {
-	call := string(ctx.Request.Header.Peek(carobheader.Call))
-	key := string(ctx.Request.Header.Peek(carobheader.Key))
+func (t *FakeTarget) recordStart(ctx *fasthttp.RequestCtx) {
+	call := string(ctx.Request.Header.Peek(carobheader.CallID))
+	key := string(ctx.Request.Header.Peek(carobheader.IdempotencyKey))
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.record.start(call, key)
 }
 
 // count updates the totals under the mutex.
-func (t *Target) count(update func(totals *totals)) {
+func (t *FakeTarget) count(update func(totals *totals)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	update(&t.record.Totals)
--- a/internal/carobstandtarget/target.go
+++ b/internal/carobstandtarget/target.go
@@ -37,8 +37,8 @@
 	Logger *logrus.Logger
 }
 
-// Target answers calls and counts their runs.
-type Target struct {
+// FakeTarget answers calls and counts their runs.
+type FakeTarget struct {
 	config Config
 	server *fasthttp.Server
 	// slots is a semaphore with an element for each running call; further calls wait.
@@ -62,12 +62,12 @@
 	maxBody = 1 << 30
 )
 
-// NewTarget returns a target that does not listen yet.
-func NewTarget(c Config) *Target {
+// NewFakeTarget returns a target that does not listen yet.
+func NewFakeTarget(c Config) *FakeTarget {
 	if c.Behaviour.Shape == "" {
 		c.Behaviour = carobbehaviour.NewBehaviour()
 	}
-	t := &Target{
+	t := &FakeTarget{
 		config: c, slots: make(chan struct{}, max(1, c.Slots)), behaviour: c.Behaviour,
 		sampler: newSampler(c.Seed, c.Timer.Now()), changed: make(chan struct{}),
 		record: record{Calls: map[string]int{}, Keys: map[string]int{}},
@@ -81,7 +81,7 @@
 
 // Run answers calls until ctx ends. Then it announces that the target is leaving, waits
 // for running calls to end, and withdraws the target from its node.
-func (t *Target) Run(ctx context.Context, listener net.Listener) error {
+func (t *FakeTarget) Run(ctx context.Context, listener net.Listener) error {
 	address := carobaddress.Address(listener.Addr().String())
 	failed := make(chan error, 1)
 	go func() { failed <- t.server.Serve(listener) }()
@@ -93,7 +93,7 @@
 
 // currentBehaviour returns the behaviour in force and a channel that is closed when it
 // changes.
-func (t *Target) currentBehaviour() (carobbehaviour.Behaviour, <-chan struct{}) {
+func (t *FakeTarget) currentBehaviour() (carobbehaviour.Behaviour, <-chan struct{}) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.behaviour, t.changed
--- a/internal/carobstandtarget/target_test.go
+++ b/internal/carobstandtarget/target_test.go
@@ -21,7 +21,7 @@
 )
 
 // startTarget runs a target without a node and returns it and its URL.
-func startTarget(t *testing.T, slots int) (*Target, string) {
+func startTarget(t *testing.T, slots int) (*FakeTarget, string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	timer, logger := carobtimer.NewTimer(), logrus.New()
@@ -29,7 +29,7 @@
 	go timer.Run(context.WithoutCancel(ctx))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	target := NewTarget(Config{Slots: slots, Admin: "127.0.0.1:1", Timer: timer, Logger: logger})
+	target := NewFakeTarget(Config{Slots: slots, Admin: "127.0.0.1:1", Timer: timer, Logger: logger})
 	done := make(chan error, 1)
 	go func() { done <- target.Run(ctx, listener) }()
 	t.Cleanup(func() {
@@ -56,7 +56,7 @@
 }
 
 // totals returns a copy of the totals.
-func (t *Target) totals() totals {
+func (t *FakeTarget) totals() totals {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.record.Totals
@@ -131,17 +131,17 @@
 func TestLongBodiesAreChecksummed(t *testing.T) {
 	_, url := startTarget(t, 1)
 	const length = 5 << 20
-	want, _, err := carobpattern.Sum(carobpattern.NewPattern(carobpattern.Config{Seed: 3, Length: length}))
+	want, _, err := carobpattern.Checksum(carobpattern.NewPattern(carobpattern.Config{Seed: 3, Length: length}))
 	require.NoError(t, err)
 	resp, err := post(t.Context(), url+"/x?size=5242880&seed=9", carobpattern.NewPattern(carobpattern.Config{Seed: 3, Length: length}))
 	require.NoError(t, err)
 	defer func() { _ = resp.Body.Close() }()
 	require.Equal(t, strconv.FormatUint(want, 16), resp.Header.Get(headerSum))
 	require.Equal(t, strconv.Itoa(length), resp.Header.Get(headerLength))
-	got, n, err := carobpattern.Sum(resp.Body)
+	got, n, err := carobpattern.Checksum(resp.Body)
 	require.NoError(t, err)
 	require.EqualValues(t, length, n)
-	sent, _, err := carobpattern.Sum(carobpattern.NewPattern(carobpattern.Config{Seed: 9, Length: length}))
+	sent, _, err := carobpattern.Checksum(carobpattern.NewPattern(carobpattern.Config{Seed: 9, Length: length}))
 	require.NoError(t, err)
 	require.Equal(t, sent, got)
 }
--- a/internal/carobsummary/summary.go
+++ b/internal/carobsummary/summary.go
@@ -140,20 +140,20 @@
 	return quantiles{P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: at(100)}
 }
 
-// Table writes a table with one line for each summary.
-func Table(to io.Writer, summaries ...*Summary) {
+// WriteTable writes a table with one line for each summary.
+func WriteTable(to io.Writer, summaries ...*Summary) {
 	const gap = 2
 	writer := tabwriter.NewWriter(to, 0, 0, gap, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(writer, "run\tcalls\tgood\tanswered\tnot run\tunknown\twrong\tfailed\tgood/s\tp50\tp99\tp99.9\tmax\t")
 	for _, s := range summaries {
 		_, _ = fmt.Fprintf(writer, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%s\t%s\t%s\t%s\t\n",
 			s.Name, s.Calls, s.Good, s.Answered, s.NotRun, s.Unknown, s.Wrong, s.Failed, s.Goodput(),
-			Milliseconds(s.GoodLatency.P50), Milliseconds(s.GoodLatency.P99), Milliseconds(s.GoodLatency.P999), Milliseconds(s.GoodLatency.Max))
+			FormatMilliseconds(s.GoodLatency.P50), FormatMilliseconds(s.GoodLatency.P99), FormatMilliseconds(s.GoodLatency.P999), FormatMilliseconds(s.GoodLatency.Max))
 	}
 	_ = writer.Flush()
 }
 
-// Milliseconds formats a duration in milliseconds with two decimals, as in tables.
-func Milliseconds(duration carobduration.Duration) string {
+// FormatMilliseconds formats a duration in milliseconds with two decimals, as in tables.
+func FormatMilliseconds(duration carobduration.Duration) string {
 	return fmt.Sprintf("%.2f ms", float64(duration)/float64(time.Millisecond))
 }
--- a/internal/carobtail/tail.go
+++ b/internal/carobtail/tail.go
@@ -18,7 +18,7 @@
 
 // reader reads records of the log.
 type reader interface {
-	Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.Page, error)
+	Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.LogPage, error)
 }
 
 // Config holds the parameters of a tail.
@@ -67,7 +67,7 @@
 }
 
 // post posts the records of a page and the bounds of the stream.
-func (t *Tail) post(page carobpage.Page) {
+func (t *Tail) post(page carobpage.LogPage) {
 	t.config.Mailbox.Post(func(in *carobinbox.Inbox) {
 		in.Records = append(in.Records, page.Records...)
 		in.StreamBounds = append(in.StreamBounds, carobstreambounds.StreamBounds{Stream: t.config.Stream, First: page.FirstOffset, Next: page.NextOffset})
--- a/internal/carobtracewriter/writer.go
+++ b/internal/carobtracewriter/writer.go
@@ -55,8 +55,8 @@
 	recordSize = 512 << 10
 )
 
-// TraceWriter appends hops, audit entries and the records of systems to the log.
-type TraceWriter struct {
+// LogWriter appends hops, audit entries and the records of systems to the log.
+type LogWriter struct {
 	config Config
 	// writeMutex serialises calls of write and is held while appends are made; mutex
 	// guards the state and is not held while the log is called.
@@ -71,9 +71,9 @@
 	wake chan struct{}
 }
 
-// NewTraceWriter returns a writer that appends nothing until Run is called.
-func NewTraceWriter(c Config) *TraceWriter {
-	return &TraceWriter{
+// NewLogWriter returns a writer that appends nothing until Run is called.
+func NewLogWriter(c Config) *LogWriter {
+	return &LogWriter{
 		config: c,
 		buffers: map[carobstream.Stream]*buffer{
 			carobstream.Traces: newBuffer(c), carobstream.Audit: newBuffer(c),
@@ -85,7 +85,7 @@
 
 // Execute takes the hops, audit entries and records of a tick for appending. It does
 // not wait for the log.
-func (t *TraceWriter) Execute(out *caroboutbox.Outbox) {
+func (t *LogWriter) Execute(out *caroboutbox.Outbox) {
 	if len(out.Hops) == 0 && len(out.Audits) == 0 && len(out.Appends) == 0 {
 		return
 	}
@@ -104,7 +104,7 @@
 }
 
 // signal wakes Run. It does not block.
-func (t *TraceWriter) signal() {
+func (t *LogWriter) signal() {
 	select {
 	case t.wake <- struct{}{}:
 	default:
@@ -112,7 +112,7 @@
 }
 
 // audit logs an audit entry and, unless it is local, adds it to the audit stream.
-func (t *TraceWriter) audit(entry *carobaudit.Audit) {
+func (t *LogWriter) audit(entry *carobaudit.Audit) {
 	if entry.When.IsZero() {
 		entry.When = t.config.Timer.WallTime().UTC()
 	}
@@ -125,14 +125,14 @@
 }
 
 // Dropped returns how many hops and audit entries were dropped since the start.
-func (t *TraceWriter) Dropped() (hops, audits int) {
+func (t *LogWriter) Dropped() (hops, audits int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.buffers[carobstream.Traces].dropped, t.buffers[carobstream.Audit].dropped
 }
 
 // Run appends what is due until ctx is done.
-func (t *TraceWriter) Run(ctx context.Context) {
+func (t *LogWriter) Run(ctx context.Context) {
 	wakeAt := t.config.Timer.Subscribe(t.signal)
 	defer wakeAt(carobinstant.Never)
 	for {
@@ -146,13 +146,13 @@
 }
 
 // Flush tries once to append the next record of every stream, whether due or not.
-func (t *TraceWriter) Flush(ctx context.Context) {
+func (t *LogWriter) Flush(ctx context.Context) {
 	t.write(ctx, true)
 }
 
 // write makes the appends that are due, or all that there are, and returns when the
 // next one is due, or Never.
-func (t *TraceWriter) write(ctx context.Context, all bool) carobinstant.Instant {
+func (t *LogWriter) write(ctx context.Context, all bool) carobinstant.Instant {
 	t.writeMutex.Lock()
 	defer t.writeMutex.Unlock()
 	next := t.writeRecords(ctx)
@@ -184,7 +184,7 @@
 // writeRecords appends the records of systems. It returns when to retry those that
 // failed, or Never if none did. A newer record of the same stream replaces a failed
 // one.
-func (t *TraceWriter) writeRecords(ctx context.Context) carobinstant.Instant {
+func (t *LogWriter) writeRecords(ctx context.Context) carobinstant.Instant {
 	t.mutex.Lock()
 	records := t.records
 	t.records = map[carobstream.Stream][]byte{}
--- a/internal/carobtracewriter/writer_test.go
+++ b/internal/carobtracewriter/writer_test.go
@@ -83,14 +83,14 @@
 	return entries, lost
 }
 
-func newWriter(t *testing.T, log *fakeLog) (*carobtracewriter.TraceWriter, *bytes.Buffer) {
+func newWriter(t *testing.T, log *fakeLog) (*carobtracewriter.LogWriter, *bytes.Buffer) {
 	t.Helper()
 	var lines bytes.Buffer
 	logger := logrus.New()
 	logger.SetOutput(io.MultiWriter(&lines))
 	timer := carobtimer.NewTimer()
 	go timer.Run(t.Context())
-	return carobtracewriter.NewTraceWriter(carobtracewriter.Config{
+	return carobtracewriter.NewLogWriter(carobtracewriter.Config{
 		Self: carobmember.Member{Node: "first", Incarnation: 7}, Log: log, Timer: timer, Logger: logrus.NewEntry(logger), MaxBufferedSize: 512 * carobsize.KiB,
 	}), &lines
 }
--- a/internal/carobupload/upload.go
+++ b/internal/carobupload/upload.go
@@ -47,8 +47,8 @@
 	StallTimeout time.Duration
 }
 
-// Upload is the body of one call.
-type Upload struct {
+// RequestBody is the body of one call.
+type RequestBody struct {
 	config Config
 	// buffered is the whole body if it is not streamed.
 	buffered []byte
@@ -74,11 +74,11 @@
 // pastDeadline is a deadline in the past, which ends a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// NewUpload reads the body if it is to be buffered. Of a body of unknown length
+// NewRequestBody reads the body if it is to be buffered. Of a body of unknown length
 // it reads at most one byte more than Config.Keep, to find out whether it has to
 // be streamed. The error has kind TooLarge, RequestTimeout or Invalid.
-func NewUpload(c Config) (*Upload, error) {
-	u := &Upload{config: c}
+func NewRequestBody(c Config) (*RequestBody, error) {
+	u := &RequestBody{config: c}
 	switch {
 	case c.MaxSize > 0 && carobsize.Size(c.Length) > c.MaxSize:
 		return nil, tooLarge(c.MaxSize)
@@ -95,7 +95,7 @@
 
 // readBuffered reads a body of at most Config.Keep bytes, or the beginning of a
 // longer one of unknown length.
-func (u *Upload) readBuffered() error {
+func (u *RequestBody) readBuffered() error {
 	if u.config.Length >= 0 {
 		u.buffered = make([]byte, u.config.Length)
 		if _, err := io.ReadFull(u.timedStream(), u.buffered); err != nil {
@@ -117,18 +117,18 @@
 }
 
 // Streamed reports whether the body is too long to be buffered.
-func (u *Upload) Streamed() bool {
+func (u *RequestBody) Streamed() bool {
 	return u.streamed
 }
 
 // NotResendable reports whether no further attempt can send the body.
-func (u *Upload) NotResendable() bool {
+func (u *RequestBody) NotResendable() bool {
 	return u.streamed && (u.claimed.Load() || u.released.Load())
 }
 
 // Attach sets the body of an attempt's request. The error has kind NotResendable
 // if the body was already streamed to another attempt.
-func (u *Upload) Attach(req *fasthttp.Request) error {
+func (u *RequestBody) Attach(req *fasthttp.Request) error {
 	switch {
 	case u.NotResendable():
 		return carobkind.New(carobkind.NotResendable, "the body was already sent and is too long to be buffered")
@@ -143,7 +143,7 @@
 
 // Release ends all reads of the stream, and returns when none is in progress. It
 // must be called before the connection is used for anything else.
-func (u *Upload) Release() {
+func (u *RequestBody) Release() {
 	if !u.streamed || u.released.Swap(true) {
 		return
 	}
@@ -155,7 +155,7 @@
 }
 
 // timedStream returns the stream with a deadline for each read.
-func (u *Upload) timedStream() io.Reader {
+func (u *RequestBody) timedStream() io.Reader {
 	return readerFunc(func(buf []byte) (int, error) {
 		return u.read(u.config.Stream, buf)
 	})
@@ -163,7 +163,7 @@
 
 // read reads from stream with a deadline, counts the bytes, and records an error
 // of the sender. It returns os.ErrClosed after Release.
-func (u *Upload) read(stream io.Reader, buf []byte) (int, error) {
+func (u *RequestBody) read(stream io.Reader, buf []byte) (int, error) {
 	u.readMutex.Lock()
 	defer u.readMutex.Unlock()
 	_ = u.config.Conn.SetReadDeadline(u.config.Timer.WallTime().Add(u.config.StallTimeout))
@@ -185,7 +185,7 @@
 
 // SenderError returns the first error of the sender while its body was read, such as a
 // stall or a body above the limit; nil if there was none.
-func (u *Upload) SenderError() error {
+func (u *RequestBody) SenderError() error {
 	u.readMutex.Lock()
 	defer u.readMutex.Unlock()
 	return u.senderErr
@@ -193,7 +193,7 @@
 
 // attemptBody is a streamed body as one attempt reads it.
 type attemptBody struct {
-	upload *Upload
+	upload *RequestBody
 	owner  bool
 }
 
--- a/internal/carobupload/upload_test.go
+++ b/internal/carobupload/upload_test.go
@@ -15,7 +15,7 @@
 )
 
 // newUpload returns an upload that buffers up to 10 bytes and accepts up to 100.
-func newUpload(t *testing.T, body string, length int, change func(c *Config)) (*Upload, error) {
+func newUpload(t *testing.T, body string, length int, change func(c *Config)) (*RequestBody, error) {
 	t.Helper()
 	serverConn, clientConn := net.Pipe()
 	t.Cleanup(func() { _, _ = serverConn.Close(), clientConn.Close() })
@@ -26,11 +26,11 @@
 	if change != nil {
 		change(&c)
 	}
-	return NewUpload(c)
+	return NewRequestBody(c)
 }
 
 // read returns the body as one attempt sends it.
-func read(t *testing.T, u *Upload) (string, error) {
+func read(t *testing.T, u *RequestBody) (string, error) {
 	t.Helper()
 	req := &fasthttp.Request{}
 	if err := u.Attach(req); err != nil {
--- a/internal/carobvisit/visit.go
+++ b/internal/carobvisit/visit.go
@@ -17,12 +17,12 @@
 type connection interface {
 	// ClosesAfter reports whether the connection closes after the answer to v. If it
 	// does, no further request is accepted.
-	ClosesAfter(v *Visit) bool
+	ClosesAfter(v *PipelinedRequest) bool
 	// ExtendDeadline extends the write deadline.
 	ExtendDeadline()
 	// Remove removes v, whose answer was sent. If complete is false, it was not sent
 	// completely, and the connection cannot be used any more.
-	Remove(v *Visit, complete bool)
+	Remove(v *PipelinedRequest, complete bool)
 }
 
 // Config holds the parameters of a Visit.
@@ -35,8 +35,8 @@
 	PreviousDone <-chan struct{}
 }
 
-// Visit is a request with the place of its answer in the order of its connection.
-type Visit struct {
+// PipelinedRequest is a request with the place of its answer in the order of its connection.
+type PipelinedRequest struct {
 	config Config
 	mutex  sync.Mutex
 	// onDisconnect is called when the caller disconnects; nil if there is nothing to
@@ -48,30 +48,30 @@
 	done    chan struct{}
 }
 
-// NewVisit returns a request without an answer.
-func NewVisit(c Config) *Visit {
-	return &Visit{config: c, done: make(chan struct{})}
+// NewPipelinedRequest returns a request without an answer.
+func NewPipelinedRequest(c Config) *PipelinedRequest {
+	return &PipelinedRequest{config: c, done: make(chan struct{})}
 }
 
 // Request returns the request, including the complete body.
-func (v *Visit) Request() *fasthttp.Request { return v.config.Request }
+func (v *PipelinedRequest) Request() *fasthttp.Request { return v.config.Request }
 
 // Done returns a channel that is closed once the request was answered or its
 // connection broke.
-func (v *Visit) Done() <-chan struct{} { return v.done }
+func (v *PipelinedRequest) Done() <-chan struct{} { return v.done }
 
 // SetCloseAfter makes the connection close after the answer. It must be called
 // before the answer is sent.
-func (v *Visit) SetCloseAfter() { v.closing = true }
+func (v *PipelinedRequest) SetCloseAfter() { v.closing = true }
 
 // ClosesAfter reports whether the connection is to close after the answer, by
 // CloseAfter or by the caller's Connection header.
-func (v *Visit) ClosesAfter() bool { return v.closing || v.config.Request.ConnectionClose() }
+func (v *PipelinedRequest) ClosesAfter() bool { return v.closing || v.config.Request.ConnectionClose() }
 
 // OnDisconnect sets the function that is called once if the caller disconnects. It is
 // called immediately if the caller has already disconnected. nil removes the
 // function.
-func (v *Visit) OnDisconnect(call func()) {
+func (v *PipelinedRequest) OnDisconnect(call func()) {
 	v.mutex.Lock()
 	v.onDisconnect = call
 	disconnected := v.disconnected
@@ -83,7 +83,7 @@
 
 // Disconnect records that the caller has disconnected, and calls the function that
 // Notify set.
-func (v *Visit) Disconnect() {
+func (v *PipelinedRequest) Disconnect() {
 	v.mutex.Lock()
 	call := v.onDisconnect
 	first := !v.disconnected
@@ -95,7 +95,7 @@
 }
 
 // SendResponse sends a complete response after the answers to the earlier requests.
-func (v *Visit) SendResponse(resp *fasthttp.Response) {
+func (v *PipelinedRequest) SendResponse(resp *fasthttp.Response) {
 	<-v.config.PreviousDone
 	v.finish(v.writeWhole(resp) == nil)
 }
@@ -103,7 +103,7 @@
 // SendAnswer sends an answer and its body, as it is received, after the answers to the
 // earlier requests. It returns None if the complete answer was sent, and Cut
 // otherwise.
-func (v *Visit) SendAnswer(answer *carobanswer.Answer) carobkind.Kind {
+func (v *PipelinedRequest) SendAnswer(answer *carobanswer.Answer) carobkind.Kind {
 	<-v.config.PreviousDone
 	err := v.writeStream(answer)
 	closeErr := answer.Body.Close()
@@ -114,13 +114,13 @@
 	return carobkind.None
 }
 
-func (v *Visit) finish(complete bool) {
+func (v *PipelinedRequest) finish(complete bool) {
 	close(v.done)
 	v.config.Connection.Remove(v, complete)
 }
 
 // prepareHeader sets the headers that concern the connection.
-func (v *Visit) prepareHeader(resp *fasthttp.Response) {
+func (v *PipelinedRequest) prepareHeader(resp *fasthttp.Response) {
 	resp.Header.SetNoDefaultContentType(true)
 	if v.config.Connection.ClosesAfter(v) {
 		resp.SetConnectionClose()
@@ -128,7 +128,7 @@
 	v.config.Connection.ExtendDeadline()
 }
 
-func (v *Visit) writeWhole(resp *fasthttp.Response) error {
+func (v *PipelinedRequest) writeWhole(resp *fasthttp.Response) error {
 	v.prepareHeader(resp)
 	body := resp.Body()
 	resp.Header.SetContentLength(len(body))
@@ -146,7 +146,7 @@
 // copyBufferSize is the size in bytes of the buffer for copying a body.
 const copyBufferSize = 16 * 1024
 
-func (v *Visit) writeStream(answer *carobanswer.Answer) error {
+func (v *PipelinedRequest) writeStream(answer *carobanswer.Answer) error {
 	v.prepareHeader(answer.Response)
 	if !answer.NoBody {
 		answer.Response.Header.SetContentLength(answer.Length)
@@ -168,7 +168,7 @@
 	return v.config.Writer.Flush()
 }
 
-func (v *Visit) copyFixedLength(answer *carobanswer.Answer) error {
+func (v *PipelinedRequest) copyFixedLength(answer *carobanswer.Answer) error {
 	n, err := io.CopyBuffer(v.config.Writer, &deadlineReader{Reader: answer.Body, connection: v.config.Connection}, make([]byte, min(copyBufferSize, max(1, answer.Length))))
 	if err == nil && n != int64(answer.Length) {
 		return io.ErrUnexpectedEOF
@@ -176,7 +176,7 @@
 	return err
 }
 
-func (v *Visit) copyChunked(body io.Reader) error {
+func (v *PipelinedRequest) copyChunked(body io.Reader) error {
 	buf := make([]byte, copyBufferSize)
 	for {
 		v.config.Connection.ExtendDeadline()
--- a/internal/carobwatch/watch.go
+++ b/internal/carobwatch/watch.go
@@ -26,8 +26,8 @@
 	PollInterval time.Duration
 }
 
-// Watch polls connections as long as there are any to watch.
-type Watch struct {
+// DisconnectWatch polls connections as long as there are any to watch.
+type DisconnectWatch struct {
 	config Config
 	// wakeAt sets when the timer calls check next.
 	wakeAt func(at carobinstant.Instant)
@@ -42,9 +42,9 @@
 	onDisconnect func()
 }
 
-// NewWatch returns a watch without connections.
-func NewWatch(c Config) *Watch {
-	w := &Watch{config: c, entries: map[*entry]struct{}{}}
+// NewDisconnectWatch returns a watch without connections.
+func NewDisconnectWatch(c Config) *DisconnectWatch {
+	w := &DisconnectWatch{config: c, entries: map[*entry]struct{}{}}
 	w.wakeAt = c.Timer.Subscribe(w.check)
 	return w
 }
@@ -53,7 +53,7 @@
 // After a disconnect, onDisconnect is called once, on the timer's goroutine; it
 // must not block. A connection without an accessible file descriptor is not
 // watched.
-func (w *Watch) Add(conn net.Conn, onDisconnect func()) (remove func()) {
+func (w *DisconnectWatch) Add(conn net.Conn, onDisconnect func()) (remove func()) {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return func() {}
@@ -72,7 +72,7 @@
 	return func() { w.remove(e) }
 }
 
-func (w *Watch) remove(e *entry) {
+func (w *DisconnectWatch) remove(e *entry) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	delete(w.entries, e)
@@ -80,14 +80,14 @@
 
 // check polls all connections and reports those that are disconnected. It runs on
 // the timer's goroutine.
-func (w *Watch) check() {
+func (w *DisconnectWatch) check() {
 	for _, e := range w.takeDisconnected() {
 		e.onDisconnect()
 	}
 }
 
 // takeDisconnected removes the disconnected connections and returns them.
-func (w *Watch) takeDisconnected() []*entry {
+func (w *DisconnectWatch) takeDisconnected() []*entry {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var disconnected []*entry
