--- a/cmd/carobplatform/main.go
+++ b/cmd/carobplatform/main.go
@@ -1,4 +1,4 @@
-// Command carobplatform runs a node on the users' platform, as its deployment file
+// Command caroblogclient runs a node on the users' platform, as its deployment file
 // describes.
 package main
 
--- a/internal/carobadmin/admin.go
+++ b/internal/carobadminserver/admin.go
@@ -1,6 +1,6 @@
-// Package carobadmin is the HTTP server of a node for its own VM: targets announce
+// Package carobadminserver is the HTTP server of a node for its own VM: targets announce
 // themselves here, and operators read status, health and metrics.
-package carobadmin
+package carobadminserver
 
 import (
 	"context"
--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -16,7 +16,7 @@
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobwatch"
+	"github.com/carobknot/carobknot/internal/carobdisconnectwatch"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
 	"github.com/carobknot/carobknot/pkg/carobguarantee"
@@ -67,7 +67,7 @@
 	// received.
 	MaxBufferedAnswer carobsize.Size
 	// DisconnectWatch detects that entry nodes close their connections.
-	DisconnectWatch *carobwatch.DisconnectWatch
+	DisconnectWatch *carobdisconnectwatch.DisconnectWatch
 	Timer *carobtimer.Timer
 	// StallTimeout is how long an entry node may send or accept no bytes of a body.
 	StallTimeout time.Duration
--- a/internal/carobadmitter/incoming_job.go
+++ b/internal/carobadmitter/incoming_job.go
@@ -8,7 +8,7 @@
 
 	"github.com/carobknot/carobknot/internal/carobanswer"
 	"github.com/carobknot/carobknot/internal/carobbody"
-	"github.com/carobknot/carobknot/internal/carobupload"
+	"github.com/carobknot/carobknot/internal/carobrequestbody"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobkind"
@@ -63,7 +63,7 @@
 // call limits the wait for the header of the response, not the transfer of its body.
 func (j *incomingJob) run(ctx *fasthttp.RequestCtx) error {
 	config := j.admitter.config
-	upload, err := carobupload.NewRequestBody(carobupload.Config{
+	upload, err := carobrequestbody.NewRequestBody(carobrequestbody.Config{
 		Stream: ctx.RequestBodyStream(), Length: ctx.Request.Header.ContentLength(), MaxBuffered: maxBufferedBody,
 		Conn: ctx.Conn(), Timer: config.Timer, StallTimeout: config.StallTimeout,
 	})
@@ -89,7 +89,7 @@
 }
 
 // forward sends a response to the entry node.
-func (j *incomingJob) forward(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, upload *carobupload.RequestBody) {
+func (j *incomingJob) forward(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, upload *carobrequestbody.RequestBody) {
 	answer.Response.Header.CopyTo(&ctx.Response.Header)
 	j.admitter.addReport(ctx, j.offer.Target)
 	carobbody.SetResponseBody(ctx, answer, j.admitter.config.Timer, j.admitter.config.StallTimeout, func(carobkind.Kind) {
--- a/internal/carobbench/cell.go
+++ b/internal/carobbench/cell.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"github.com/carobknot/carobknot/internal/carobloader"
+	"github.com/carobknot/carobknot/internal/carobloadgenerator"
 	"github.com/carobknot/carobknot/internal/carobsummary"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobsize"
@@ -73,7 +73,7 @@
 	length := benchCase.duration(b.config.Duration)
 	service := cluster.deployment.services[0]
 	capacity := float64(slots*service.targets) / b.config.MeanLatency.Seconds()
-	loader := carobloader.NewLoadGenerator(carobloader.Config{
+	loader := carobloadgenerator.NewLoadGenerator(carobloadgenerator.Config{
 		Name: variant.name, Nodes: cluster.callAddresses(), Service: carobservice.Service(service.name), Rate: benchCase.load * capacity,
 		Duration: warmup + length, Warmup: warmup, Seed: b.config.Seed + uint64(round), //nolint:gosec // not negative
 		RequestSize: bodySize, Deadline: benchCase.deadline, Timer: b.config.Timer,
--- a/internal/carobclaimlog/claimlog.go
+++ b/internal/carobclaimlog/claimlog.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/carobknot/carobknot/internal/carobmailbox"
-	"github.com/carobknot/carobknot/internal/carobplatform"
+	"github.com/carobknot/carobknot/internal/caroblogclient"
 	"github.com/carobknot/carobknot/internal/carobtail"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobappendrequest"
@@ -21,7 +21,7 @@
 
 // Config holds the parameters of a claim log.
 type Config struct {
-	Log     *carobplatform.LogClient
+	Log     *caroblogclient.LogClient
 	Mailbox *carobmailbox.Mailbox
 	Timer   *carobtimer.Timer
 	Logger  *logrus.Entry
--- a/internal/carobcommand/load.go
+++ b/internal/carobcommand/load.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"github.com/carobknot/carobknot/internal/carobloader"
+	"github.com/carobknot/carobknot/internal/carobloadgenerator"
 	"github.com/carobknot/carobknot/internal/carobsummary"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
@@ -27,7 +27,7 @@
 }
 
 func parseLoad(flags *flag.FlagSet) runner {
-	c := carobloader.Config{}
+	c := carobloadgenerator.Config{}
 	var direct []carobaddress.Address
 	flags.Func("nodes", "`ADDRS` at which nodes accept calls, separated by commas", parseAddresses(&c.Nodes))
 	flags.Func("direct", "`ADDRS` of targets that get the same load directly, for comparison", parseAddresses(&direct))
@@ -71,13 +71,13 @@
 // runLoad sends the load to the nodes and, at the same time, the same load directly to
 // the targets of direct, if there are any. It prints the summaries and writes them to a
 // file, if one is named.
-func runLoad(ctx context.Context, std *stdStreams, c carobloader.Config, direct []carobaddress.Address, file string) error {
+func runLoad(ctx context.Context, std *stdStreams, c carobloadgenerator.Config, direct []carobaddress.Address, file string) error {
 	c.Timer = carobtimer.NewTimer()
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	go c.Timer.Run(inner)
 	c.Name = "nodes"
-	configs := []carobloader.Config{c}
+	configs := []carobloadgenerator.Config{c}
 	if len(direct) > 0 {
 		c.Name, c.Nodes, c.Direct = "direct", direct, true
 		configs = append(configs, c)
@@ -85,7 +85,7 @@
 	summaries := make([]*carobsummary.Summary, len(configs))
 	var running sync.WaitGroup
 	for i, config := range configs {
-		running.Go(func() { summaries[i] = carobloader.NewLoadGenerator(config).Run(ctx) })
+		running.Go(func() { summaries[i] = carobloadgenerator.NewLoadGenerator(config).Run(ctx) })
 	}
 	running.Wait()
 	carobsummary.WriteTable(std.out, summaries...)
--- a/internal/carobcommand/log.go
+++ b/internal/carobcommand/log.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"net"
 
-	"github.com/carobknot/carobknot/internal/carobstandlog"
+	"github.com/carobknot/carobknot/internal/carobfakelog"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
@@ -54,7 +54,7 @@
 	}
 	timer := carobtimer.NewTimer()
 	go timer.Run(ctx)
-	server := carobstandlog.NewFakeLog(carobstandlog.Config{Timer: timer, Retention: retention})
+	server := carobfakelog.NewFakeLog(carobfakelog.Config{Timer: timer, Retention: retention})
 	_, _ = fmt.Fprintf(std.out, "log=http://%s\n", listener.Addr())
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(listener) }()
--- a/internal/carobcommand/profiles.go
+++ b/internal/carobcommand/profiles.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/carobknot/carobknot/internal/carobledger"
-	"github.com/carobknot/carobknot/internal/carobplatform"
+	"github.com/carobknot/carobknot/internal/carobprofilehistory"
+	"github.com/carobknot/carobknot/internal/caroblogclient"
 	"github.com/carobknot/carobknot/pkg/carobchangeresult"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
@@ -44,8 +44,8 @@
 		if *url == "" || len(args) > 0 {
 			return errUsage("-log URL is needed, and no operands")
 		}
-		client := carobplatform.NewLogClient(carobplatform.Config{URL: *url, Timeout: *timeout})
-		history := carobledger.NewProfileHistory(carobledger.Config{Log: client})
+		client := caroblogclient.NewLogClient(caroblogclient.Config{URL: *url, Timeout: *timeout})
+		history := carobprofilehistory.NewProfileHistory(carobprofilehistory.Config{Log: client})
 		if err := history.Read(ctx); err != nil {
 			return carobkind.Wrap(carobkind.AppendUncertain, err, "the log cannot be read")
 		}
@@ -61,7 +61,7 @@
 }
 
 // settleChange prints the result of the change with an ID.
-func settleChange(std *stdStreams, history *carobledger.ProfileHistory, id string) error {
+func settleChange(std *stdStreams, history *carobprofilehistory.ProfileHistory, id string) error {
 	result, ok := history.FindResult(id)
 	if ok {
 		return reportResult(std, result)
@@ -73,7 +73,7 @@
 }
 
 // printJSON prints the revisions in force as a JSON list.
-func printJSON(out io.Writer, history *carobledger.ProfileHistory) error {
+func printJSON(out io.Writer, history *carobprofilehistory.ProfileHistory) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(sortedRevisions(history)); err != nil {
@@ -83,7 +83,7 @@
 }
 
 // printTables prints the profiles in force and the history of changes as tables.
-func printTables(std *stdStreams, history *carobledger.ProfileHistory) error {
+func printTables(std *stdStreams, history *carobprofilehistory.ProfileHistory) error {
 	if !history.Complete() {
 		_, _ = fmt.Fprintln(std.err, "carobknot profiles: the log keeps neither the first changes nor a snapshot of them; the output is incomplete")
 	}
@@ -103,7 +103,7 @@
 }
 
 // sortedRevisions returns the revisions in force, sorted by the names of the profiles.
-func sortedRevisions(history *carobledger.ProfileHistory) []carobrevision.Revision {
+func sortedRevisions(history *carobprofilehistory.ProfileHistory) []carobrevision.Revision {
 	revisions := history.RevisionsInForce()
 	slices.SortFunc(revisions, func(a, b carobrevision.Revision) int {
 		return cmp.Compare(a.Change.Profile.Name, b.Change.Profile.Name)
--- a/internal/carobcommand/publish.go
+++ b/internal/carobcommand/publish.go
@@ -9,8 +9,8 @@
 	"os/user"
 	"time"
 
-	"github.com/carobknot/carobknot/internal/carobledger"
-	"github.com/carobknot/carobknot/internal/carobplatform"
+	"github.com/carobknot/carobknot/internal/carobprofilehistory"
+	"github.com/carobknot/carobknot/internal/caroblogclient"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobchangeresult"
@@ -48,10 +48,10 @@
 		if *url == "" || len(args) != 1 {
 			return errUsage("-log URL and one FILE are needed")
 		}
-		client := carobplatform.NewLogClient(carobplatform.Config{URL: *url, Timeout: *timeout})
+		client := caroblogclient.NewLogClient(caroblogclient.Config{URL: *url, Timeout: *timeout})
 		p := &publisher{
 			std: std, url: *url, log: client,
-			history: carobledger.NewProfileHistory(carobledger.Config{Log: client}),
+			history: carobprofilehistory.NewProfileHistory(carobprofilehistory.Config{Log: client}),
 		}
 		return p.publish(ctx, args[0])
 	}
@@ -61,8 +61,8 @@
 type publisher struct {
 	std     *stdStreams
 	url     string
-	log     *carobplatform.LogClient
-	history *carobledger.ProfileHistory
+	log     *caroblogclient.LogClient
+	history *carobprofilehistory.ProfileHistory
 	// change is empty until publish has read the file.
 	change carobchange.Change
 }
--- a/internal/carobcommand/target.go
+++ b/internal/carobcommand/target.go
@@ -7,7 +7,7 @@
 	"net"
 
 	"github.com/carobknot/carobknot/internal/carobbehaviour"
-	"github.com/carobknot/carobknot/internal/carobstandtarget"
+	"github.com/carobknot/carobknot/internal/carobfaketarget"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobkind"
@@ -24,7 +24,7 @@
 }
 
 func parseTarget(flags *flag.FlagSet) runner {
-	c := carobstandtarget.Config{Behaviour: carobbehaviour.NewBehaviour()}
+	c := carobfaketarget.Config{Behaviour: carobbehaviour.NewBehaviour()}
 	listen := flags.String("listen", "127.0.0.1:0", "`ADDR` to listen at")
 	flags.TextVar(&c.ID, "id", c.ID, "`SERVICE/NAME` of the target")
 	flags.Func("profile", "`NAME` of the routing profile of the service", func(text string) error {
@@ -62,7 +62,7 @@
 }
 
 // runTarget runs the stand-in for a target until ctx is done.
-func runTarget(ctx context.Context, std *stdStreams, c carobstandtarget.Config, listen string) error {
+func runTarget(ctx context.Context, std *stdStreams, c carobfaketarget.Config, listen string) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", listen)
 	if err != nil {
@@ -73,5 +73,5 @@
 	c.Timer, c.Logger = carobtimer.NewTimer(), newLogger(std)
 	go c.Timer.Run(inner)
 	_, _ = fmt.Fprintf(std.out, "target=%s\n", listener.Addr())
-	return carobstandtarget.NewFakeTarget(c).Run(ctx, listener)
+	return carobfaketarget.NewFakeTarget(c).Run(ctx, listener)
 }
--- a/internal/carobdemo/components.go
+++ b/internal/carobdemo/components.go
@@ -9,10 +9,10 @@
 
 	"github.com/carobknot/carobknot/internal/carobbehaviour"
 	"github.com/carobknot/carobknot/internal/carobnode"
-	"github.com/carobknot/carobknot/internal/carobplatform"
+	"github.com/carobknot/carobknot/internal/caroblogclient"
 	"github.com/carobknot/carobknot/internal/carobsettings"
-	"github.com/carobknot/carobknot/internal/carobstandlog"
-	"github.com/carobknot/carobknot/internal/carobstandtarget"
+	"github.com/carobknot/carobknot/internal/carobfakelog"
+	"github.com/carobknot/carobknot/internal/carobfaketarget"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobduration"
@@ -76,7 +76,7 @@
 	if err != nil {
 		return "", err
 	}
-	server := carobstandlog.NewFakeLog(carobstandlog.Config{Timer: d.timer})
+	server := carobfakelog.NewFakeLog(carobfakelog.Config{Timer: d.timer})
 	go func() { _ = server.Serve(listener) }()
 	d.stops = append(d.stops, func() { _ = listener.Close() })
 	return "http://" + listener.Addr().String(), nil
@@ -106,7 +106,7 @@
 	behaviour := carobbehaviour.NewBehaviour()
 	behaviour.Latency, behaviour.Shape = carobduration.Duration(latency), carobbehaviour.LogNormal
 	id := carobtargetid.ID{Service: service.name, Name: carobname.Name(fmt.Sprintf("t%d", index))}
-	target := carobstandtarget.NewFakeTarget(carobstandtarget.Config{
+	target := carobfaketarget.NewFakeTarget(carobfaketarget.Config{
 		ID: id, Profile: carobname.Name(service.name), Slots: slots, Connections: slots * slots, Behaviour: behaviour,
 		Seed: d.config.Seed + uint64(len(d.targets)), Admin: node.admin, Timer: d.timer, Logger: d.logger,
 	})
@@ -146,7 +146,7 @@
 	if err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "encode change")
 	}
-	_, err = carobplatform.NewLogClient(carobplatform.Config{URL: log, Timeout: logTimeout}).
+	_, err = caroblogclient.NewLogClient(caroblogclient.Config{URL: log, Timeout: logTimeout}).
 		Append(ctx, carobstream.Profiles, data)
 	return err
 }
--- a/internal/carobdemo/demo.go
+++ b/internal/carobdemo/demo.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/sirupsen/logrus"
 
-	"github.com/carobknot/carobknot/internal/carobloader"
+	"github.com/carobknot/carobknot/internal/carobloadgenerator"
 	"github.com/carobknot/carobknot/internal/carobsummary"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobguarantee"
@@ -108,14 +108,14 @@
 	summaries := make([]*carobsummary.Summary, len(services))
 	var loaders sync.WaitGroup
 	for i, service := range services {
-		c := carobloader.Config{
+		c := carobloadgenerator.Config{
 			Name: string(service.name) + ", " + phase, Service: service.name, Rate: service.rate, KeyShare: service.keys,
 			Duration: d.config.PhaseDuration, Deadline: deadline, Seed: d.seed(string(service.name) + phase), RequestSize: 512, Timer: d.timer,
 		}
 		for _, node := range d.nodes {
 			c.Nodes = append(c.Nodes, node.call)
 		}
-		loaders.Go(func() { summaries[i] = carobloader.NewLoadGenerator(c).Run(ctx) })
+		loaders.Go(func() { summaries[i] = carobloadgenerator.NewLoadGenerator(c).Run(ctx) })
 	}
 	loaders.Wait()
 	return summaries
--- a/internal/carobingress/ingress.go
+++ b/internal/carobdialectfrontend/ingress.go
@@ -1,7 +1,7 @@
-// Package carobingress receives calls in the HTTP dialect of a platform: the
+// Package carobdialectfrontend receives calls in the HTTP dialect of a platform: the
 // dialect decodes requests and writes error responses, and the control goroutine
 // decides.
-package carobingress
+package carobdialectfrontend
 
 import (
 	"cmp"
@@ -17,8 +17,8 @@
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/internal/carobserver"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobupload"
-	"github.com/carobknot/carobknot/internal/carobvisit"
+	"github.com/carobknot/carobknot/internal/carobrequestbody"
+	"github.com/carobknot/carobknot/internal/carobpipelinedrequest"
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
@@ -99,7 +99,7 @@
 }
 
 // Handle runs the call of a request to the end of its answer.
-func (i *DialectFrontEnd) Handle(visit *carobvisit.PipelinedRequest) {
+func (i *DialectFrontEnd) Handle(visit *carobpipelinedrequest.PipelinedRequest) {
 	req := visit.Request()
 	r := &responder{ingress: i, visit: visit}
 	arrival, err := i.config.Dialect.ParseArrival(req)
@@ -117,7 +117,7 @@
 		Node: i.config.Node, Incarnation: i.config.Incarnation, Sequence: i.sequence.Add(1),
 	}
 	arrival.Size = carobsize.Size(bodySize)
-	upload, err := carobupload.NewRequestBody(carobupload.Config{Body: req.Body()})
+	upload, err := carobrequestbody.NewRequestBody(carobrequestbody.Config{Body: req.Body()})
 	if err != nil {
 		r.SendError(carobkind.Of(err), 0, err.Error())
 		return
@@ -135,7 +135,7 @@
 // responder sends the result of a call to its caller.
 type responder struct {
 	ingress *DialectFrontEnd
-	visit   *carobvisit.PipelinedRequest
+	visit   *carobpipelinedrequest.PipelinedRequest
 }
 
 // SendAnswer streams an answer of a target to the caller. Nothing is stored, because
--- a/internal/carobwatch/watch.go
+++ b/internal/carobdisconnectwatch/watch.go
@@ -1,11 +1,11 @@
-// Package carobwatch detects that the other end of a connection has disconnected
+// Package carobdisconnectwatch detects that the other end of a connection has disconnected
 // while nothing is read from it.
 //
 // The HTTP library reads a connection only between calls, so that it does not
 // detect a disconnect during a call. The watch polls the kernel for the state of
 // the connection. This needs no read, so that neither received bytes nor
 // deadlines are affected.
-package carobwatch
+package carobdisconnectwatch
 
 import (
 	"net"
--- a/internal/carobexchange/exchange.go
+++ b/internal/carobexchange/exchange.go
@@ -8,7 +8,7 @@
 
 	"github.com/carobknot/carobknot/internal/carobanswer"
 	"github.com/carobknot/carobknot/internal/carobheader"
-	"github.com/carobknot/carobknot/internal/carobupload"
+	"github.com/carobknot/carobknot/internal/carobrequestbody"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
@@ -28,7 +28,7 @@
 	request   *fasthttp.Request
 	responder responder
 	// upload is the body, which every attempt sends.
-	upload *carobupload.RequestBody
+	upload *carobrequestbody.RequestBody
 	// mutex guards answer and cancelled of the attempts.
 	mutex sync.Mutex
 	// attempts holds the attempts sent so far, by number.
--- a/internal/carobexchange/exchanges.go
+++ b/internal/carobexchange/exchanges.go
@@ -12,7 +12,7 @@
 	"github.com/carobknot/carobknot/internal/carobanswer"
 	"github.com/carobknot/carobknot/internal/carobdispatcher"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
-	"github.com/carobknot/carobknot/internal/carobupload"
+	"github.com/carobknot/carobknot/internal/carobrequestbody"
 	"github.com/carobknot/carobknot/pkg/carobarrival"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
@@ -91,7 +91,7 @@
 
 // Run reports a call to the control goroutine and carries it out until its result
 // was sent. Every attempt has the header of req and the body of upload.
-func (e *Exchanges) Run(arrival carobarrival.Arrival, req *fasthttp.Request, upload *carobupload.RequestBody, responder responder) {
+func (e *Exchanges) Run(arrival carobarrival.Arrival, req *fasthttp.Request, upload *carobrequestbody.RequestBody, responder responder) {
 	orders := e.dispatcher.Subscribe(arrival.Call)
 	defer e.dispatcher.Unsubscribe(arrival.Call)
 	e.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Arrivals = append(in.Arrivals, arrival) })
--- a/internal/carobstandlog/log.go
+++ b/internal/carobfakelog/log.go
@@ -1,5 +1,5 @@
-// Package carobstandlog is a stand-in for the platform's append-only log.
-package carobstandlog
+// Package carobfakelog is a stand-in for the platform's append-only log.
+package carobfakelog
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"github.com/gofiber/fiber/v3"
 
 	"github.com/carobknot/carobknot/internal/carobdocument"
-	"github.com/carobknot/carobknot/internal/carobfault"
-	"github.com/carobknot/carobknot/internal/carobpage"
+	"github.com/carobknot/carobknot/internal/caroblogfault"
+	"github.com/carobknot/carobknot/internal/caroblogpage"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
@@ -36,7 +36,7 @@
 	// streams has the records of each stream.
 	streams map[carobstream.Stream]*stream
 	// fault is the fault in force; zero if there is none.
-	fault carobfault.LogFault
+	fault caroblogfault.LogFault
 }
 
 type stream struct {
@@ -72,7 +72,7 @@
 // setFault sets the fault in force to that of the request's body, and applies its
 // retention to all streams.
 func (l *FakeLog) setFault(c fiber.Ctx) error {
-	var fault carobfault.LogFault
+	var fault caroblogfault.LogFault
 	if err := carobdocument.NewDocument(carobdocument.Config{FileName: "fault", Data: c.Body()}).Decode(&fault); err != nil {
 		return fiber.NewError(http.StatusBadRequest, err.Error())
 	}
@@ -174,14 +174,14 @@
 
 // page returns the records of a stream from an offset on, at most maxRecords, and the
 // channel that is closed at the stream's next append.
-func (l *FakeLog) page(name carobstream.Stream, from caroboffset.Offset) (carobpage.LogPage, <-chan struct{}) {
+func (l *FakeLog) page(name carobstream.Stream, from caroboffset.Offset) (caroblogpage.LogPage, <-chan struct{}) {
 	const maxRecords = 1000
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	stream := l.streamOf(name)
 	first := stream.next - caroboffset.Offset(len(stream.records))
 	from = max(from, first)
-	page := carobpage.LogPage{FirstOffset: first, NextOffset: from, Records: []carobrecord.Record{}}
+	page := caroblogpage.LogPage{FirstOffset: first, NextOffset: from, Records: []carobrecord.Record{}}
 	if from < stream.next {
 		newer := stream.records[from-first:]
 		page.Records = append(page.Records, newer[:min(maxRecords, len(newer))]...)
--- a/internal/carobstandlog/log_test.go
+++ b/internal/carobfakelog/log_test.go
@@ -1,4 +1,4 @@
-package carobstandlog_test
+package carobfakelog_test
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/carobknot/carobknot/internal/carobplatform"
-	"github.com/carobknot/carobknot/internal/carobstandlog"
+	"github.com/carobknot/carobknot/internal/caroblogclient"
+	"github.com/carobknot/carobknot/internal/carobfakelog"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
@@ -21,17 +21,17 @@
 
 // start runs a log and returns a client for it, with the given request timeout, and
 // its URL.
-func start(t *testing.T, timeout time.Duration) (*carobplatform.LogClient, string) {
+func start(t *testing.T, timeout time.Duration) (*caroblogclient.LogClient, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	timer := carobtimer.NewTimer()
 	go timer.Run(t.Context())
-	log := carobstandlog.NewFakeLog(carobstandlog.Config{Timer: timer})
+	log := carobfakelog.NewFakeLog(carobfakelog.Config{Timer: timer})
 	go func() { _ = log.Serve(listener) }()
 	t.Cleanup(func() { _ = listener.Close() })
 	url := "http://" + listener.Addr().String()
-	return carobplatform.NewLogClient(carobplatform.Config{URL: url, Timeout: timeout}), url
+	return caroblogclient.NewLogClient(caroblogclient.Config{URL: url, Timeout: timeout}), url
 }
 
 // setFault sends a fault to the log and returns the status of the response.
--- a/internal/carobstandtarget/record.go
+++ b/internal/carobfaketarget/record.go
@@ -1,4 +1,4 @@
-package carobstandtarget
+package carobfaketarget
 
 // record counts what a target has run since its start.
 type record struct {
--- a/internal/carobstandtarget/target.go
+++ b/internal/carobfaketarget/target.go
@@ -1,7 +1,7 @@
-// Package carobstandtarget is a stand-in for a target: a server with a limited number
+// Package carobfaketarget is a stand-in for a target: a server with a limited number
 // of slots that announces itself to the node on its VM. Its service times and faults
 // can be changed over HTTP.
-package carobstandtarget
+package carobfaketarget
 
 import (
 	"context"
--- a/internal/carobstandtarget/target_test.go
+++ b/internal/carobfaketarget/target_test.go
@@ -1,4 +1,4 @@
-package carobstandtarget
+package carobfaketarget
 
 import (
 	"context"
--- a/internal/carobentrance/arrival.go
+++ b/internal/carobfrontend/arrival.go
@@ -1,4 +1,4 @@
-package carobentrance
+package carobfrontend
 
 import (
 	"strconv"
--- a/internal/carobentrance/entrance.go
+++ b/internal/carobfrontend/entrance.go
@@ -1,7 +1,7 @@
-// Package carobentrance is the HTTP front end for callers. It receives calls and
+// Package carobfrontend is the HTTP front end for callers. It receives calls and
 // sends the answers; the control goroutine decides where calls go and how they
 // end.
-package carobentrance
+package carobfrontend
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"github.com/carobknot/carobknot/internal/carobexchange"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobupload"
-	"github.com/carobknot/carobknot/internal/carobwatch"
+	"github.com/carobknot/carobknot/internal/carobrequestbody"
+	"github.com/carobknot/carobknot/internal/carobdisconnectwatch"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobkind"
@@ -49,7 +49,7 @@
 	Mailbox     *carobmailbox.Mailbox
 	Relay       relay
 	Control     querier
-	DisconnectWatch       *carobwatch.DisconnectWatch
+	DisconnectWatch       *carobdisconnectwatch.DisconnectWatch
 	Timer       *carobtimer.Timer
 }
 
@@ -142,8 +142,8 @@
 }
 
 // openUpload prepares the body of a call and reads it if it is to be buffered.
-func (e *FrontEnd) openUpload(ctx *fasthttp.RequestCtx, reserved carobsize.Size) (*carobupload.RequestBody, error) {
-	return carobupload.NewRequestBody(carobupload.Config{
+func (e *FrontEnd) openUpload(ctx *fasthttp.RequestCtx, reserved carobsize.Size) (*carobrequestbody.RequestBody, error) {
+	return carobrequestbody.NewRequestBody(carobrequestbody.Config{
 		Stream: ctx.RequestBodyStream(), Length: ctx.Request.Header.ContentLength(),
 		MaxBuffered: max(reserved, smallBody), MaxSize: e.config.Limits.BodySize,
 		Conn: ctx.Conn(), Timer: e.config.Timer, StallTimeout: e.config.Limits.StallTimeout.Duration(),
--- a/internal/carobentrance/listener.go
+++ b/internal/carobfrontend/listener.go
@@ -1,4 +1,4 @@
-package carobentrance
+package carobfrontend
 
 import (
 	"fmt"
@@ -53,7 +53,7 @@
 	once   sync.Once
 }
 
-// SyscallConn gives access to the file descriptor, which carobwatch needs. It
+// SyscallConn gives access to the file descriptor, which carobdisconnectwatch needs. It
 // returns net.ErrClosed if the connection has none.
 func (c *callerConn) SyscallConn() (syscall.RawConn, error) {
 	syscallConn, ok := c.Conn.(syscall.Conn)
--- a/internal/carobloader/call.go
+++ b/internal/carobloadgenerator/call.go
@@ -1,4 +1,4 @@
-package carobloader
+package carobloadgenerator
 
 import (
 	"bytes"
@@ -26,7 +26,7 @@
 	// compared byte by byte. Longer bodies are streamed.
 	maxInMemory = 1 << 20
 	decimal     = 10
-	// headerSum is the header in which carobstandtarget returns the checksum of the
+	// headerSum is the header in which carobfaketarget returns the checksum of the
 	// request's body, in hexadecimal.
 	headerSum = "X-Sum"
 )
--- a/internal/carobloader/loader.go
+++ b/internal/carobloadgenerator/loader.go
@@ -1,10 +1,10 @@
-// Package carobloader generates an open-loop load of calls from a seed and checks
+// Package carobloadgenerator generates an open-loop load of calls from a seed and checks
 // every answer.
 //
 // In an open loop, calls are sent on schedule and do not wait for earlier answers,
 // and latency is measured from the scheduled instant. In a closed loop, a slow answer
 // would delay later calls, whose wait would not be measured (coordinated omission).
-package carobloader
+package carobloadgenerator
 
 import (
 	"context"
--- a/internal/carobplatform/client.go
+++ b/internal/caroblogclient/client.go
@@ -1,6 +1,6 @@
-// Package carobplatform is the HTTP client of the platform's log. To support
+// Package caroblogclient is the HTTP client of the platform's log. To support
 // another log, add a client with the same methods in a file of this package.
-package carobplatform
+package caroblogclient
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"github.com/carobknot/carobknot/internal/carobpage"
+	"github.com/carobknot/carobknot/internal/caroblogpage"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobstream"
@@ -56,13 +56,13 @@
 
 // Read returns the records of a stream from an offset on. If there are none yet,
 // the log holds the request for up to wait until one is appended.
-func (c *LogClient) Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.LogPage, error) {
+func (c *LogClient) Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (caroblogpage.LogPage, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout+wait)
 	defer cancel()
 	query := url.Values{}
 	query.Set("from", strconv.FormatInt(int64(from), 10))
 	query.Set("wait", strconv.FormatInt(int64(wait/time.Millisecond), 10))
-	var page carobpage.LogPage
+	var page caroblogpage.LogPage
 	if err := c.do(ctx, http.MethodGet, c.path(stream)+"?"+query.Encode(), nil, &page); err != nil {
 		return page, err
 	}
--- a/internal/carobplatform/failure.go
+++ b/internal/caroblogclient/failure.go
@@ -1,4 +1,4 @@
-package carobplatform
+package caroblogclient
 
 import (
 	"net"
--- a/internal/carobfault/fault.go
+++ b/internal/caroblogfault/fault.go
@@ -1,5 +1,5 @@
-// Package carobfault describes faults of the stand-in for the platform's log.
-package carobfault
+// Package caroblogfault describes faults of the stand-in for the platform's log.
+package caroblogfault
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobduration"
--- a/internal/carobpage/page.go
+++ b/internal/caroblogpage/page.go
@@ -1,5 +1,5 @@
-// Package carobpage holds the result of reading a stream of the platform's log.
-package carobpage
+// Package caroblogpage holds the result of reading a stream of the platform's log.
+package caroblogpage
 
 import (
 	"github.com/carobknot/carobknot/pkg/caroboffset"
--- a/internal/carobtracewriter/buffer.go
+++ b/internal/caroblogwriter/buffer.go
@@ -1,4 +1,4 @@
-package carobtracewriter
+package caroblogwriter
 
 import (
 	"bytes"
--- a/internal/carobtracewriter/writer.go
+++ b/internal/caroblogwriter/writer.go
@@ -1,4 +1,4 @@
-// Package carobtracewriter writes what a node records into the platform's log: the
+// Package caroblogwriter writes what a node records into the platform's log: the
 // hops of calls, the audit trail, and the records that systems append.
 //
 // The log takes several hundred appends a second from all nodes together. Hops and
@@ -7,7 +7,7 @@
 // they are kept, up to a limit; the entries dropped beyond it are counted, and the
 // next record holds the count. An append whose response is lost is repeated, so a
 // batch may be in the log twice; readers recognise it by its number.
-package carobtracewriter
+package caroblogwriter
 
 import (
 	"context"
--- a/internal/carobtracewriter/writer_test.go
+++ b/internal/caroblogwriter/writer_test.go
@@ -1,4 +1,4 @@
-package carobtracewriter_test
+package caroblogwriter_test
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobtracewriter"
+	"github.com/carobknot/carobknot/internal/caroblogwriter"
 	"github.com/carobknot/carobknot/pkg/carobappend"
 	"github.com/carobknot/carobknot/pkg/carobaudit"
 	"github.com/carobknot/carobknot/pkg/carobhop"
@@ -83,14 +83,14 @@
 	return entries, lost
 }
 
-func newWriter(t *testing.T, log *fakeLog) (*carobtracewriter.LogWriter, *bytes.Buffer) {
+func newWriter(t *testing.T, log *fakeLog) (*caroblogwriter.LogWriter, *bytes.Buffer) {
 	t.Helper()
 	var lines bytes.Buffer
 	logger := logrus.New()
 	logger.SetOutput(io.MultiWriter(&lines))
 	timer := carobtimer.NewTimer()
 	go timer.Run(t.Context())
-	return carobtracewriter.NewLogWriter(carobtracewriter.Config{
+	return caroblogwriter.NewLogWriter(caroblogwriter.Config{
 		Self: carobmember.Member{Node: "first", Incarnation: 7}, Log: log, Timer: timer, Logger: logrus.NewEntry(logger), MaxBufferedSize: 512 * carobsize.KiB,
 	}), &lines
 }
--- a/internal/carobenroller/enroller.go
+++ b/internal/carobmembersync/enroller.go
@@ -1,6 +1,6 @@
-// Package carobenroller writes the description of this node (its member) into a
+// Package carobmembersync writes the description of this node (its member) into a
 // directory that all nodes share, and reads the descriptions of the others there.
-package carobenroller
+package carobmembersync
 
 import (
 	"context"
--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -11,21 +11,21 @@
 	"github.com/sirupsen/logrus"
 	"github.com/valyala/fasthttp"
 
-	"github.com/carobknot/carobknot/internal/carobadmin"
+	"github.com/carobknot/carobknot/internal/carobadminserver"
 	"github.com/carobknot/carobknot/internal/carobadmitter"
 	"github.com/carobknot/carobknot/internal/carobclaimlog"
 	"github.com/carobknot/carobknot/internal/carobcontrol"
-	"github.com/carobknot/carobknot/internal/carobenroller"
+	"github.com/carobknot/carobknot/internal/carobmembersync"
 	"github.com/carobknot/carobknot/internal/carobeventlog"
-	"github.com/carobknot/carobknot/internal/carobfollower"
+	"github.com/carobknot/carobknot/internal/carobroutepoller"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/carobmeter"
-	"github.com/carobknot/carobknot/internal/carobplatform"
+	"github.com/carobknot/carobknot/internal/caroblogclient"
 	"github.com/carobknot/carobknot/internal/carobsettings"
 	"github.com/carobknot/carobknot/internal/carobsplitter"
 	"github.com/carobknot/carobknot/internal/carobtail"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobtracewriter"
+	"github.com/carobknot/carobknot/internal/caroblogwriter"
 	"github.com/carobknot/carobknot/internal/carobtransport"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobannouncement"
@@ -58,7 +58,7 @@
 }
 
 // dialect is the HTTP interface to a platform's callers and targets. The interfaces
-// of the same name in carobingress and carobadmitter describe the methods.
+// of the same name in carobdialectfrontend and carobadmitter describe the methods.
 type dialect interface {
 	ParseArrival(req *fasthttp.Request) (carobarrival.Arrival, error)
 	WriteRefusal(resp *fasthttp.Response, req *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
@@ -234,8 +234,8 @@
 	control.AddExecutor(do.MustInvoke[*carobmeter.Meter](n.injector))
 	control.AddExecutor(do.MustInvoke[*carobeventlog.EventLog](n.injector))
 	if n.config.Store != nil {
-		control.AddExecutor(do.MustInvoke[*carobenroller.MemberSync](n.injector))
-		control.AddExecutor(do.MustInvoke[*carobfollower.RoutePoller](n.injector))
+		control.AddExecutor(do.MustInvoke[*carobmembersync.MemberSync](n.injector))
+		control.AddExecutor(do.MustInvoke[*carobroutepoller.RoutePoller](n.injector))
 	} else {
 		n.attachLog(ctx, control)
 	}
@@ -245,12 +245,12 @@
 // attachLog connects the control goroutine to the parts that write to the log.
 func (n *Node) attachLog(ctx context.Context, control *carobcontrol.Control) {
 	control.AddExecutor(carobclaimlog.NewClaimLog(ctx, carobclaimlog.Config{
-		Log:     do.MustInvoke[*carobplatform.LogClient](n.injector),
+		Log:     do.MustInvoke[*caroblogclient.LogClient](n.injector),
 		Mailbox: do.MustInvoke[*carobmailbox.Mailbox](n.injector),
 		Timer:   do.MustInvoke[*carobtimer.Timer](n.injector),
 		Logger:  logrus.NewEntry(n.config.Logger),
 	}))
-	control.AddExecutor(do.MustInvoke[*carobtracewriter.LogWriter](n.injector))
+	control.AddExecutor(do.MustInvoke[*caroblogwriter.LogWriter](n.injector))
 }
 
 // startBackground starts the goroutines that run beside the servers.
@@ -260,11 +260,11 @@
 	go do.MustInvoke[*carobsplitter.Splitter](n.injector).Run(ctx)
 	go do.MustInvoke[*carobeventlog.EventLog](n.injector).Run(ctx)
 	if n.config.Store != nil {
-		go do.MustInvoke[*carobenroller.MemberSync](n.injector).Run(ctx)
-		go do.MustInvoke[*carobfollower.RoutePoller](n.injector).Run(ctx)
+		go do.MustInvoke[*carobmembersync.MemberSync](n.injector).Run(ctx)
+		go do.MustInvoke[*carobroutepoller.RoutePoller](n.injector).Run(ctx)
 		return
 	}
-	go do.MustInvoke[*carobtracewriter.LogWriter](n.injector).Run(ctx)
+	go do.MustInvoke[*caroblogwriter.LogWriter](n.injector).Run(ctx)
 	go n.readStream(ctx, carobstream.Profiles)
 	go n.readStream(ctx, carobstream.Nodes)
 }
@@ -285,7 +285,7 @@
 	go start("calls", do.MustInvoke[callServer](n.injector).Serve, n.callListener)
 	go start("attempts", do.MustInvoke[*attemptServer](n.injector).Serve, splitter.AttemptListener)
 	go start("control messages", do.MustInvoke[*carobtransport.Transport](n.injector).Serve, splitter.ControlListener)
-	go start("admin", do.MustInvoke[*carobadmin.AdminServer](n.injector).Serve, n.adminListener)
+	go start("admin", do.MustInvoke[*carobadminserver.AdminServer](n.injector).Serve, n.adminListener)
 	return failed
 }
 
@@ -328,11 +328,11 @@
 	}
 	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(graceCtx, finalSendDelay)
 	if n.config.Store == nil {
-		do.MustInvoke[*carobtracewriter.LogWriter](n.injector).Flush(closeCtx)
+		do.MustInvoke[*caroblogwriter.LogWriter](n.injector).Flush(closeCtx)
 	}
 	_ = do.MustInvoke[*attemptServer](n.injector).ShutdownWithContext(closeCtx)
 	_ = do.MustInvoke[*carobtransport.Transport](n.injector).Shutdown(closeCtx)
-	_ = do.MustInvoke[*carobadmin.AdminServer](n.injector).Shutdown(closeCtx)
+	_ = do.MustInvoke[*carobadminserver.AdminServer](n.injector).Shutdown(closeCtx)
 	logger.Info("node: stopped")
 }
 
@@ -352,7 +352,7 @@
 // readStream reads a stream of the platform's log until ctx ends.
 func (n *Node) readStream(ctx context.Context, stream carobstream.Stream) {
 	carobtail.NewTail(carobtail.Config{
-		Stream: stream, Log: do.MustInvoke[*carobplatform.LogClient](n.injector),
+		Stream: stream, Log: do.MustInvoke[*caroblogclient.LogClient](n.injector),
 		Mailbox: do.MustInvoke[*carobmailbox.Mailbox](n.injector),
 		Timer:   do.MustInvoke[*carobtimer.Timer](n.injector), Logger: logrus.NewEntry(n.config.Logger),
 	}).Run(ctx)
--- a/internal/carobnode/path_test.go
+++ b/internal/carobnode/path_test.go
@@ -17,7 +17,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/carobknot/carobknot/internal/carobsettings"
-	"github.com/carobknot/carobknot/internal/carobstandlog"
+	"github.com/carobknot/carobknot/internal/carobfakelog"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 )
@@ -29,7 +29,7 @@
 	defer cancel()
 	timer := carobtimer.NewTimer()
 	go timer.Run(ctx)
-	log := listen(b, carobstandlog.NewFakeLog(carobstandlog.Config{Timer: timer}).Serve)
+	log := listen(b, carobfakelog.NewFakeLog(carobfakelog.Config{Timer: timer}).Serve)
 	entryNode, targetNode := runNode(b, "near", log), runNode(b, "far", log)
 	server := &fasthttp.Server{Handler: func(reqCtx *fasthttp.RequestCtx) { reqCtx.SetBodyString(strings.Repeat("x", 512)) }}
 	target := listen(b, server.Serve)
--- a/internal/carobnode/providers.go
+++ b/internal/carobnode/providers.go
@@ -6,16 +6,16 @@
 	"github.com/samber/do/v2"
 	"github.com/sirupsen/logrus"
 
-	"github.com/carobknot/carobknot/internal/carobadmin"
+	"github.com/carobknot/carobknot/internal/carobadminserver"
 	"github.com/carobknot/carobknot/internal/carobcodec"
 	"github.com/carobknot/carobknot/internal/carobcontrol"
 	"github.com/carobknot/carobknot/internal/carobeventlog"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/carobmeter"
-	"github.com/carobknot/carobknot/internal/carobplatform"
+	"github.com/carobknot/carobknot/internal/caroblogclient"
 	"github.com/carobknot/carobknot/internal/carobsplitter"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobtracewriter"
+	"github.com/carobknot/carobknot/internal/caroblogwriter"
 	"github.com/carobknot/carobknot/internal/carobtransport"
 	"github.com/carobknot/carobknot/pkg/carobcore"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
@@ -76,17 +76,17 @@
 			Listener: n.peerListener, Timer: do.MustInvoke[*carobtimer.Timer](injector), DetectionTimeout: protocolDetectionTimeout,
 		}), nil
 	})
-	do.Provide(injector, func(do.Injector) (*carobplatform.LogClient, error) {
-		return carobplatform.NewLogClient(carobplatform.Config{URL: settings.LogURL, Timeout: logTimeout}), nil
+	do.Provide(injector, func(do.Injector) (*caroblogclient.LogClient, error) {
+		return caroblogclient.NewLogClient(caroblogclient.Config{URL: settings.LogURL, Timeout: logTimeout}), nil
 	})
-	do.Provide(injector, func(injector do.Injector) (*carobtracewriter.LogWriter, error) {
-		return carobtracewriter.NewLogWriter(carobtracewriter.Config{
-			Self: do.MustInvoke[carobmember.Member](injector), Log: do.MustInvoke[*carobplatform.LogClient](injector),
+	do.Provide(injector, func(injector do.Injector) (*caroblogwriter.LogWriter, error) {
+		return caroblogwriter.NewLogWriter(caroblogwriter.Config{
+			Self: do.MustInvoke[carobmember.Member](injector), Log: do.MustInvoke[*caroblogclient.LogClient](injector),
 			Timer: do.MustInvoke[*carobtimer.Timer](injector), Logger: logrus.NewEntry(n.config.Logger), MaxBufferedSize: maxTraceBacklog,
 		}), nil
 	})
-	do.Provide(injector, func(injector do.Injector) (*carobadmin.AdminServer, error) {
-		return carobadmin.NewAdminServer(carobadmin.Config{
+	do.Provide(injector, func(injector do.Injector) (*carobadminserver.AdminServer, error) {
+		return carobadminserver.NewAdminServer(carobadminserver.Config{
 			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Control: do.MustInvoke[*carobcontrol.Control](injector),
 			Timer: do.MustInvoke[*carobtimer.Timer](injector), Metrics: do.MustInvoke[*carobmeter.Meter](injector).Handler(),
 		}), nil
--- a/internal/carobnode/traffic_providers.go
+++ b/internal/carobnode/traffic_providers.go
@@ -10,16 +10,16 @@
 
 	"github.com/carobknot/carobknot/internal/carobadmitter"
 	"github.com/carobknot/carobknot/internal/carobcontrol"
-	"github.com/carobknot/carobknot/internal/carobenroller"
-	"github.com/carobknot/carobknot/internal/carobentrance"
+	"github.com/carobknot/carobknot/internal/carobmembersync"
+	"github.com/carobknot/carobknot/internal/carobfrontend"
 	"github.com/carobknot/carobknot/internal/carobexchange"
-	"github.com/carobknot/carobknot/internal/carobfollower"
-	"github.com/carobknot/carobknot/internal/carobingress"
+	"github.com/carobknot/carobknot/internal/carobroutepoller"
+	"github.com/carobknot/carobknot/internal/carobdialectfrontend"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/carobpool"
 	"github.com/carobknot/carobknot/internal/carobrelay"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobwatch"
+	"github.com/carobknot/carobknot/internal/carobdisconnectwatch"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 )
 
@@ -40,8 +40,8 @@
 // provideTraffic adds the constructors of the parts that carry calls.
 func (n *Node) provideTraffic(injector do.Injector) {
 	settings := n.config.Settings
-	do.Provide(injector, func(injector do.Injector) (*carobwatch.DisconnectWatch, error) {
-		return carobwatch.NewDisconnectWatch(carobwatch.Config{
+	do.Provide(injector, func(injector do.Injector) (*carobdisconnectwatch.DisconnectWatch, error) {
+		return carobdisconnectwatch.NewDisconnectWatch(carobdisconnectwatch.Config{
 			Timer: do.MustInvoke[*carobtimer.Timer](injector), PollInterval: disconnectCheckInterval,
 		}), nil
 	})
@@ -52,7 +52,7 @@
 		}
 		admitterConfig := carobadmitter.Config{
 			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
-			DisconnectWatch:   do.MustInvoke[*carobwatch.DisconnectWatch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+			DisconnectWatch:   do.MustInvoke[*carobdisconnectwatch.DisconnectWatch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
 			StallTimeout: settings.Limits.StallTimeout.Duration(),
 		}
 		if n.config.Dialect != nil {
@@ -75,14 +75,14 @@
 	do.Provide(injector, func(injector do.Injector) (callServer, error) {
 		self := do.MustInvoke[carobmember.Member](injector)
 		if n.config.Dialect == nil {
-			return carobentrance.NewFrontEnd(carobentrance.Config{
+			return carobfrontend.NewFrontEnd(carobfrontend.Config{
 				Node: self.Node, Incarnation: self.Incarnation, Limits: settings.Limits,
 				Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Control: do.MustInvoke[*carobcontrol.Control](injector),
-				DisconnectWatch: do.MustInvoke[*carobwatch.DisconnectWatch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+				DisconnectWatch: do.MustInvoke[*carobdisconnectwatch.DisconnectWatch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
 				Relay: do.MustInvoke[*carobrelay.Relay](injector),
 			}), nil
 		}
-		return carobingress.NewDialectFrontEnd(carobingress.Config{
+		return carobdialectfrontend.NewDialectFrontEnd(carobdialectfrontend.Config{
 			Node: self.Node, Incarnation: self.Incarnation, Limits: settings.Limits, Dialect: n.config.Dialect,
 			Exchanges: carobexchange.NewExchanges(carobexchange.Config{
 				Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Relay: do.MustInvoke[*carobrelay.Relay](injector), MaxBufferedAnswer: maxBufferedResponse,
@@ -109,15 +109,15 @@
 
 // provideStore adds the constructors of the parts that use a platform's store.
 func (n *Node) provideStore(injector do.Injector) {
-	do.Provide(injector, func(injector do.Injector) (*carobenroller.MemberSync, error) {
-		return carobenroller.NewMemberSync(carobenroller.Config{
+	do.Provide(injector, func(injector do.Injector) (*carobmembersync.MemberSync, error) {
+		return carobmembersync.NewMemberSync(carobmembersync.Config{
 			Node: n.config.Settings.Name, Directory: n.config.Store,
 			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
 			Logger: logrus.NewEntry(n.config.Logger),
 		}), nil
 	})
-	do.Provide(injector, func(injector do.Injector) (*carobfollower.RoutePoller, error) {
-		return carobfollower.NewRoutePoller(carobfollower.Config{
+	do.Provide(injector, func(injector do.Injector) (*carobroutepoller.RoutePoller, error) {
+		return carobroutepoller.NewRoutePoller(carobroutepoller.Config{
 			Source: n.config.Store, Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
 			Timer: do.MustInvoke[*carobtimer.Timer](injector), Logger: logrus.NewEntry(n.config.Logger),
 		}), nil
--- a/internal/carobvisit/chunk.go
+++ b/internal/carobpipelinedrequest/chunk.go
@@ -1,4 +1,4 @@
-package carobvisit
+package carobpipelinedrequest
 
 import (
 	"bufio"
--- a/internal/carobvisit/visit.go
+++ b/internal/carobpipelinedrequest/visit.go
@@ -1,6 +1,6 @@
-// Package carobvisit holds one request of a connection until it is answered, and
+// Package carobpipelinedrequest holds one request of a connection until it is answered, and
 // writes its answer after those of the earlier requests.
-package carobvisit
+package carobpipelinedrequest
 
 import (
 	"bufio"
--- a/internal/carobledger/ledger.go
+++ b/internal/carobprofilehistory/ledger.go
@@ -1,12 +1,12 @@
-// Package carobledger reads all profiles and their changes from the platform's log,
+// Package carobprofilehistory reads all profiles and their changes from the platform's log,
 // for the command line.
-package carobledger
+package carobprofilehistory
 
 import (
 	"context"
 	"time"
 
-	"github.com/carobknot/carobknot/internal/carobpage"
+	"github.com/carobknot/carobknot/internal/caroblogpage"
 	"github.com/carobknot/carobknot/pkg/carobchangeresult"
 	"github.com/carobknot/carobknot/pkg/carobfold"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
@@ -20,7 +20,7 @@
 
 // reader reads records of the log.
 type reader interface {
-	Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.LogPage, error)
+	Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (caroblogpage.LogPage, error)
 }
 
 // Config holds what the profiles are read from.
--- a/internal/carobupload/upload.go
+++ b/internal/carobrequestbody/upload.go
@@ -1,10 +1,10 @@
-// Package carobupload holds the body of a call while it is sent to a target.
+// Package carobrequestbody holds the body of a call while it is sent to a target.
 //
 // A short body is buffered, so that every attempt of the call can send it. A long
 // body is streamed and can be read only once, by the attempt that reads from it
 // first. An attempt that is refused before it reads leaves the body to the next
 // attempt.
-package carobupload
+package carobrequestbody
 
 import (
 	"bytes"
--- a/internal/carobupload/upload_test.go
+++ b/internal/carobrequestbody/upload_test.go
@@ -1,4 +1,4 @@
-package carobupload
+package carobrequestbody
 
 import (
 	"io"
--- a/internal/carobfollower/follower.go
+++ b/internal/carobroutepoller/follower.go
@@ -1,6 +1,6 @@
-// Package carobfollower reads the operator's route tables from a store while the
+// Package carobroutepoller reads the operator's route tables from a store while the
 // control goroutine needs them.
-package carobfollower
+package carobroutepoller
 
 import (
 	"context"
--- a/internal/carobfollower/follower_test.go
+++ b/internal/carobroutepoller/follower_test.go
@@ -1,4 +1,4 @@
-package carobfollower_test
+package carobroutepoller_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 
-	"github.com/carobknot/carobknot/internal/carobfollower"
+	"github.com/carobknot/carobknot/internal/carobroutepoller"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
@@ -48,7 +48,7 @@
 	go timer.Run(t.Context())
 	routeSource := &stubSource{reads: make(chan time.Duration), answers: make(chan error), table: table}
 	logger, logged := test.NewNullLogger()
-	poller := carobfollower.NewRoutePoller(carobfollower.Config{
+	poller := carobroutepoller.NewRoutePoller(carobroutepoller.Config{
 		Source: routeSource, Mailbox: mailbox, Timer: timer, Logger: logrus.NewEntry(logger),
 	})
 	go poller.Run(t.Context())
--- a/internal/carobserver/conn.go
+++ b/internal/carobserver/conn.go
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/carobknot/carobknot/internal/carobheader"
-	"github.com/carobknot/carobknot/internal/carobvisit"
+	"github.com/carobknot/carobknot/internal/carobpipelinedrequest"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
@@ -35,7 +35,7 @@
 	mutex  sync.Mutex
 	// pending holds the requests without an answer, in the order of their arrival.
 	// It is guarded by mutex, as are reading and closing.
-	pending []*carobvisit.PipelinedRequest
+	pending []*carobpipelinedrequest.PipelinedRequest
 	// lastDone is closed when the newest request is done.
 	lastDone <-chan struct{}
 	// reading is true while a request is being read.
@@ -183,13 +183,13 @@
 
 // addVisit appends a request to the pending ones. It returns nil if the
 // connection is closing.
-func (c *conn) addVisit(req *fasthttp.Request) *carobvisit.PipelinedRequest {
+func (c *conn) addVisit(req *fasthttp.Request) *carobpipelinedrequest.PipelinedRequest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.closing {
 		return nil
 	}
-	visit := carobvisit.NewPipelinedRequest(carobvisit.Config{
+	visit := carobpipelinedrequest.NewPipelinedRequest(carobpipelinedrequest.Config{
 		Request: req, Connection: c, Writer: c.writer, PreviousDone: c.lastDone,
 	})
 	c.reading = false
@@ -218,7 +218,7 @@
 // ClosesAfter reports whether the connection closes after the answer to visit. If it
 // does, no further request is accepted. A draining server closes a connection
 // with the last pending answer.
-func (c *conn) ClosesAfter(visit *carobvisit.PipelinedRequest) bool {
+func (c *conn) ClosesAfter(visit *carobpipelinedrequest.PipelinedRequest) bool {
 	draining := c.server.isDraining()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -236,7 +236,7 @@
 
 // Remove removes an answered request. If complete is false, the answer could not be
 // sent completely, and the connection is closed.
-func (c *conn) Remove(visit *carobvisit.PipelinedRequest, complete bool) {
+func (c *conn) Remove(visit *carobpipelinedrequest.PipelinedRequest, complete bool) {
 	c.mutex.Lock()
 	for i := range c.pending {
 		if c.pending[i] == visit {
@@ -293,7 +293,7 @@
 // disconnected, and waits until all have ended.
 func (c *conn) notifyDisconnect() {
 	c.mutex.Lock()
-	pending := append([]*carobvisit.PipelinedRequest(nil), c.pending...)
+	pending := append([]*carobpipelinedrequest.PipelinedRequest(nil), c.pending...)
 	c.mutex.Unlock()
 	for _, visit := range pending {
 		visit.Disconnect()
--- a/internal/carobserver/server.go
+++ b/internal/carobserver/server.go
@@ -17,14 +17,14 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobvisit"
+	"github.com/carobknot/carobknot/internal/carobpipelinedrequest"
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
 
 // handler handles requests.
 type handler interface {
 	// Handle answers a request. It runs on a goroutine of its own.
-	Handle(visit *carobvisit.PipelinedRequest)
+	Handle(visit *carobpipelinedrequest.PipelinedRequest)
 	// Reject fills in the response to bytes that could not be read as a request.
 	Reject(resp *fasthttp.Response, err error)
 }
--- a/internal/carobserver/server_test.go
+++ b/internal/carobserver/server_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/carobknot/carobknot/internal/carobserver"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobvisit"
+	"github.com/carobknot/carobknot/internal/carobpipelinedrequest"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
@@ -46,7 +46,7 @@
 	return h.releases[path]
 }
 
-func (h *handler) Handle(visit *carobvisit.PipelinedRequest) {
+func (h *handler) Handle(visit *carobpipelinedrequest.PipelinedRequest) {
 	path := string(visit.Request().Header.RequestURI())
 	disconnected := make(chan struct{})
 	visit.OnDisconnect(sync.OnceFunc(func() {
--- a/internal/carobtail/tail.go
+++ b/internal/carobtail/tail.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/carobknot/carobknot/internal/carobmailbox"
-	"github.com/carobknot/carobknot/internal/carobpage"
+	"github.com/carobknot/carobknot/internal/caroblogpage"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
@@ -18,7 +18,7 @@
 
 // reader reads records of the log.
 type reader interface {
-	Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (carobpage.LogPage, error)
+	Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (caroblogpage.LogPage, error)
 }
 
 // Config holds the parameters of a tail.
@@ -67,7 +67,7 @@
 }
 
 // post posts the records of a page and the bounds of the stream.
-func (t *Tail) post(page carobpage.LogPage) {
+func (t *Tail) post(page caroblogpage.LogPage) {
 	t.config.Mailbox.Post(func(in *carobinbox.Inbox) {
 		in.Records = append(in.Records, page.Records...)
 		in.StreamBounds = append(in.StreamBounds, carobstreambounds.StreamBounds{Stream: t.config.Stream, First: page.FirstOffset, Next: page.NextOffset})
--- a/pkg/carobcore/core.go
+++ b/pkg/carobcore/core.go
@@ -17,7 +17,7 @@
 	"github.com/carobknot/carobknot/pkg/carobdetection"
 	"github.com/carobknot/carobknot/pkg/carobdissemination"
 	"github.com/carobknot/carobknot/pkg/carobejection"
-	"github.com/carobknot/carobknot/pkg/carobelection"
+	"github.com/carobknot/carobknot/pkg/carobstorereading"
 	"github.com/carobknot/carobknot/pkg/carobentry"
 	"github.com/carobknot/carobknot/pkg/carobfencing"
 	"github.com/carobknot/carobknot/pkg/carobfold"
@@ -113,7 +113,7 @@
 			carobdetection.NewSystem(),
 			carobreconciliation.NewSystem(),
 			carobroutesync.NewSystem(),
-			carobelection.NewSystem(),
+			carobstorereading.NewSystem(),
 			carobfold.NewSystem(),
 			carobcatchup.NewSystem(),
 			carobcompaction.NewSystem(),
--- a/pkg/carobelection/system.go
+++ b/pkg/carobstorereading/system.go
@@ -1,4 +1,4 @@
-// Package carobelection selects the nodes that read the operator's records from the
+// Package carobstorereading selects the nodes that read the operator's records from the
 // store, where each read has a cost.
 //
 // In each data centre one node reads: the one with the lowest id among those that are
@@ -9,7 +9,7 @@
 // A long-poll read that the store holds open can miss a record. This was observed after
 // the store had been slow, for all readers at once. So no read is held open for long, and
 // the readers' polls end at different times; a record found by one reaches all other nodes.
-package carobelection
+package carobstorereading
 
 import (
 	"time"
--- a/pkg/carobelection/system_test.go
+++ b/pkg/carobstorereading/system_test.go
@@ -1,4 +1,4 @@
-package carobelection_test
+package carobstorereading_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/carobknot/carobknot/pkg/carobcentre"
-	"github.com/carobknot/carobknot/pkg/carobelection"
+	"github.com/carobknot/carobknot/pkg/carobstorereading"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobliveness"
@@ -65,7 +65,7 @@
 			}
 			sequence := w.Self.Sequence
 			w.BeginTick(in)
-			carobelection.NewSystem().Run(w, 1)
+			carobstorereading.NewSystem().Run(w, 1)
 			require.Equal(t, c.reads, w.Outbox.ReadingStore)
 			require.Equal(t, c.reads, w.Outbox.LongPollTimeout > 0)
 			require.Equal(t, c.unreadable, w.Self.Sequence != sequence, "other nodes learn whether it can read the store")
@@ -83,7 +83,7 @@
 			w.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Centre: centre}})
 		}
 		w.BeginTick(carobinbox.Inbox{})
-		carobelection.NewSystem().Run(w, 1)
+		carobstorereading.NewSystem().Run(w, 1)
 		return w.Outbox.LongPollTimeout
 	}
 	alone := hold()
