--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -12,11 +12,11 @@
 
 	"github.com/carobknot/carobknot/internal/carobanswer"
 	"github.com/carobknot/carobknot/internal/carobbody"
+	"github.com/carobknot/carobknot/internal/carobdisconnectwatch"
 	"github.com/carobknot/carobknot/internal/carobdispatcher"
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobdisconnectwatch"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
 	"github.com/carobknot/carobknot/pkg/carobguarantee"
@@ -68,7 +68,7 @@
 	MaxBufferedAnswer carobsize.Size
 	// DisconnectWatch detects that entry nodes close their connections.
 	DisconnectWatch *carobdisconnectwatch.DisconnectWatch
-	Timer *carobtimer.Timer
+	Timer           *carobtimer.Timer
 	// StallTimeout is how long an entry node may send or accept no bytes of a body.
 	StallTimeout time.Duration
 }
--- a/internal/carobbehaviour/behaviour.go
+++ b/internal/carobbehaviour/behaviour.go
@@ -28,11 +28,11 @@
 	JumpInterval carobduration.Duration `json:"gap"`
 	// MinJump and Longest bound the length of a jump.
 	MinJump carobduration.Duration `json:"shortest"`
-	MaxJump  carobduration.Duration `json:"longest"`
+	MaxJump carobduration.Duration `json:"longest"`
 	// Warmup is the duration of the warm-up, which starts with the target and again when
 	// this field is set; 0 means none. The factor on service times falls linearly from
 	// Chill to 1 during the warm-up.
-	Warmup  carobduration.Duration `json:"cold"`
+	Warmup     carobduration.Duration `json:"cold"`
 	ColdFactor float64                `json:"chill"`
 	// Fail answers every call with status 500, almost at once.
 	Fail bool `json:"fail"`
--- a/internal/carobclaimlog/claimlog.go
+++ b/internal/carobclaimlog/claimlog.go
@@ -7,8 +7,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/caroblogclient"
+	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/carobtail"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobappendrequest"
--- a/internal/carobcommand/profiles.go
+++ b/internal/carobcommand/profiles.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/carobknot/carobknot/internal/carobprofilehistory"
 	"github.com/carobknot/carobknot/internal/caroblogclient"
+	"github.com/carobknot/carobknot/internal/carobprofilehistory"
 	"github.com/carobknot/carobknot/pkg/carobchangeresult"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
--- a/internal/carobcommand/publish.go
+++ b/internal/carobcommand/publish.go
@@ -9,8 +9,8 @@
 	"os/user"
 	"time"
 
-	"github.com/carobknot/carobknot/internal/carobprofilehistory"
 	"github.com/carobknot/carobknot/internal/caroblogclient"
+	"github.com/carobknot/carobknot/internal/carobprofilehistory"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobchangeresult"
--- a/internal/carobfakelog/log_test.go
+++ b/internal/carobfakelog/fakelog_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/carobknot/carobknot/internal/caroblogclient"
 	"github.com/carobknot/carobknot/internal/carobfakelog"
+	"github.com/carobknot/carobknot/internal/caroblogclient"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
--- a/internal/carobfaketarget/target.go
+++ b/internal/carobfaketarget/faketarget.go
@@ -24,9 +24,9 @@
 	ID carobtargetid.ID
 	// Profile, Slots and Conns are announced to the node. Slots is also the number of
 	// calls that run at once; below 1 it counts as 1.
-	Profile carobname.Name
-	Slots   int
-	Connections   int
+	Profile     carobname.Name
+	Slots       int
+	Connections int
 	// Behaviour is the initial behaviour; the default one if its Shape is empty.
 	Behaviour carobbehaviour.Behaviour
 	// Seed seeds all random times.
--- a/internal/carobfrontend/entrance.go
+++ b/internal/carobfrontend/frontend.go
@@ -12,11 +12,11 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/carobknot/carobknot/internal/carobanswer"
+	"github.com/carobknot/carobknot/internal/carobdisconnectwatch"
 	"github.com/carobknot/carobknot/internal/carobexchange"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
-	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/internal/carobrequestbody"
-	"github.com/carobknot/carobknot/internal/carobdisconnectwatch"
+	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobkind"
@@ -43,14 +43,14 @@
 
 // Config holds the parameters of an Entrance.
 type Config struct {
-	Node        carobnodeid.ID
-	Incarnation carobincarnation.Incarnation
-	Limits      caroblimits.Limits
-	Mailbox     *carobmailbox.Mailbox
-	Relay       relay
-	Control     querier
-	DisconnectWatch       *carobdisconnectwatch.DisconnectWatch
-	Timer       *carobtimer.Timer
+	Node            carobnodeid.ID
+	Incarnation     carobincarnation.Incarnation
+	Limits          caroblimits.Limits
+	Mailbox         *carobmailbox.Mailbox
+	Relay           relay
+	Control         querier
+	DisconnectWatch *carobdisconnectwatch.DisconnectWatch
+	Timer           *carobtimer.Timer
 }
 
 // FrontEnd is the HTTP server for callers.
--- a/internal/carobloadgenerator/loader.go
+++ b/internal/carobloadgenerator/loadgenerator.go
@@ -36,7 +36,7 @@
 	// Rate is the mean number of calls a second; it is positive.
 	Rate float64
 	// MaxCalls and Duration end the load, whichever comes first; 0 is no limit.
-	MaxCalls    int
+	MaxCalls int
 	Duration time.Duration
 	// Warmup is the warm-up at the start, during which calls are sent but not counted.
 	Warmup time.Duration
--- a/internal/caroblogwriter/writer_test.go
+++ b/internal/caroblogwriter/logwriter_test.go
@@ -13,8 +13,8 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
-	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/internal/caroblogwriter"
+	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobappend"
 	"github.com/carobknot/carobknot/pkg/carobaudit"
 	"github.com/carobknot/carobknot/pkg/carobhop"
--- a/internal/carobnode/path_test.go
+++ b/internal/carobnode/path_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fasthttp"
 
-	"github.com/carobknot/carobknot/internal/carobsettings"
 	"github.com/carobknot/carobknot/internal/carobfakelog"
+	"github.com/carobknot/carobknot/internal/carobsettings"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 )
--- a/internal/carobnode/traffic_providers.go
+++ b/internal/carobnode/traffic_providers.go
@@ -10,16 +10,16 @@
 
 	"github.com/carobknot/carobknot/internal/carobadmitter"
 	"github.com/carobknot/carobknot/internal/carobcontrol"
-	"github.com/carobknot/carobknot/internal/carobmembersync"
-	"github.com/carobknot/carobknot/internal/carobfrontend"
-	"github.com/carobknot/carobknot/internal/carobexchange"
-	"github.com/carobknot/carobknot/internal/carobroutepoller"
 	"github.com/carobknot/carobknot/internal/carobdialectfrontend"
+	"github.com/carobknot/carobknot/internal/carobdisconnectwatch"
+	"github.com/carobknot/carobknot/internal/carobexchange"
+	"github.com/carobknot/carobknot/internal/carobfrontend"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
+	"github.com/carobknot/carobknot/internal/carobmembersync"
 	"github.com/carobknot/carobknot/internal/carobpool"
 	"github.com/carobknot/carobknot/internal/carobrelay"
+	"github.com/carobknot/carobknot/internal/carobroutepoller"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobdisconnectwatch"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 )
 
@@ -51,8 +51,8 @@
 			MaxHeader: int(settings.Limits.HeaderSize), StallTimeout: settings.Limits.StallTimeout.Duration(),
 		}
 		admitterConfig := carobadmitter.Config{
-			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
-			DisconnectWatch:   do.MustInvoke[*carobdisconnectwatch.DisconnectWatch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+			Mailbox:         do.MustInvoke[*carobmailbox.Mailbox](injector),
+			DisconnectWatch: do.MustInvoke[*carobdisconnectwatch.DisconnectWatch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
 			StallTimeout: settings.Limits.StallTimeout.Duration(),
 		}
 		if n.config.Dialect != nil {
--- a/internal/carobpipelinedrequest/visit.go
+++ b/internal/carobpipelinedrequest/pipelinedrequest.go
@@ -28,9 +28,9 @@
 // Config holds the parameters of a Visit.
 type Config struct {
 	// Request includes the complete body.
-	Request *fasthttp.Request
-	Connection    connection
-	Writer  *bufio.Writer
+	Request    *fasthttp.Request
+	Connection connection
+	Writer     *bufio.Writer
 	// PreviousDone is closed once the earlier requests of the connection are answered.
 	PreviousDone <-chan struct{}
 }
--- a/internal/carobroutepoller/follower_test.go
+++ b/internal/carobroutepoller/routepoller_test.go
@@ -10,8 +10,8 @@
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 
-	"github.com/carobknot/carobknot/internal/carobroutepoller"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
+	"github.com/carobknot/carobknot/internal/carobroutepoller"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -24,7 +24,7 @@
 	Centres []carobcentre.Centre `json:"centres"`
 	// LocalDelay is the network delay between two VMs of one data centre, and Far that between
 	// two data centres.
-	LocalDelay carobduration.Duration `json:"hop"`
+	LocalDelay  carobduration.Duration `json:"hop"`
 	RemoteDelay carobduration.Duration `json:"far"`
 	// Noise is the effect of noisy neighbours on the VMs.
 	Noise noise `json:"noise"`
@@ -32,7 +32,7 @@
 	// services.
 	ProbeLimits carobprobelimits.ProbeLimits `json:"measure"`
 	RetryLimits carobretrylimits.RetryLimits `json:"retries"`
-	Profile carobprofile.Profile         `json:"profile"`
+	Profile     carobprofile.Profile         `json:"profile"`
 	// Services has at least one element.
 	Services []service `json:"services"`
 	// CallKinds has at least one element. A kind must precede those that name it in Calls.
@@ -83,7 +83,7 @@
 	// NestedKind is the kind of the nested calls that a target makes while it runs a call of
 	// this kind; empty if it makes none. Times is their number, one after the other, and
 	// Share the share of runs that make them.
-	NestedKind carobname.Name   `json:"calls"`
+	NestedKind  carobname.Name   `json:"calls"`
 	NestedCalls int              `json:"times"`
 	NestedShare carobshare.Share `json:"share"`
 }
--- a/internal/carobserver/server.go
+++ b/internal/carobserver/server.go
@@ -16,8 +16,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/internal/carobpipelinedrequest"
+	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
 
--- a/internal/carobserver/server_test.go
+++ b/internal/carobserver/server_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fasthttp"
 
+	"github.com/carobknot/carobknot/internal/carobpipelinedrequest"
 	"github.com/carobknot/carobknot/internal/carobserver"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobpipelinedrequest"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
--- a/internal/carobstatus/status.go
+++ b/internal/carobstatus/status.go
@@ -55,19 +55,19 @@
 // target is a target as this node sees it. The load of the node's own targets is the
 // present one; that of others is from their newest report.
 type target struct {
-	ID      carobtargetid.ID         `json:"id"`
-	Node    carobnodeid.ID           `json:"node"`
-	Profile carobname.Name           `json:"profile"`
-	Readiness   carobreadiness.Readiness `json:"state"`
-	Slots   int                      `json:"slots"`
-	Running int                      `json:"running"`
-	Queued  int                      `json:"queued"`
-	Latency carobduration.Duration   `json:"latency"`
+	ID        carobtargetid.ID         `json:"id"`
+	Node      carobnodeid.ID           `json:"node"`
+	Profile   carobname.Name           `json:"profile"`
+	Readiness carobreadiness.Readiness `json:"state"`
+	Slots     int                      `json:"slots"`
+	Running   int                      `json:"running"`
+	Queued    int                      `json:"queued"`
+	Latency   carobduration.Duration   `json:"latency"`
 	// ReportAge is the age of the report; 0 for own targets and without a report.
 	ReportAge carobduration.Duration `json:"age"`
 	// LoadKnown is false if the load is unknown because there is no report.
-	LoadKnown   bool `json:"known"`
-	Ejected bool `json:"ejected"`
+	LoadKnown bool `json:"known"`
+	Ejected   bool `json:"ejected"`
 }
 
 // peer is another node.
--- a/internal/carobtail/tail.go
+++ b/internal/carobtail/tail.go
@@ -7,8 +7,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/caroblogpage"
+	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
--- a/pkg/carobcore/core.go
+++ b/pkg/carobcore/core.go
@@ -17,7 +17,6 @@
 	"github.com/carobknot/carobknot/pkg/carobdetection"
 	"github.com/carobknot/carobknot/pkg/carobdissemination"
 	"github.com/carobknot/carobknot/pkg/carobejection"
-	"github.com/carobknot/carobknot/pkg/carobstorereading"
 	"github.com/carobknot/carobknot/pkg/carobentry"
 	"github.com/carobknot/carobknot/pkg/carobfencing"
 	"github.com/carobknot/carobknot/pkg/carobfold"
@@ -38,6 +37,7 @@
 	"github.com/carobknot/carobknot/pkg/carobroutesync"
 	"github.com/carobknot/carobknot/pkg/carobrouting"
 	"github.com/carobknot/carobknot/pkg/carobshutdown"
+	"github.com/carobknot/carobknot/pkg/carobstorereading"
 	"github.com/carobknot/carobknot/pkg/carobtracing"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
--- a/pkg/carobstorereading/system_test.go
+++ b/pkg/carobstorereading/system_test.go
@@ -7,7 +7,6 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/carobknot/carobknot/pkg/carobcentre"
-	"github.com/carobknot/carobknot/pkg/carobstorereading"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobliveness"
@@ -15,6 +14,7 @@
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
+	"github.com/carobknot/carobknot/pkg/carobstorereading"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
