--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -167,7 +167,7 @@
 	kind, pressure := a.config.Dialect.Classify(answer.Response)
 	finish.TargetLoad = pressure
 	if limit := int(a.config.MaxBufferedAnswer); limit > 0 && answer.Length <= limit {
-		if errGather := answer.Buffer(limit); errGather != nil && kind == carobkind.None {
+		if errBuffer := answer.Buffer(limit); errBuffer != nil && kind == carobkind.None {
 			kind = carobkind.ConnectionLost
 		}
 	}
--- a/internal/carobadmitter/discover.go
+++ b/internal/carobadmitter/discover.go
@@ -29,7 +29,7 @@
 // that the target makes itself take precedence over this one.
 //
 // The kind of an error is Unreachable if no connection could be opened, NotReady if the
-// target responded but is not ready, and Invalid if its name breaks the rules. Cut and
+// target responded but is not ready, and Invalid if its name breaks the rules. ConnectionLost and
 // Cancelled mean that the response did not arrive whole or in time.
 func (a *Admitter) Discover(ctx context.Context, announcement carobannouncement.Announcement) error {
 	var err error
--- a/internal/carobadmitter/incoming_job.go
+++ b/internal/carobadmitter/incoming_job.go
@@ -17,7 +17,7 @@
 	"github.com/carobknot/carobknot/pkg/carobstart"
 )
 
-// incomingJobKey is the key of the user value that keeps an admitted job from Expect
+// incomingJobKey is the key of the user value that keeps an admitted job from HandleExpect
 // until the HTTP library calls Serve.
 type incomingJobKey struct{}
 
@@ -63,7 +63,7 @@
 // call limits the wait for the header of the response, not the transfer of its body.
 func (j *incomingJob) run(ctx *fasthttp.RequestCtx) error {
 	config := j.admitter.config
-	upload, err := carobrequestbody.NewRequestBody(carobrequestbody.Config{
+	body, err := carobrequestbody.NewRequestBody(carobrequestbody.Config{
 		Stream: ctx.RequestBodyStream(), Length: ctx.Request.Header.ContentLength(), MaxBuffered: maxBufferedBody,
 		Conn: ctx.Conn(), Timer: config.Timer, StallTimeout: config.StallTimeout,
 	})
@@ -73,7 +73,7 @@
 	}
 	req := &fasthttp.Request{}
 	ctx.Request.Header.CopyTo(&req.Header)
-	if err := upload.Attach(req); err != nil {
+	if err := body.Attach(req); err != nil {
 		return err
 	}
 	setDeadline := config.Timer.Subscribe(j.cancel)
@@ -81,19 +81,19 @@
 	answer, err := j.admitter.run(j.context, j.start, req, j.offer.Target)
 	setDeadline(carobinstant.Never)
 	if err != nil {
-		upload.Release()
+		body.Release()
 		return err
 	}
-	j.forward(ctx, answer, upload)
+	j.forward(ctx, answer, body)
 	return nil
 }
 
 // forward sends a response to the entry node.
-func (j *incomingJob) forward(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, upload *carobrequestbody.RequestBody) {
+func (j *incomingJob) forward(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, body *carobrequestbody.RequestBody) {
 	answer.Response.Header.CopyTo(&ctx.Response.Header)
 	j.admitter.addReport(ctx, j.offer.Target)
 	carobbody.SetResponseBody(ctx, answer, j.admitter.config.Timer, j.admitter.config.StallTimeout, func(carobkind.Kind) {
-		upload.Release()
+		body.Release()
 		j.close()
 	})
 }
--- a/internal/carobanswer/answer.go
+++ b/internal/carobanswer/answer.go
@@ -51,7 +51,7 @@
 	return err
 }
 
-// partlyReadBody returns first the bytes that Gather has read and then the rest
+// partlyReadBody returns first the bytes that Buffer has read and then the rest
 // of the body.
 type partlyReadBody struct {
 	io.Reader
--- a/internal/carobanswer/answer_test.go
+++ b/internal/carobanswer/answer_test.go
@@ -24,7 +24,7 @@
 
 // If a body that is cut off were forwarded, the call could not be retried any
 // more. Bodies above the limit must be left readable from the beginning.
-func TestGatherDetectsIncompleteBody(t *testing.T) {
+func TestBufferDetectsIncompleteBody(t *testing.T) {
 	broken := errors.New("broken")
 	for _, c := range []struct {
 		name    string
@@ -33,7 +33,7 @@
 		length  int
 		maxSize int
 		err     error
-		// closed is how often the body was closed after Gather.
+		// closed is how often the body was closed after Buffer.
 		closed int
 	}{
 		{"whole", "abc", io.EOF, 3, 10, nil, 1},
--- a/internal/carobbehaviour/behaviour.go
+++ b/internal/carobbehaviour/behaviour.go
@@ -26,12 +26,12 @@
 	JumpFactor float64 `json:"jump"`
 	// JumpInterval is the mean time between two jumps; 0 means no jumps.
 	JumpInterval carobduration.Duration `json:"gap"`
-	// MinJump and Longest bound the length of a jump.
+	// MinJump and MaxJump bound the length of a jump.
 	MinJump carobduration.Duration `json:"shortest"`
 	MaxJump carobduration.Duration `json:"longest"`
 	// Warmup is the duration of the warm-up, which starts with the target and again when
 	// this field is set; 0 means none. The factor on service times falls linearly from
-	// Chill to 1 during the warm-up.
+	// ColdFactor to 1 during the warm-up.
 	Warmup     carobduration.Duration `json:"cold"`
 	ColdFactor float64                `json:"chill"`
 	// Fail answers every call with status 500, almost at once.
--- a/internal/carobbench/bench.go
+++ b/internal/carobbench/bench.go
@@ -46,7 +46,7 @@
 type Bench struct {
 	config  Config
 	results []result
-	// deadline is when Config.Limit is reached.
+	// deadline is when Config.TimeLimit is reached.
 	deadline carobinstant.Instant
 }
 
--- a/internal/carobbench/cell.go
+++ b/internal/carobbench/cell.go
@@ -73,7 +73,7 @@
 	length := benchCase.duration(b.config.Duration)
 	service := cluster.deployment.services[0]
 	capacity := float64(slots*service.targets) / b.config.MeanLatency.Seconds()
-	loader := carobloadgenerator.NewLoadGenerator(carobloadgenerator.Config{
+	generator := carobloadgenerator.NewLoadGenerator(carobloadgenerator.Config{
 		Name: variant.name, Nodes: cluster.callAddresses(), Service: carobservice.Service(service.name), Rate: benchCase.load * capacity,
 		Duration: warmup + length, Warmup: warmup, Seed: b.config.Seed + uint64(round), //nolint:gosec // not negative
 		RequestSize: bodySize, Deadline: benchCase.deadline, Timer: b.config.Timer,
@@ -81,7 +81,7 @@
 	measured := result{Deployment: cluster.deployment.name, Case: benchCase.name, Variant: variant.name, Round: round, Capacity: capacity}
 	faultDone := make(chan error, 1)
 	go func() { faultDone <- cluster.injectFault(ctx, benchCase, &measured) }()
-	measured.Callers = loader.Run(ctx)
+	measured.Callers = generator.Run(ctx)
 	if err := <-faultDone; err != nil {
 		return result{}, err
 	}
@@ -202,8 +202,8 @@
 			return reading, err
 		}
 		reading.cpu += node.cpuTime()
-		reading.bytes += status.Measured.Bytes
-		reading.hedges += status.Measured.Hedges
+		reading.bytes += status.Overhead.Bytes
+		reading.hedges += status.Overhead.Hedges
 	}
 	return reading, nil
 }
--- a/internal/carobbench/cluster.go
+++ b/internal/carobbench/cluster.go
@@ -204,7 +204,7 @@
 		Name   string `json:"name"`
 		Offset int64  `json:"offset"`
 	} `json:"profiles"`
-	Measured struct {
+	Overhead struct {
 		Bytes  float64 `json:"bytes"`
 		Probes int     `json:"probes"`
 		Hedges int     `json:"hedges"`
--- a/internal/carobbody/attach.go
+++ b/internal/carobbody/attach.go
@@ -16,11 +16,11 @@
 
 // SetResponseBody forwards the body of answer as the body of the response to ctx, whose header
 // must already be set. Sending fails if the receiver accepts no bytes for the duration
-// stall. onEnd is called like Config.Over.
-func SetResponseBody(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, timer *carobtimer.Timer, stall time.Duration, onEnd func(kind carobkind.Kind)) {
+// stallTimeout. onEnd is called like Config.OnEnd.
+func SetResponseBody(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, timer *carobtimer.Timer, stallTimeout time.Duration, onEnd func(kind carobkind.Kind)) {
 	ctx.Response.Header.SetNoDefaultContentType(true)
 	conn := ctx.Conn()
-	extendDeadline := func() { _ = conn.SetWriteDeadline(timer.WallTime().Add(stall)) }
+	extendDeadline := func() { _ = conn.SetWriteDeadline(timer.WallTime().Add(stallTimeout)) }
 	extendDeadline()
 	if answer.NoBody {
 		_ = answer.Body.Close()
--- a/internal/carobbody/body.go
+++ b/internal/carobbody/body.go
@@ -19,7 +19,7 @@
 	// write deadline of the receiver's connection. May be nil.
 	ExtendDeadline func()
 	// OnEnd is called once, when the body is closed. The kind is None if the whole body was
-	// read, and Cut otherwise.
+	// read, and ConnectionLost otherwise.
 	OnEnd func(kind carobkind.Kind)
 }
 
@@ -57,7 +57,7 @@
 	return n, err
 }
 
-// Close closes Stream. The first call reports to Config.Over how the body ended.
+// Close closes Stream. The first call reports to Config.OnEnd how the body ended.
 func (b *Body) Close() error {
 	err := b.stream.Close()
 	b.once.Do(func() {
--- a/internal/carobclaimlog/claimlog.go
+++ b/internal/carobclaimlog/claimlog.go
@@ -33,7 +33,7 @@
 	// ctx ends all appends and tails.
 	ctx context.Context
 	// cancels holds the function that ends the tail of each stream being read. Only
-	// the goroutine that calls Carry uses it.
+	// the goroutine that calls Execute uses it.
 	cancels map[carobstream.Stream]context.CancelFunc
 }
 
--- a/internal/carobcontrol/control.go
+++ b/internal/carobcontrol/control.go
@@ -39,8 +39,8 @@
 }
 
 // AddExecutor adds an executor. It must not be called after Run has started.
-func (c *Control) AddExecutor(o executor) {
-	c.executors = append(c.executors, o)
+func (c *Control) AddExecutor(e executor) {
+	c.executors = append(c.executors, e)
 }
 
 // Run runs ticks until ctx ends. A tick starts when the mailbox has messages, a query
--- a/internal/carobdemo/demo.go
+++ b/internal/carobdemo/demo.go
@@ -106,7 +106,7 @@
 // load sends one phase of load to all services at once.
 func (d *Demo) load(ctx context.Context, phase string) []*carobsummary.Summary {
 	summaries := make([]*carobsummary.Summary, len(services))
-	var loaders sync.WaitGroup
+	var generators sync.WaitGroup
 	for i, service := range services {
 		c := carobloadgenerator.Config{
 			Name: string(service.name) + ", " + phase, Service: service.name, Rate: service.rate, KeyShare: service.keys,
@@ -115,9 +115,9 @@
 		for _, node := range d.nodes {
 			c.Nodes = append(c.Nodes, node.call)
 		}
-		loaders.Go(func() { summaries[i] = carobloadgenerator.NewLoadGenerator(c).Run(ctx) })
+		generators.Go(func() { summaries[i] = carobloadgenerator.NewLoadGenerator(c).Run(ctx) })
 	}
-	loaders.Wait()
+	generators.Wait()
 	return summaries
 }
 
--- a/internal/carobdialectfrontend/dialectfrontend.go
+++ b/internal/carobdialectfrontend/dialectfrontend.go
@@ -41,7 +41,7 @@
 	WriteRefusal(resp *fasthttp.Response, req *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
 }
 
-// Config holds the parameters of an Ingress.
+// Config holds the parameters of a DialectFrontEnd.
 type Config struct {
 	Node        carobnodeid.ID
 	Incarnation carobincarnation.Incarnation
@@ -65,7 +65,7 @@
 // concurrently.
 const maxPipelined = 32
 
-// NewDialectFrontEnd returns an ingress that does not listen yet.
+// NewDialectFrontEnd returns a front end that does not listen yet.
 func NewDialectFrontEnd(c Config) *DialectFrontEnd {
 	i := &DialectFrontEnd{config: c}
 	i.server = carobserver.NewServer(carobserver.Config{
@@ -99,9 +99,9 @@
 }
 
 // Handle runs the call of a request to the end of its answer.
-func (i *DialectFrontEnd) Handle(visit *carobpipelinedrequest.PipelinedRequest) {
-	req := visit.Request()
-	r := &responder{ingress: i, visit: visit}
+func (i *DialectFrontEnd) Handle(pipelined *carobpipelinedrequest.PipelinedRequest) {
+	req := pipelined.Request()
+	r := &responder{frontEnd: i, pipelined: pipelined}
 	arrival, err := i.config.Dialect.ParseArrival(req)
 	if err != nil {
 		r.SendError(carobkind.Of(err), 0, err.Error())
@@ -117,14 +117,14 @@
 		Node: i.config.Node, Incarnation: i.config.Incarnation, Sequence: i.sequence.Add(1),
 	}
 	arrival.Size = carobsize.Size(bodySize)
-	upload, err := carobrequestbody.NewRequestBody(carobrequestbody.Config{Body: req.Body()})
+	body, err := carobrequestbody.NewRequestBody(carobrequestbody.Config{Body: req.Body()})
 	if err != nil {
 		r.SendError(carobkind.Of(err), 0, err.Error())
 		return
 	}
-	visit.OnDisconnect(func() { i.config.Exchanges.ReportDisconnect(arrival.Call) })
-	defer visit.OnDisconnect(nil)
-	i.config.Exchanges.Run(arrival, req, upload, r)
+	pipelined.OnDisconnect(func() { i.config.Exchanges.ReportDisconnect(arrival.Call) })
+	defer pipelined.OnDisconnect(nil)
+	i.config.Exchanges.Run(arrival, req, body, r)
 }
 
 // Reject fills in the response to bytes that could not be read as a request.
@@ -134,16 +134,16 @@
 
 // responder sends the result of a call to its caller.
 type responder struct {
-	ingress *DialectFrontEnd
-	visit   *carobpipelinedrequest.PipelinedRequest
+	frontEnd  *DialectFrontEnd
+	pipelined *carobpipelinedrequest.PipelinedRequest
 }
 
 // SendAnswer streams an answer of a target to the caller. Nothing is stored, because
 // no dialect has idempotency keys.
 func (r *responder) SendAnswer(answer *carobanswer.Answer, abandon func(), done func(kind carobkind.Kind, stored *carobstoredanswer.StoredAnswer)) {
-	r.visit.OnDisconnect(abandon)
+	r.pipelined.OnDisconnect(abandon)
 	carobheader.CleanResponse(&answer.Response.Header)
-	done(r.visit.SendAnswer(answer), nil)
+	done(r.pipelined.SendAnswer(answer), nil)
 }
 
 // SendStored is never called, because no dialect has idempotency keys.
@@ -155,6 +155,6 @@
 func (r *responder) SendError(kind carobkind.Kind, after time.Duration, detail string) {
 	resp := &fasthttp.Response{}
 	after = cmp.Or(after, kind.RetryAfter())
-	r.ingress.config.Dialect.WriteRefusal(resp, r.visit.Request(), kind, after, detail)
-	r.visit.SendResponse(resp)
+	r.frontEnd.config.Dialect.WriteRefusal(resp, r.pipelined.Request(), kind, after, detail)
+	r.pipelined.SendResponse(resp)
 }
--- a/internal/carobdisconnectwatch/disconnectwatch.go
+++ b/internal/carobdisconnectwatch/disconnectwatch.go
@@ -19,7 +19,7 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
-// Config holds the parameters of a Watch.
+// Config holds the parameters of a DisconnectWatch.
 type Config struct {
 	Timer *carobtimer.Timer
 	// PollInterval is the time between two polls of the watched connections.
--- a/internal/carobeventlog/eventlog.go
+++ b/internal/carobeventlog/eventlog.go
@@ -42,7 +42,7 @@
 	config Config
 	lines  chan line
 	// remaining is how many lines of each class may still be written in the present
-	// second, which began at secondStart. Only the goroutine that calls Carry uses
+	// second, which began at secondStart. Only the goroutine that calls Execute uses
 	// both.
 	remaining   [2]int
 	secondStart carobinstant.Instant
--- a/internal/carobeventlog/eventlog_test.go
+++ b/internal/carobeventlog/eventlog_test.go
@@ -33,7 +33,7 @@
 			Inputs: []carobinput.Input{{Name: "agems", Value: 12.5}},
 		})
 	}
-	// Run has not started yet; Carry must not block on it.
+	// Run has not started yet; Execute must not block on it.
 	eventLog.Execute(out)
 	require.EqualValues(t, 8, eventLog.Dropped())
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/carobexchange/exchange.go
+++ b/internal/carobexchange/exchange.go
@@ -27,8 +27,8 @@
 	call      carobcallid.ID
 	request   *fasthttp.Request
 	responder responder
-	// upload is the body, which every attempt sends.
-	upload *carobrequestbody.RequestBody
+	// body is the body, which every attempt sends.
+	body *carobrequestbody.RequestBody
 	// mutex guards answer and cancelled of the attempts.
 	mutex sync.Mutex
 	// attempts holds the attempts sent so far, by number.
@@ -63,7 +63,7 @@
 // longer needed were cancelled by earlier orders.
 func (x *exchange) conclude(conclusion carobconclusion.Conclusion) {
 	if conclusion.StoredAnswer != nil {
-		x.upload.Release()
+		x.body.Release()
 		x.responder.SendStored(conclusion.StoredAnswer)
 		return
 	}
@@ -71,13 +71,13 @@
 		x.deliver(conclusion.Attempt)
 		return
 	}
-	x.upload.Release()
+	x.body.Release()
 	detail := "the call ended without an answer"
-	senderErr := x.upload.SenderError()
+	senderErr := x.body.SenderError()
 	switch {
 	case senderErr != nil:
 		detail = senderErr.Error() + "; part of the body was sent to a target"
-	case x.upload.Streamed() && !conclusion.Kind.NotRun():
+	case x.body.Streamed() && !conclusion.Kind.NotRun():
 		detail = "the body was too long to be buffered; it was sent once and can not be sent again"
 	case conclusion.Kind.NotRun():
 		detail = "no target ran the call"
@@ -90,7 +90,7 @@
 	req := &fasthttp.Request{}
 	x.request.Header.CopyTo(&req.Header)
 	carobheader.CleanRequest(&req.Header)
-	if err := x.upload.Attach(req); err != nil {
+	if err := x.body.Attach(req); err != nil {
 		x.postReply(carobreply.Reply{Job: send.Job, Target: send.Target, Kind: carobkind.Of(err)})
 		return
 	}
@@ -100,8 +100,8 @@
 	go func() {
 		answer, report, err := x.exchanges.config.Relay.Do(ctx, send, req)
 		if maxSize := int(x.exchanges.config.MaxBufferedAnswer); answer != nil && maxSize > 0 {
-			if gatherErr := answer.Buffer(maxSize); gatherErr != nil {
-				answer, err = nil, carobkind.Wrap(carobkind.ConnectionLost, gatherErr, "read answer")
+			if bufferErr := answer.Buffer(maxSize); bufferErr != nil {
+				answer, err = nil, carobkind.Wrap(carobkind.ConnectionLost, bufferErr, "read answer")
 			}
 		}
 		x.setAnswer(current, answer)
@@ -159,7 +159,7 @@
 	job := carobjobid.ID{Call: x.call, Attempt: number}
 	x.responder.SendAnswer(answer, current.cancel, func(kind carobkind.Kind, stored *carobstoredanswer.StoredAnswer) {
 		current.cancel()
-		x.upload.Release()
+		x.body.Release()
 		x.exchanges.config.Mailbox.Post(func(in *carobinbox.Inbox) {
 			in.Deliveries = append(in.Deliveries, carobdelivery.Delivery{Job: job, Kind: kind, StoredAnswer: stored})
 		})
--- a/internal/carobexchange/exchanges.go
+++ b/internal/carobexchange/exchanges.go
@@ -90,13 +90,13 @@
 }
 
 // Run reports a call to the control goroutine and carries it out until its result
-// was sent. Every attempt has the header of req and the body of upload.
-func (e *Exchanges) Run(arrival carobarrival.Arrival, req *fasthttp.Request, upload *carobrequestbody.RequestBody, responder responder) {
+// was sent. Every attempt has the header of req and the given body.
+func (e *Exchanges) Run(arrival carobarrival.Arrival, req *fasthttp.Request, body *carobrequestbody.RequestBody, responder responder) {
 	orders := e.dispatcher.Subscribe(arrival.Call)
 	defer e.dispatcher.Unsubscribe(arrival.Call)
 	e.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Arrivals = append(in.Arrivals, arrival) })
 	x := &exchange{
-		exchanges: e, call: arrival.Call, request: req, upload: upload, responder: responder, attempts: map[int]*attempt{},
+		exchanges: e, call: arrival.Call, request: req, body: body, responder: responder, attempts: map[int]*attempt{},
 	}
 	x.run(orders)
 }
--- a/internal/carobfakelog/fakelog.go
+++ b/internal/carobfakelog/fakelog.go
@@ -133,12 +133,12 @@
 
 // expire deletes the oldest records of a stream beyond the retention.
 func (l *FakeLog) expire(stream *stream) {
-	keep := l.config.Retention
+	retention := l.config.Retention
 	if l.fault.Retention > 0 {
-		keep = l.fault.Retention
+		retention = l.fault.Retention
 	}
-	if keep > 0 && len(stream.records) > keep {
-		stream.records = slices.Clone(stream.records[len(stream.records)-keep:])
+	if retention > 0 && len(stream.records) > retention {
+		stream.records = slices.Clone(stream.records[len(stream.records)-retention:])
 	}
 }
 
--- a/internal/carobfakelog/fakelog_test.go
+++ b/internal/carobfakelog/fakelog_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestKeepFaultExpiresOldestRecords(t *testing.T) {
+func TestRetentionFaultExpiresOldestRecords(t *testing.T) {
 	client, url := start(t, time.Minute)
 	for range 5 {
 		_, err := client.Append(t.Context(), "rota", []byte("x"))
--- a/internal/carobfaketarget/record.go
+++ b/internal/carobfaketarget/record.go
@@ -22,8 +22,8 @@
 	Cancelled int `json:"cancelled"`
 	// Shed counts calls refused with status 503 without a run.
 	Shed int `json:"shed"`
-	// Cut counts requests with an incomplete body; they do not run.
-	Cut int `json:"cut"`
+	// Truncated counts requests with an incomplete body; they do not run.
+	Truncated int `json:"cut"`
 }
 
 // start counts a run. The call's identifier and its idempotency key may be empty.
--- a/internal/carobfaketarget/serve.go
+++ b/internal/carobfaketarget/serve.go
@@ -116,7 +116,7 @@
 	}
 	body, err := readBody(ctx)
 	if err != nil {
-		t.count(func(totals *totals) { totals.Cut++ })
+		t.count(func(totals *totals) { totals.Truncated++ })
 		ctx.SetConnectionClose()
 		ctx.SetStatusCode(http.StatusBadRequest)
 		return
--- a/internal/carobfrontend/frontend.go
+++ b/internal/carobfrontend/frontend.go
@@ -41,7 +41,7 @@
 	Query(ctx context.Context, query func(w *carobworld.World)) error
 }
 
-// Config holds the parameters of an Entrance.
+// Config holds the parameters of a FrontEnd.
 type Config struct {
 	Node            carobnodeid.ID
 	Incarnation     carobincarnation.Incarnation
@@ -69,7 +69,7 @@
 // that the library streams every body and the limit of Config.Limits applies.
 const unlimitedBody = math.MaxInt
 
-// NewFrontEnd returns an entrance that does not listen yet.
+// NewFrontEnd returns a front end that does not listen yet.
 func NewFrontEnd(c Config) *FrontEnd {
 	e := &FrontEnd{config: c, exchanges: carobexchange.NewExchanges(carobexchange.Config{Mailbox: c.Mailbox, Relay: c.Relay})}
 	e.server = &fasthttp.Server{
@@ -121,7 +121,7 @@
 	}
 	reserved := e.reserveBuffer(ctx, arrival.Service)
 	defer e.buffered.Add(-int64(reserved))
-	upload, err := e.openUpload(ctx, reserved)
+	body, err := e.openBody(ctx, reserved)
 	if err != nil {
 		e.reject(ctx, call, err)
 		return
@@ -131,9 +131,9 @@
 		// means that the caller gave no timeout.
 		arrival.Timeout = max(1, arrival.Timeout-e.config.Timer.Now().Sub(arrivedAt))
 	}
-	arrival.Streamed = upload.Streamed()
+	arrival.Streamed = body.Streamed()
 	defer e.config.DisconnectWatch.Add(ctx.Conn(), func() { e.exchanges.ReportDisconnect(call) })()
-	e.exchanges.Run(arrival, &ctx.Request, upload, &responder{entrance: e, ctx: ctx, call: call})
+	e.exchanges.Run(arrival, &ctx.Request, body, &responder{frontEnd: e, ctx: ctx, call: call})
 }
 
 // newCallID returns the ID of the next call of this node.
@@ -141,8 +141,8 @@
 	return carobcallid.ID{Node: e.config.Node, Incarnation: e.config.Incarnation, Sequence: e.sequence.Add(1)}
 }
 
-// openUpload prepares the body of a call and reads it if it is to be buffered.
-func (e *FrontEnd) openUpload(ctx *fasthttp.RequestCtx, reserved carobsize.Size) (*carobrequestbody.RequestBody, error) {
+// openBody prepares the body of a call and reads it if it is to be buffered.
+func (e *FrontEnd) openBody(ctx *fasthttp.RequestCtx, reserved carobsize.Size) (*carobrequestbody.RequestBody, error) {
 	return carobrequestbody.NewRequestBody(carobrequestbody.Config{
 		Stream: ctx.RequestBodyStream(), Length: ctx.Request.Header.ContentLength(),
 		MaxBuffered: max(reserved, smallBody), MaxSize: e.config.Limits.BodySize,
--- a/internal/carobfrontend/responder.go
+++ b/internal/carobfrontend/responder.go
@@ -16,7 +16,7 @@
 
 // responder sends the result of a call to its caller.
 type responder struct {
-	entrance *FrontEnd
+	frontEnd *FrontEnd
 	ctx      *fasthttp.RequestCtx
 	call     carobcallid.ID
 }
@@ -33,7 +33,7 @@
 	if len(r.ctx.Request.Header.Peek(carobheader.IdempotencyKey)) > 0 {
 		recorder = recordBody(answer)
 	}
-	config := r.entrance.config
+	config := r.frontEnd.config
 	unwatch := config.DisconnectWatch.Add(r.ctx.Conn(), abandon)
 	carobbody.SetResponseBody(r.ctx, answer, config.Timer, config.Limits.StallTimeout.Duration(), func(kind carobkind.Kind) {
 		unwatch()
@@ -52,5 +52,5 @@
 
 // SendError sends an error.
 func (r *responder) SendError(kind carobkind.Kind, _ time.Duration, detail string) {
-	r.entrance.refuse(r.ctx, r.call, carobkind.New(kind, "%s", detail))
+	r.frontEnd.refuse(r.ctx, r.call, carobkind.New(kind, "%s", detail))
 }
--- a/internal/carobloadgenerator/call.go
+++ b/internal/carobloadgenerator/call.go
@@ -41,7 +41,7 @@
 	node carobaddress.Address
 	// keyed is true if the call has an idempotency key.
 	keyed bool
-	// counted is false for calls that are scheduled during Config.Skip.
+	// counted is false for calls that are scheduled during Config.Warmup.
 	counted bool
 }
 
--- a/internal/carobloadgenerator/loadgenerator.go
+++ b/internal/carobloadgenerator/loadgenerator.go
@@ -84,7 +84,7 @@
 }
 
 // Run sends the load until a limit is reached or ctx ends, waits for the last
-// answer and returns the summary. A loader runs once.
+// answer and returns the summary. A load generator runs once.
 func (l *LoadGenerator) Run(ctx context.Context) *carobsummary.Summary {
 	defer l.pool.Close()
 	start := l.config.Timer.Now()
--- a/internal/caroblogclient/failure.go
+++ b/internal/caroblogclient/failure.go
@@ -8,8 +8,8 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// kindOfFailure returns the kind of a failed request: LogOut if no connection
-// could be opened, since the log then cannot have appended anything, and Unsure
+// kindOfFailure returns the kind of a failed request: LogUnavailable if no connection
+// could be opened, since the log then cannot have appended anything, and AppendUncertain
 // otherwise.
 func kindOfFailure(err error) carobkind.Kind {
 	var netErr *net.OpError
--- a/internal/caroblogclient/logclient.go
+++ b/internal/caroblogclient/logclient.go
@@ -42,7 +42,7 @@
 }
 
 // Append appends a record to a stream and returns its offset. The error is of
-// kind LogOut if the record was certainly not appended, and Unsure if it may have
+// kind LogUnavailable if the record was certainly not appended, and AppendUncertain if it may have
 // been.
 func (c *LogClient) Append(ctx context.Context, stream carobstream.Stream, data []byte) (caroboffset.Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
--- a/internal/caroblogfault/logfault.go
+++ b/internal/caroblogfault/logfault.go
@@ -18,7 +18,7 @@
 	// LostAnswers is the number of following appends that take effect but are answered with
 	// status 504. Each such append decrements it.
 	LostAnswers int `json:"lose"`
-	// DroppedAppends is the number of following appends, after those of Lose, that take no effect
+	// DroppedAppends is the number of following appends, after those of LostAnswers, that take no effect
 	// and are answered with status 504. Each such append decrements it.
 	DroppedAppends int `json:"drop"`
 	// Retention is the number of records of each stream that are kept; older ones expire at
--- a/internal/carobmeter/meter.go
+++ b/internal/carobmeter/meter.go
@@ -25,7 +25,7 @@
 	reporter prometheus.Reporter
 	scope    tally.Scope
 	closer   io.Closer
-	// Only the goroutine that calls Carry uses the maps.
+	// Only the goroutine that calls Execute uses the maps.
 	calls     map[carobkind.Kind]tally.Counter
 	refusals  map[carobkind.Kind]tally.Counter
 	byTarget  map[carobtargetid.ID]targetGauges
--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -111,7 +111,7 @@
 	// messages to other nodes are sent.
 	finalSendDelay = 200 * time.Millisecond
 	// closeTimeout is the longest time for closing the servers. A tenth of
-	// Settings.Grace applies if it is shorter.
+	// Settings.ShutdownTimeout applies if it is shorter.
 	closeTimeout = 2 * time.Second
 
 	// keepAliveInterval is the interval of TCP keep-alive probes on a connection without
@@ -200,7 +200,7 @@
 func (n *Node) Run(ctx context.Context) error {
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	n.attachParts(runCtx)
+	n.addExecutors(runCtx)
 	n.startBackground(runCtx)
 	failed := n.startServers(runCtx)
 	if n.config.LocalTarget.Address != "" {
@@ -225,8 +225,8 @@
 	}
 }
 
-// attachParts connects the control goroutine to the parts that carry out its effects.
-func (n *Node) attachParts(ctx context.Context) {
+// addExecutors connects the control goroutine to the parts that carry out its effects.
+func (n *Node) addExecutors(ctx context.Context) {
 	control := do.MustInvoke[*carobcontrol.Control](n.injector)
 	control.AddExecutor(do.MustInvoke[*carobadmitter.Admitter](n.injector))
 	control.AddExecutor(do.MustInvoke[callServer](n.injector))
@@ -237,13 +237,13 @@
 		control.AddExecutor(do.MustInvoke[*carobmembersync.MemberSync](n.injector))
 		control.AddExecutor(do.MustInvoke[*carobroutepoller.RoutePoller](n.injector))
 	} else {
-		n.attachLog(ctx, control)
+		n.addLogExecutors(ctx, control)
 	}
 	control.AddExecutor(n)
 }
 
-// attachLog connects the control goroutine to the parts that write to the log.
-func (n *Node) attachLog(ctx context.Context, control *carobcontrol.Control) {
+// addLogExecutors connects the control goroutine to the parts that write to the log.
+func (n *Node) addLogExecutors(ctx context.Context, control *carobcontrol.Control) {
 	control.AddExecutor(carobclaimlog.NewClaimLog(ctx, carobclaimlog.Config{
 		Log:     do.MustInvoke[*caroblogclient.LogClient](n.injector),
 		Mailbox: do.MustInvoke[*carobmailbox.Mailbox](n.injector),
@@ -291,42 +291,42 @@
 
 // shutDown shuts the node down gracefully:
 //
-//   - For Settings.Stay, the node still accepts calls and attempts, since callers and
+//   - For Settings.MinDrainTime, the node still accepts calls and attempts, since callers and
 //     other nodes may not have noticed that it is shutting down.
 //   - Then callers can open no more connections; calls that have been received are
 //     still answered. The node announces to the other nodes that it leaves and refuses
 //     their attempts, until none has sent an attempt for a while. If an attempt met a
 //     closed connection instead of a refusal, its entry node could not determine
 //     whether it ran.
-//   - Calls that are still in flight after Settings.Grace get a final response.
+//   - Calls that are still in flight after Settings.ShutdownTimeout get a final response.
 //   - Finally the servers are closed, within closeTimeout.
 func (n *Node) shutDown(ctx context.Context) {
 	logger := n.config.Logger.WithField("node", n.config.Settings.Name)
 	logger.Info("node: shutting down")
 	n.leaving.Store(true)
 	mailbox := do.MustInvoke[*carobmailbox.Mailbox](n.injector)
-	graceCtx, cancelGrace := context.WithTimeout(ctx, n.config.Settings.ShutdownTimeout.Duration())
-	defer cancelGrace()
+	shutdownCtx, cancelShutdown := context.WithTimeout(ctx, n.config.Settings.ShutdownTimeout.Duration())
+	defer cancelShutdown()
 	calls := do.MustInvoke[callServer](n.injector)
 	deadline := do.MustInvoke[*carobtimer.Timer](n.injector).Now().Add(n.config.Settings.ShutdownTimeout.Duration())
 	mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.ShutdownDeadline = deadline })
 	calls.Drain()
-	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(graceCtx, n.config.Settings.MinDrainTime.Duration())
+	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(shutdownCtx, n.config.Settings.MinDrainTime.Duration())
 	mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.Stop = true })
-	_ = calls.Shutdown(graceCtx)
+	_ = calls.Shutdown(shutdownCtx)
 	select {
 	case <-n.stopped:
-	case <-graceCtx.Done():
+	case <-shutdownCtx.Done():
 	}
 	const divisor = 10
 	closeCtx, cancelClose := context.WithTimeout(ctx, min(closeTimeout, n.config.Settings.ShutdownTimeout.Duration()/divisor))
 	defer cancelClose()
-	if graceCtx.Err() != nil {
+	if shutdownCtx.Err() != nil {
 		logger.Warn("node: calls still in flight get their last answer")
 		mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.Exit = true })
 		_ = calls.Shutdown(closeCtx)
 	}
-	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(graceCtx, finalSendDelay)
+	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(shutdownCtx, finalSendDelay)
 	if n.config.Store == nil {
 		do.MustInvoke[*caroblogwriter.LogWriter](n.injector).Flush(closeCtx)
 	}
@@ -367,6 +367,6 @@
 	}
 }
 
-// maxTraceBacklog is the largest number of bytes that are buffered for each stream
+// maxBufferedSize is the largest number of bytes that are buffered for each stream
 // while the log is unavailable.
-const maxTraceBacklog = 8 * carobsize.MiB
+const maxBufferedSize = 8 * carobsize.MiB
--- a/internal/carobnode/providers.go
+++ b/internal/carobnode/providers.go
@@ -82,7 +82,7 @@
 	do.Provide(injector, func(injector do.Injector) (*caroblogwriter.LogWriter, error) {
 		return caroblogwriter.NewLogWriter(caroblogwriter.Config{
 			Self: do.MustInvoke[carobmember.Member](injector), Log: do.MustInvoke[*caroblogclient.LogClient](injector),
-			Timer: do.MustInvoke[*carobtimer.Timer](injector), Logger: logrus.NewEntry(n.config.Logger), MaxBufferedSize: maxTraceBacklog,
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), Logger: logrus.NewEntry(n.config.Logger), MaxBufferedSize: maxBufferedSize,
 		}), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobadminserver.AdminServer, error) {
--- a/internal/carobpipelinedrequest/pipelinedrequest.go
+++ b/internal/carobpipelinedrequest/pipelinedrequest.go
@@ -25,7 +25,7 @@
 	Remove(v *PipelinedRequest, complete bool)
 }
 
-// Config holds the parameters of a Visit.
+// Config holds the parameters of a PipelinedRequest.
 type Config struct {
 	// Request includes the complete body.
 	Request    *fasthttp.Request
@@ -65,7 +65,7 @@
 func (v *PipelinedRequest) SetCloseAfter() { v.closing = true }
 
 // ClosesAfter reports whether the connection is to close after the answer, by
-// CloseAfter or by the caller's Connection header.
+// SetCloseAfter or by the caller's Connection header.
 func (v *PipelinedRequest) ClosesAfter() bool { return v.closing || v.config.Request.ConnectionClose() }
 
 // OnDisconnect sets the function that is called once if the caller disconnects. It is
@@ -82,7 +82,7 @@
 }
 
 // Disconnect records that the caller has disconnected, and calls the function that
-// Notify set.
+// OnDisconnect set.
 func (v *PipelinedRequest) Disconnect() {
 	v.mutex.Lock()
 	call := v.onDisconnect
@@ -101,8 +101,8 @@
 }
 
 // SendAnswer sends an answer and its body, as it is received, after the answers to the
-// earlier requests. It returns None if the complete answer was sent, and Cut
-// otherwise.
+// earlier requests. It returns None if the complete answer was sent, and
+// ConnectionLost otherwise.
 func (v *PipelinedRequest) SendAnswer(answer *carobanswer.Answer) carobkind.Kind {
 	<-v.config.PreviousDone
 	err := v.writeStream(answer)
--- a/internal/carobpool/exchange.go
+++ b/internal/carobpool/exchange.go
@@ -171,7 +171,7 @@
 }
 
 // readFinalResponse reads the header of the final response and opens its body. It
-// skips interim responses and, with Config.Mine, responses to earlier requests.
+// skips interim responses and, with Config.MatchesRequest, responses to earlier requests.
 func (x *exchange) readFinalResponse() (*fasthttp.Response, error) {
 	for range maxInterimResponses {
 		resp, err := x.readHeader()
@@ -211,7 +211,7 @@
 	return err
 }
 
-// readHeader reads the header of the next response. Unless Config.Unframed is set, a
+// readHeader reads the header of the next response. Unless Config.AllowCloseDelimited is set, a
 // final response with neither a length nor chunks is an error, because the end of
 // its body could not be distinguished from a broken connection.
 func (x *exchange) readHeader() (*fasthttp.Response, error) {
@@ -296,7 +296,7 @@
 }
 
 // bodyWriter writes the body of a request to the connection. Each write extends the
-// write deadline by Config.Stall.
+// write deadline by Config.StallTimeout.
 type bodyWriter struct {
 	exchange *exchange
 }
--- a/internal/carobpool/pool.go
+++ b/internal/carobpool/pool.go
@@ -109,11 +109,11 @@
 
 // Do sends a request and returns the response, with its body not yet read. When
 // ctx ends, the connection is closed, which the peer sees as cancellation. The kind
-// of an error is Unreachable if nothing was sent, Cancelled if ctx ended, and Cut
-// otherwise.
+// of an error is Unreachable if nothing was sent, Cancelled if ctx ended, and
+// ConnectionLost otherwise.
 //
 // nonIdempotent is true if the request must not run twice; it then gets no
-// connection that has been idle for longer than Config.Recent.
+// connection that has been idle for longer than Config.MaxReuseAge.
 //
 // The body of the request may still be being sent when Do returns, until the body
 // of the response is closed.
@@ -190,7 +190,7 @@
 }
 
 // addIdle keeps a connection for a later exchange, or closes it if the pool holds
-// Config.Kept idle connections to its address.
+// Config.MaxIdleConns idle connections to its address.
 func (p *Pool) addIdle(conn *pooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -245,7 +245,7 @@
 }
 
 // Read reads the next bytes of the body. It fails if the peer sends nothing for
-// Config.Stall.
+// Config.StallTimeout.
 func (b *body) Read(into []byte) (int, error) {
 	if b.ended {
 		return 0, io.EOF
@@ -275,7 +275,7 @@
 }
 
 // idleTimeoutOf returns how long the connection of a response may stay idle: half
-// of the time-out in its Keep-Alive header, and Config.Idle at most or without one.
+// of the time-out in its Keep-Alive header, and Config.IdleTimeout at most or without one.
 func (p *Pool) idleTimeoutOf(resp *fasthttp.Response) time.Duration {
 	_, text, found := strings.Cut(string(resp.Header.Peek("Keep-Alive")), "timeout=")
 	text, _, _ = strings.Cut(text, ",")
--- a/internal/carobrequestbody/requestbody.go
+++ b/internal/carobrequestbody/requestbody.go
@@ -27,9 +27,9 @@
 	SetReadDeadline(at time.Time) error
 }
 
-// Config holds the parameters of an Upload.
+// Config holds the parameters of a RequestBody.
 type Config struct {
-	// Stream returns the body, or an error if it is cut off. If it is nil, Whole is
+	// Stream returns the body, or an error if it is cut off. If it is nil, Body is
 	// the body.
 	Stream io.Reader
 	// Body is the body if the HTTP library has already read it.
@@ -75,7 +75,7 @@
 var pastDeadline = time.Unix(1, 0)
 
 // NewRequestBody reads the body if it is to be buffered. Of a body of unknown length
-// it reads at most one byte more than Config.Keep, to find out whether it has to
+// it reads at most one byte more than Config.MaxBuffered, to find out whether it has to
 // be streamed. The error has kind TooLarge, RequestTimeout or Invalid.
 func NewRequestBody(c Config) (*RequestBody, error) {
 	u := &RequestBody{config: c}
@@ -93,7 +93,7 @@
 	}
 }
 
-// readBuffered reads a body of at most Config.Keep bytes, or the beginning of a
+// readBuffered reads a body of at most Config.MaxBuffered bytes, or the beginning of a
 // longer one of unknown length.
 func (u *RequestBody) readBuffered() error {
 	if u.config.Length >= 0 {
@@ -133,7 +133,7 @@
 	case u.NotResendable():
 		return carobkind.New(carobkind.NotResendable, "the body was already sent and is too long to be buffered")
 	case u.streamed:
-		req.SetBodyStream(&attemptBody{upload: u}, u.config.Length)
+		req.SetBodyStream(&attemptBody{body: u}, u.config.Length)
 	case u.config.Stream != nil || len(u.buffered) > 0:
 		req.SetBodyRaw(u.buffered)
 		req.Header.SetContentLength(len(u.buffered))
@@ -193,20 +193,20 @@
 
 // attemptBody is a streamed body as one attempt reads it.
 type attemptBody struct {
-	upload *RequestBody
-	owner  bool
+	body  *RequestBody
+	owner bool
 }
 
 // Read reads from the stream. The error has kind NotResendable if another attempt
 // has begun to read the body.
 func (b *attemptBody) Read(buf []byte) (int, error) {
 	if !b.owner {
-		if !b.upload.claimed.CompareAndSwap(false, true) {
+		if !b.body.claimed.CompareAndSwap(false, true) {
 			return 0, carobkind.New(carobkind.NotResendable, "the body is being sent by another attempt")
 		}
 		b.owner = true
 	}
-	return b.upload.read(b.upload.unread, buf)
+	return b.body.read(b.body.unread, buf)
 }
 
 // readerFunc is a function that implements io.Reader.
--- a/internal/carobrequestbody/requestbody_test.go
+++ b/internal/carobrequestbody/requestbody_test.go
@@ -14,8 +14,8 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// newUpload returns an upload that buffers up to 10 bytes and accepts up to 100.
-func newUpload(t *testing.T, body string, length int, change func(c *Config)) (*RequestBody, error) {
+// newBody returns a body that buffers up to 10 bytes and accepts up to 100.
+func newBody(t *testing.T, body string, length int, change func(c *Config)) (*RequestBody, error) {
 	t.Helper()
 	serverConn, clientConn := net.Pipe()
 	t.Cleanup(func() { _, _ = serverConn.Close(), clientConn.Close() })
@@ -60,7 +60,7 @@
 		"chunked, much longer":     {strings.Repeat("x", 100), -1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u, err := newUpload(t, c.body, c.length, nil)
+			u, err := newBody(t, c.body, c.length, nil)
 			require.NoError(t, err)
 			require.Equal(t, c.streamed, u.Streamed())
 			body, err := read(t, u)
@@ -90,11 +90,11 @@
 		"length too large":        {"", 101, carobkind.TooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := newUpload(t, c.body, c.length, nil)
+			_, err := newBody(t, c.body, c.length, nil)
 			require.Equal(t, c.kind, carobkind.Of(err))
 		})
 	}
-	u, err := newUpload(t, strings.Repeat("x", 101), -1, nil)
+	u, err := newBody(t, strings.Repeat("x", 101), -1, nil)
 	require.NoError(t, err)
 	_, err = read(t, u)
 	require.Error(t, err, "a chunked body above the limit must not pass as complete")
@@ -105,7 +105,7 @@
 // If two attempts read from one stream, each would send parts of the body. The
 // first to read gets all of it, and the other an error.
 func TestStreamedBodyIsReadByOneAttempt(t *testing.T) {
-	u, err := newUpload(t, strings.Repeat("x", 50), 50, nil)
+	u, err := newBody(t, strings.Repeat("x", 50), 50, nil)
 	require.NoError(t, err)
 	first, second := &fasthttp.Request{}, &fasthttp.Request{}
 	require.NoError(t, u.Attach(first))
@@ -124,7 +124,7 @@
 func TestReleaseEndsPendingRead(t *testing.T) {
 	serverConn, clientConn := net.Pipe()
 	defer func() { _, _ = serverConn.Close(), clientConn.Close() }()
-	u, err := newUpload(t, "", 50, func(c *Config) { c.Stream, c.Conn = serverConn, serverConn })
+	u, err := newBody(t, "", 50, func(c *Config) { c.Stream, c.Conn = serverConn, serverConn })
 	require.NoError(t, err)
 	req := &fasthttp.Request{}
 	require.NoError(t, u.Attach(req))
@@ -146,7 +146,7 @@
 func TestStalledSenderTimesOut(t *testing.T) {
 	serverConn, clientConn := net.Pipe()
 	defer func() { _, _ = serverConn.Close(), clientConn.Close() }()
-	_, err := newUpload(t, "", 5, func(c *Config) {
+	_, err := newBody(t, "", 5, func(c *Config) {
 		c.Stream, c.Conn, c.StallTimeout = serverConn, serverConn, 10*time.Millisecond
 	})
 	require.Equal(t, carobkind.RequestTimeout, carobkind.Of(err))
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -22,20 +22,20 @@
 type Scenario struct {
 	// Centres are the data centres; at least one.
 	Centres []carobcentre.Centre `json:"centres"`
-	// LocalDelay is the network delay between two VMs of one data centre, and Far that between
+	// LocalDelay is the network delay between two VMs of one data centre, and RemoteDelay that between
 	// two data centres.
 	LocalDelay  carobduration.Duration `json:"hop"`
 	RemoteDelay carobduration.Duration `json:"far"`
 	// Noise is the effect of noisy neighbours on the VMs.
 	Noise noise `json:"noise"`
-	// ProbeLimits, Retries and Profile are settings of the nodes; one profile holds for all
+	// ProbeLimits, RetryLimits and Profile are settings of the nodes; one profile holds for all
 	// services.
 	ProbeLimits carobprobelimits.ProbeLimits `json:"measure"`
 	RetryLimits carobretrylimits.RetryLimits `json:"retries"`
 	Profile     carobprofile.Profile         `json:"profile"`
 	// Services has at least one element.
 	Services []service `json:"services"`
-	// CallKinds has at least one element. A kind must precede those that name it in Calls.
+	// CallKinds has at least one element. A kind must precede those that name it in NestedKind.
 	CallKinds []callKind `json:"kinds"`
 }
 
@@ -45,7 +45,7 @@
 	// mean no noise.
 	Factor float64 `json:"factor"`
 	// Interval is the mean time from the start of one slow period to the start of the
-	// next, and Lasting their mean length. Interval of 0 means no noise.
+	// next, and SlowPeriod their mean length. Interval of 0 means no noise.
 	Interval   carobduration.Duration `json:"every"`
 	SlowPeriod carobduration.Duration `json:"lasting"`
 }
@@ -81,8 +81,8 @@
 	// Retries is the number of times that a caller retries a failed call.
 	Retries int `json:"retries"`
 	// NestedKind is the kind of the nested calls that a target makes while it runs a call of
-	// this kind; empty if it makes none. Times is their number, one after the other, and
-	// Share the share of runs that make them.
+	// this kind; empty if it makes none. NestedCalls is their number, one after the other, and
+	// NestedShare the share of runs that make them.
 	NestedKind  carobname.Name   `json:"calls"`
 	NestedCalls int              `json:"times"`
 	NestedShare carobshare.Share `json:"share"`
--- a/internal/carobserver/conn.go
+++ b/internal/carobserver/conn.go
@@ -96,12 +96,12 @@
 	if !c.awaitSlot(req) {
 		return false
 	}
-	visit := c.addVisit(req)
-	if visit == nil {
+	pipelined := c.addRequest(req)
+	if pipelined == nil {
 		return false
 	}
-	go config.Handler.Handle(visit)
-	if visit.ClosesAfter() {
+	go config.Handler.Handle(pipelined)
+	if pipelined.ClosesAfter() {
 		// No further request is accepted, but the caller may still disconnect.
 		c.awaitRequest()
 		return false
@@ -124,7 +124,7 @@
 	return c.reading && !c.closing
 }
 
-// setIdleDeadline limits the wait for the next request to Config.Idle if no
+// setIdleDeadline limits the wait for the next request to Config.IdleTimeout if no
 // request is pending, and removes the read deadline otherwise. The mutex must be
 // held.
 func (c *conn) setIdleDeadline() {
@@ -181,21 +181,21 @@
 	}
 }
 
-// addVisit appends a request to the pending ones. It returns nil if the
+// addRequest appends a request to the pending ones. It returns nil if the
 // connection is closing.
-func (c *conn) addVisit(req *fasthttp.Request) *carobpipelinedrequest.PipelinedRequest {
+func (c *conn) addRequest(req *fasthttp.Request) *carobpipelinedrequest.PipelinedRequest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.closing {
 		return nil
 	}
-	visit := carobpipelinedrequest.NewPipelinedRequest(carobpipelinedrequest.Config{
+	pipelined := carobpipelinedrequest.NewPipelinedRequest(carobpipelinedrequest.Config{
 		Request: req, Connection: c, Writer: c.writer, PreviousDone: c.lastDone,
 	})
 	c.reading = false
-	c.lastDone = visit.Done()
-	c.pending = append(c.pending, visit)
-	return visit
+	c.lastDone = pipelined.Done()
+	c.pending = append(c.pending, pipelined)
+	return pipelined
 }
 
 // reject answers a malformed request after the pending answers, and closes the
@@ -205,41 +205,41 @@
 	if carobkind.Of(err) == carobkind.Internal {
 		return
 	}
-	visit := c.addVisit(req)
-	if visit == nil {
+	pipelined := c.addRequest(req)
+	if pipelined == nil {
 		return
 	}
 	resp := &fasthttp.Response{}
 	c.server.config.Handler.Reject(resp, err)
-	visit.SetCloseAfter()
-	visit.SendResponse(resp)
+	pipelined.SetCloseAfter()
+	pipelined.SendResponse(resp)
 }
 
-// ClosesAfter reports whether the connection closes after the answer to visit. If it
+// ClosesAfter reports whether the connection closes after the answer to pipelined. If it
 // does, no further request is accepted. A draining server closes a connection
 // with the last pending answer.
-func (c *conn) ClosesAfter(visit *carobpipelinedrequest.PipelinedRequest) bool {
+func (c *conn) ClosesAfter(pipelined *carobpipelinedrequest.PipelinedRequest) bool {
 	draining := c.server.isDraining()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	alone := len(c.pending) == 1 && !c.reading
-	if visit.ClosesAfter() || draining && alone {
+	if pipelined.ClosesAfter() || draining && alone {
 		c.closing = true
 	}
 	return c.closing
 }
 
-// ExtendDeadline extends the write deadline by Config.Stall.
+// ExtendDeadline extends the write deadline by Config.StallTimeout.
 func (c *conn) ExtendDeadline() {
 	_ = c.SetWriteDeadline(c.server.config.Timer.WallTime().Add(c.server.config.StallTimeout))
 }
 
 // Remove removes an answered request. If complete is false, the answer could not be
 // sent completely, and the connection is closed.
-func (c *conn) Remove(visit *carobpipelinedrequest.PipelinedRequest, complete bool) {
+func (c *conn) Remove(pipelined *carobpipelinedrequest.PipelinedRequest, complete bool) {
 	c.mutex.Lock()
 	for i := range c.pending {
-		if c.pending[i] == visit {
+		if c.pending[i] == pipelined {
 			c.pending = append(c.pending[:i], c.pending[i+1:]...)
 			break
 		}
@@ -295,8 +295,8 @@
 	c.mutex.Lock()
 	pending := append([]*carobpipelinedrequest.PipelinedRequest(nil), c.pending...)
 	c.mutex.Unlock()
-	for _, visit := range pending {
-		visit.Disconnect()
+	for _, pipelined := range pending {
+		pipelined.Disconnect()
 	}
 	<-c.lastDone
 }
--- a/internal/carobserver/server_test.go
+++ b/internal/carobserver/server_test.go
@@ -46,10 +46,10 @@
 	return h.releases[path]
 }
 
-func (h *handler) Handle(visit *carobpipelinedrequest.PipelinedRequest) {
-	path := string(visit.Request().Header.RequestURI())
+func (h *handler) Handle(pipelined *carobpipelinedrequest.PipelinedRequest) {
+	path := string(pipelined.Request().Header.RequestURI())
 	disconnected := make(chan struct{})
-	visit.OnDisconnect(sync.OnceFunc(func() {
+	pipelined.OnDisconnect(sync.OnceFunc(func() {
 		h.disconnected <- path
 		close(disconnected)
 	}))
@@ -59,8 +59,8 @@
 	case <-disconnected:
 	}
 	resp := &fasthttp.Response{}
-	resp.SetBodyString("answer to " + path + " " + string(visit.Request().Body()))
-	visit.SendResponse(resp)
+	resp.SetBodyString("answer to " + path + " " + string(pipelined.Request().Body()))
+	pipelined.SendResponse(resp)
 }
 
 func (h *handler) Reject(resp *fasthttp.Response, err error) {
--- a/internal/carobsplitter/splitter.go
+++ b/internal/carobsplitter/splitter.go
@@ -42,8 +42,8 @@
 	return &Splitter{config: c, AttemptListener: newQueueListener(address), ControlListener: newQueueListener(address)}
 }
 
-// Run accepts connections until ctx ends or the listener fails, and then closes Calls
-// and Control.
+// Run accepts connections until ctx ends or the listener fails, and then closes
+// AttemptListener and ControlListener.
 func (s *Splitter) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = s.config.Listener.Close() })
 	defer stop()
--- a/internal/carobsummary/summary.go
+++ b/internal/carobsummary/summary.go
@@ -21,7 +21,7 @@
 	// Name is the name of the summary in reports and tables.
 	Name string
 	// Deadline is the latest time of a good answer. A call without a good answer counts
-	// in Felt with at least this latency.
+	// in EffectiveLatency with at least this latency.
 	Deadline time.Duration
 }
 
--- a/internal/carobtransport/transport.go
+++ b/internal/carobtransport/transport.go
@@ -56,7 +56,7 @@
 	// dropped counts the messages that were not sent because too many requests to their
 	// node were in flight; broken counts the received messages that were rejected as
 	// invalid.
-	dropped, broken atomic.Uint64
+	dropped, rejected atomic.Uint64
 	// clients has a client for each address that messages were sent to.
 	clients map[carobaddress.Address]*connect.Client[carobbatch.Batch, emptyResponse]
 }
@@ -93,7 +93,7 @@
 
 // Rejected returns how many received messages and requests were rejected because they
 // were invalid or could not be decoded.
-func (t *Transport) Rejected() uint64 { return t.broken.Load() + t.config.Codec.DecodeErrors() }
+func (t *Transport) Rejected() uint64 { return t.rejected.Load() + t.config.Codec.DecodeErrors() }
 
 // Shutdown waits until all messages have been sent, stops receiving messages and
 // closes all connections. It stops waiting when ctx ends.
@@ -187,7 +187,7 @@
 	valid := req.Msg.Messages[:0]
 	for i := range req.Msg.Messages {
 		if req.Msg.Messages[i].Check() != nil {
-			t.broken.Add(1)
+			t.rejected.Add(1)
 			continue
 		}
 		valid = append(valid, req.Msg.Messages[i])
