--- a/internal/carobadminserver/adminserver.go
+++ b/internal/carobadminserver/adminserver.go
@@ -45,27 +45,27 @@
 
 // NewAdminServer returns a server that does not listen until Serve is called.
 func NewAdminServer(c Config) *AdminServer {
-	a := &AdminServer{config: c, app: fiber.New(fiber.Config{ErrorHandler: writeError, Immutable: true})}
-	a.app.Put("/targets/:service/:name", a.announce)
-	a.app.Delete("/targets/:service/:name", a.withdraw)
-	a.app.Get("/health", a.health)
-	a.app.Get("/status", a.status)
-	a.app.Get("/metrics", adaptor.HTTPHandler(c.Metrics))
-	return a
+	s := &AdminServer{config: c, app: fiber.New(fiber.Config{ErrorHandler: writeError, Immutable: true})}
+	s.app.Put("/targets/:service/:name", s.announce)
+	s.app.Delete("/targets/:service/:name", s.withdraw)
+	s.app.Get("/health", s.health)
+	s.app.Get("/status", s.status)
+	s.app.Get("/metrics", adaptor.HTTPHandler(c.Metrics))
+	return s
 }
 
 // Serve accepts connections until Shutdown is called.
-func (a *AdminServer) Serve(listener net.Listener) error {
-	return a.app.Listener(listener, fiber.ListenConfig{DisableStartupMessage: true})
+func (s *AdminServer) Serve(listener net.Listener) error {
+	return s.app.Listener(listener, fiber.ListenConfig{DisableStartupMessage: true})
 }
 
 // Shutdown stops accepting connections and waits for the requests in progress, until
 // ctx is done at the latest.
-func (a *AdminServer) Shutdown(ctx context.Context) error {
-	return a.app.ShutdownWithContext(ctx)
+func (s *AdminServer) Shutdown(ctx context.Context) error {
+	return s.app.ShutdownWithContext(ctx)
 }
 
-func (a *AdminServer) announce(c fiber.Ctx) error {
+func (s *AdminServer) announce(c fiber.Ctx) error {
 	id, err := parseTarget(c)
 	if err != nil {
 		return err
@@ -75,28 +75,28 @@
 		return carobkind.Wrap(carobkind.Invalid, err, "announcement")
 	}
 	announcement.Target = id
-	a.postAnnouncement(announcement)
+	s.postAnnouncement(announcement)
 	return c.SendStatus(http.StatusNoContent)
 }
 
-func (a *AdminServer) withdraw(c fiber.Ctx) error {
+func (s *AdminServer) withdraw(c fiber.Ctx) error {
 	id, err := parseTarget(c)
 	if err != nil {
 		return err
 	}
-	a.postAnnouncement(carobannouncement.Announcement{Target: id, Withdrawn: true})
+	s.postAnnouncement(carobannouncement.Announcement{Target: id, Withdrawn: true})
 	return c.SendStatus(http.StatusNoContent)
 }
 
-func (a *AdminServer) postAnnouncement(announcement carobannouncement.Announcement) {
-	a.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Announcements = append(in.Announcements, announcement) })
+func (s *AdminServer) postAnnouncement(announcement carobannouncement.Announcement) {
+	s.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Announcements = append(in.Announcements, announcement) })
 }
 
 // health answers 200 if the node can route calls: it has profiles and is not
 // shutting down. Otherwise it answers with the status of Leaving or NotReady.
-func (a *AdminServer) health(c fiber.Ctx) error {
+func (s *AdminServer) health(c fiber.Ctx) error {
 	kind := carobkind.None
-	err := a.config.Control.Query(c.Context(), func(w *carobworld.World) {
+	err := s.config.Control.Query(c.Context(), func(w *carobworld.World) {
 		switch {
 		case w.Stopping:
 			kind = carobkind.Leaving
@@ -114,10 +114,10 @@
 }
 
 // status answers with the node's status as JSON.
-func (a *AdminServer) status(c fiber.Ctx) error {
+func (s *AdminServer) status(c fiber.Ctx) error {
 	var status carobstatus.Status
-	err := a.config.Control.Query(c.Context(), func(w *carobworld.World) {
-		status = carobstatus.Describe(w, a.config.Timer.Now())
+	err := s.config.Control.Query(c.Context(), func(w *carobworld.World) {
+		status = carobstatus.Describe(w, s.config.Timer.Now())
 	})
 	if err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "query the control goroutine")
--- a/internal/carobdialectfrontend/dialectfrontend.go
+++ b/internal/carobdialectfrontend/dialectfrontend.go
@@ -67,54 +67,54 @@
 
 // NewDialectFrontEnd returns a front end that does not listen yet.
 func NewDialectFrontEnd(c Config) *DialectFrontEnd {
-	i := &DialectFrontEnd{config: c}
-	i.server = carobserver.NewServer(carobserver.Config{
-		Handler: i, Timer: c.Timer, MaxHeader: c.Limits.HeaderSize, MaxBody: c.Limits.BodySize,
+	f := &DialectFrontEnd{config: c}
+	f.server = carobserver.NewServer(carobserver.Config{
+		Handler: f, Timer: c.Timer, MaxHeader: c.Limits.HeaderSize, MaxBody: c.Limits.BodySize,
 		HeaderTimeout: c.Limits.HeaderTimeout.Duration(), StallTimeout: c.Limits.StallTimeout.Duration(), IdleTimeout: c.Limits.IdleTimeout.Duration(),
 		MaxPipelined: maxPipelined,
 	})
-	return i
+	return f
 }
 
 // Serve accepts and serves connections until Shutdown.
-func (i *DialectFrontEnd) Serve(listener net.Listener) error {
-	return i.server.Serve(listener)
+func (f *DialectFrontEnd) Serve(listener net.Listener) error {
+	return f.server.Serve(listener)
 }
 
 // Drain makes the server close each connection after its pending answers.
-func (i *DialectFrontEnd) Drain() {
-	i.server.Drain()
+func (f *DialectFrontEnd) Drain() {
+	f.server.Drain()
 }
 
 // Shutdown stops listening and returns when all connections are closed or ctx
 // ends. The error is always nil.
-func (i *DialectFrontEnd) Shutdown(ctx context.Context) error {
-	i.server.Close(ctx)
+func (f *DialectFrontEnd) Shutdown(ctx context.Context) error {
+	f.server.Close(ctx)
 	return nil
 }
 
 // Execute forwards the effects of a tick to the goroutines of the calls.
-func (i *DialectFrontEnd) Execute(out *caroboutbox.Outbox) {
-	i.config.Exchanges.Execute(out)
+func (f *DialectFrontEnd) Execute(out *caroboutbox.Outbox) {
+	f.config.Exchanges.Execute(out)
 }
 
 // Handle runs the call of a request to the end of its answer.
-func (i *DialectFrontEnd) Handle(pipelined *carobpipelinedrequest.PipelinedRequest) {
+func (f *DialectFrontEnd) Handle(pipelined *carobpipelinedrequest.PipelinedRequest) {
 	req := pipelined.Request()
-	r := &responder{frontEnd: i, pipelined: pipelined}
-	arrival, err := i.config.Dialect.ParseArrival(req)
+	r := &responder{frontEnd: f, pipelined: pipelined}
+	arrival, err := f.config.Dialect.ParseArrival(req)
 	if err != nil {
 		r.SendError(carobkind.Of(err), 0, err.Error())
 		return
 	}
 	bodySize := int64(len(req.Body()))
-	defer i.buffered.Add(-bodySize)
-	if i.buffered.Add(bodySize) > int64(i.config.Limits.BufferedBodySize) {
+	defer f.buffered.Add(-bodySize)
+	if f.buffered.Add(bodySize) > int64(f.config.Limits.BufferedBodySize) {
 		r.SendError(carobkind.Busy, carobkind.Busy.RetryAfter(), "the limit of buffered request bodies is reached")
 		return
 	}
 	arrival.Call = carobcallid.ID{
-		Node: i.config.Node, Incarnation: i.config.Incarnation, Sequence: i.sequence.Add(1),
+		Node: f.config.Node, Incarnation: f.config.Incarnation, Sequence: f.sequence.Add(1),
 	}
 	arrival.Size = carobsize.Size(bodySize)
 	body, err := carobrequestbody.NewRequestBody(carobrequestbody.Config{Body: req.Body()})
@@ -122,14 +122,14 @@
 		r.SendError(carobkind.Of(err), 0, err.Error())
 		return
 	}
-	pipelined.OnDisconnect(func() { i.config.Exchanges.ReportDisconnect(arrival.Call) })
+	pipelined.OnDisconnect(func() { f.config.Exchanges.ReportDisconnect(arrival.Call) })
 	defer pipelined.OnDisconnect(nil)
-	i.config.Exchanges.Run(arrival, req, body, r)
+	f.config.Exchanges.Run(arrival, req, body, r)
 }
 
 // Reject fills in the response to bytes that could not be read as a request.
-func (i *DialectFrontEnd) Reject(resp *fasthttp.Response, err error) {
-	i.config.Dialect.WriteRefusal(resp, nil, carobkind.Of(err), 0, err.Error())
+func (f *DialectFrontEnd) Reject(resp *fasthttp.Response, err error) {
+	f.config.Dialect.WriteRefusal(resp, nil, carobkind.Of(err), 0, err.Error())
 }
 
 // responder sends the result of a call to its caller.
--- a/internal/carobfrontend/frontend.go
+++ b/internal/carobfrontend/frontend.go
@@ -71,11 +71,11 @@
 
 // NewFrontEnd returns a front end that does not listen yet.
 func NewFrontEnd(c Config) *FrontEnd {
-	e := &FrontEnd{config: c, exchanges: carobexchange.NewExchanges(carobexchange.Config{Mailbox: c.Mailbox, Relay: c.Relay})}
-	e.server = &fasthttp.Server{
-		Handler:                      e.handle,
-		ExpectHandler:                e.handleExpect,
-		ErrorHandler:                 e.handleError,
+	f := &FrontEnd{config: c, exchanges: carobexchange.NewExchanges(carobexchange.Config{Mailbox: c.Mailbox, Relay: c.Relay})}
+	f.server = &fasthttp.Server{
+		Handler:                      f.handle,
+		ExpectHandler:                f.handleExpect,
+		ErrorHandler:                 f.handleError,
 		ReadBufferSize:               int(c.Limits.HeaderSize),
 		MaxRequestBodySize:           unlimitedBody,
 		ReadTimeout:                  c.Limits.HeaderTimeout.Duration(),
@@ -88,65 +88,65 @@
 		CloseOnShutdown:              true,
 		Logger:                       noLogger{},
 	}
-	return e
+	return f
 }
 
 // Serve accepts and serves connections until Shutdown.
-func (e *FrontEnd) Serve(listener net.Listener) error {
-	return e.server.Serve(&boundedListener{Listener: listener, timer: e.config.Timer, limit: int64(e.config.Limits.Connections)})
+func (f *FrontEnd) Serve(listener net.Listener) error {
+	return f.server.Serve(&boundedListener{Listener: listener, timer: f.config.Timer, limit: int64(f.config.Limits.Connections)})
 }
 
 // Drain does nothing: Shutdown closes each connection after its answer.
-func (e *FrontEnd) Drain() {}
+func (f *FrontEnd) Drain() {}
 
 // Shutdown stops listening and returns when all connections are closed or ctx
 // ends.
-func (e *FrontEnd) Shutdown(ctx context.Context) error {
-	return e.server.ShutdownWithContext(ctx)
+func (f *FrontEnd) Shutdown(ctx context.Context) error {
+	return f.server.ShutdownWithContext(ctx)
 }
 
 // Execute forwards the effects of a tick to the goroutines of the calls.
-func (e *FrontEnd) Execute(out *caroboutbox.Outbox) {
-	e.exchanges.Execute(out)
+func (f *FrontEnd) Execute(out *caroboutbox.Outbox) {
+	f.exchanges.Execute(out)
 }
 
 // handle runs a call from the received header to the end of its answer.
-func (e *FrontEnd) handle(ctx *fasthttp.RequestCtx) {
-	call := e.newCallID()
-	arrivedAt := e.config.Timer.Now()
+func (f *FrontEnd) handle(ctx *fasthttp.RequestCtx) {
+	call := f.newCallID()
+	arrivedAt := f.config.Timer.Now()
 	arrival, err := parseArrival(call, &ctx.Request.Header)
 	if err != nil {
-		e.reject(ctx, call, err)
+		f.reject(ctx, call, err)
 		return
 	}
-	reserved := e.reserveBuffer(ctx, arrival.Service)
-	defer e.buffered.Add(-int64(reserved))
-	body, err := e.openBody(ctx, reserved)
+	reserved := f.reserveBuffer(ctx, arrival.Service)
+	defer f.buffered.Add(-int64(reserved))
+	body, err := f.openBody(ctx, reserved)
 	if err != nil {
-		e.reject(ctx, call, err)
+		f.reject(ctx, call, err)
 		return
 	}
 	if arrival.Timeout > 0 {
 		// The time left once the body has been read. It is at least 1 ns, because 0
 		// means that the caller gave no timeout.
-		arrival.Timeout = max(1, arrival.Timeout-e.config.Timer.Now().Sub(arrivedAt))
+		arrival.Timeout = max(1, arrival.Timeout-f.config.Timer.Now().Sub(arrivedAt))
 	}
 	arrival.Streamed = body.Streamed()
-	defer e.config.DisconnectWatch.Add(ctx.Conn(), func() { e.exchanges.ReportDisconnect(call) })()
-	e.exchanges.Run(arrival, &ctx.Request, body, &responder{frontEnd: e, ctx: ctx, call: call})
+	defer f.config.DisconnectWatch.Add(ctx.Conn(), func() { f.exchanges.ReportDisconnect(call) })()
+	f.exchanges.Run(arrival, &ctx.Request, body, &responder{frontEnd: f, ctx: ctx, call: call})
 }
 
 // newCallID returns the ID of the next call of this node.
-func (e *FrontEnd) newCallID() carobcallid.ID {
-	return carobcallid.ID{Node: e.config.Node, Incarnation: e.config.Incarnation, Sequence: e.sequence.Add(1)}
+func (f *FrontEnd) newCallID() carobcallid.ID {
+	return carobcallid.ID{Node: f.config.Node, Incarnation: f.config.Incarnation, Sequence: f.sequence.Add(1)}
 }
 
 // openBody prepares the body of a call and reads it if it is to be buffered.
-func (e *FrontEnd) openBody(ctx *fasthttp.RequestCtx, reserved carobsize.Size) (*carobrequestbody.RequestBody, error) {
+func (f *FrontEnd) openBody(ctx *fasthttp.RequestCtx, reserved carobsize.Size) (*carobrequestbody.RequestBody, error) {
 	return carobrequestbody.NewRequestBody(carobrequestbody.Config{
 		Stream: ctx.RequestBodyStream(), Length: ctx.Request.Header.ContentLength(),
-		MaxBuffered: max(reserved, smallBody), MaxSize: e.config.Limits.BodySize,
-		Conn: ctx.Conn(), Timer: e.config.Timer, StallTimeout: e.config.Limits.StallTimeout.Duration(),
+		MaxBuffered: max(reserved, smallBody), MaxSize: f.config.Limits.BodySize,
+		Conn: ctx.Conn(), Timer: f.config.Timer, StallTimeout: f.config.Limits.StallTimeout.Duration(),
 	})
 }
 
@@ -158,20 +158,20 @@
 // size in bytes. It returns 0 if the call has no body, if the body is small
 // enough to need no reservation, or if it exceeds the limit of the profile or of
 // the node and has to be streamed.
-func (e *FrontEnd) reserveBuffer(ctx *fasthttp.RequestCtx, service carobservice.Service) carobsize.Size {
+func (f *FrontEnd) reserveBuffer(ctx *fasthttp.RequestCtx, service carobservice.Service) carobsize.Size {
 	length := carobsize.Size(ctx.Request.Header.ContentLength())
 	if ctx.RequestBodyStream() == nil || 0 <= length && length <= smallBody {
 		return 0
 	}
-	size := e.maxBufferedBody(service)
+	size := f.maxBufferedBody(service)
 	if length > size {
 		return 0
 	}
 	if length >= 0 {
 		size = length
 	}
-	if e.buffered.Add(int64(size)) > int64(e.config.Limits.BufferedBodySize) {
-		e.buffered.Add(-int64(size))
+	if f.buffered.Add(int64(size)) > int64(f.config.Limits.BufferedBodySize) {
+		f.buffered.Add(-int64(size))
 		return 0
 	}
 	return size
@@ -179,9 +179,9 @@
 
 // maxBufferedBody returns the maximum size of a buffered body in the service's
 // profile, or 0 if the node has no profile of the service.
-func (e *FrontEnd) maxBufferedBody(service carobservice.Service) carobsize.Size {
+func (f *FrontEnd) maxBufferedBody(service carobservice.Service) carobsize.Size {
 	var size carobsize.Size
-	_ = e.config.Control.Query(context.Background(), func(w *carobworld.World) {
+	_ = f.config.Control.Query(context.Background(), func(w *carobworld.World) {
 		if profile := w.ProfileOf(service); profile != nil {
 			size = profile.BufferedBodyLimit
 		}
@@ -191,14 +191,14 @@
 
 // handleExpect answers the header "Expect: 100-continue": it returns 100 if the
 // caller may send the body, and the status of an error response otherwise.
-func (e *FrontEnd) handleExpect(ctx *fasthttp.RequestCtx) int {
-	call := e.newCallID()
+func (f *FrontEnd) handleExpect(ctx *fasthttp.RequestCtx) int {
+	call := f.newCallID()
 	_, err := parseArrival(call, &ctx.Request.Header)
-	if length := ctx.Request.Header.ContentLength(); err == nil && length > int(e.config.Limits.BodySize) {
-		err = carobkind.New(carobkind.TooLarge, "the body is longer than the limit of %s", e.config.Limits.BodySize)
+	if length := ctx.Request.Header.ContentLength(); err == nil && length > int(f.config.Limits.BodySize) {
+		err = carobkind.New(carobkind.TooLarge, "the body is longer than the limit of %s", f.config.Limits.BodySize)
 	}
 	if err != nil {
-		e.reject(ctx, call, err)
+		f.reject(ctx, call, err)
 		return ctx.Response.StatusCode()
 	}
 	return fasthttp.StatusContinue
--- a/internal/carobfrontend/refuse.go
+++ b/internal/carobfrontend/refuse.go
@@ -15,7 +15,7 @@
 
 // refuse responds with an error. If parts of the body may be unread, the
 // connection is closed afterwards.
-func (e *FrontEnd) refuse(ctx *fasthttp.RequestCtx, call carobcallid.ID, err error) {
+func (f *FrontEnd) refuse(ctx *fasthttp.RequestCtx, call carobcallid.ID, err error) {
 	kind := carobkind.Of(err)
 	ctx.Response.Reset()
 	ctx.Response.SetStatusCode(kind.Status())
@@ -35,8 +35,8 @@
 // reject refuses a call that could not be parsed or read completely. The
 // connection is closed afterwards, because the bytes that follow may belong to
 // the call's body and must not be taken for a new request.
-func (e *FrontEnd) reject(ctx *fasthttp.RequestCtx, call carobcallid.ID, err error) {
-	e.refuse(ctx, call, err)
+func (f *FrontEnd) reject(ctx *fasthttp.RequestCtx, call carobcallid.ID, err error) {
+	f.refuse(ctx, call, err)
 	closeAfterResponse(ctx)
 }
 
@@ -52,18 +52,18 @@
 }
 
 // handleError responds to a request that the HTTP library could not read.
-func (e *FrontEnd) handleError(ctx *fasthttp.RequestCtx, err error) {
+func (f *FrontEnd) handleError(ctx *fasthttp.RequestCtx, err error) {
 	var smallBuffer *fasthttp.ErrSmallBuffer
 	var netErr net.Error
 	switch {
 	case errors.As(err, &smallBuffer):
-		err = carobkind.New(carobkind.HeaderTooLarge, "the header is longer than the limit of %s", e.config.Limits.HeaderSize)
+		err = carobkind.New(carobkind.HeaderTooLarge, "the header is longer than the limit of %s", f.config.Limits.HeaderSize)
 	case errors.As(err, &netErr) && netErr.Timeout():
-		err = carobkind.New(carobkind.RequestTimeout, "the header was not received within %s", e.config.Limits.HeaderTimeout)
+		err = carobkind.New(carobkind.RequestTimeout, "the header was not received within %s", f.config.Limits.HeaderTimeout)
 	default:
 		err = carobkind.New(carobkind.Invalid, "the request is malformed")
 	}
-	e.reject(ctx, e.newCallID(), err)
+	f.reject(ctx, f.newCallID(), err)
 }
 
 // noLogger discards the log lines of the HTTP library.
--- a/internal/carobloadgenerator/call.go
+++ b/internal/carobloadgenerator/call.go
@@ -47,91 +47,91 @@
 
 // send sends a call and counts its result. It ignores the end of the context: a
 // load that is stopped still waits for the calls in progress.
-func (l *LoadGenerator) send(ctx context.Context, call call) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), l.config.Deadline+answerGrace)
+func (g *LoadGenerator) send(ctx context.Context, call call) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.config.Deadline+answerGrace)
 	defer cancel()
-	answer, err := l.pool.Do(ctx, call.node, l.request(call), false)
+	answer, err := g.pool.Do(ctx, call.node, g.request(call), false)
 	if err != nil {
-		l.addError(call, carobkind.Of(err).Outcome(), carobkind.Of(err))
+		g.addError(call, carobkind.Of(err).Outcome(), carobkind.Of(err))
 		return
 	}
-	correct := l.verify(call, answer)
+	correct := g.verify(call, answer)
 	_ = answer.Body.Close()
 	header := &answer.Response.Header
 	outcome := caroboutcome.Outcome(header.Peek(carobheader.Outcome))
-	if l.config.Direct {
+	if g.config.Direct {
 		outcome = caroboutcome.Answered
 	}
 	if outcome != caroboutcome.Answered {
-		l.addError(call, outcome, carobkind.Kind(header.Peek(carobheader.ErrorKind)))
+		g.addError(call, outcome, carobkind.Kind(header.Peek(carobheader.ErrorKind)))
 		return
 	}
 	if call.counted {
-		l.summary.AddAnswer(l.elapsed(call), answer.Response.StatusCode(), correct)
+		g.summary.AddAnswer(g.elapsed(call), answer.Response.StatusCode(), correct)
 	}
 }
 
-func (l *LoadGenerator) addError(call call, outcome caroboutcome.Outcome, kind carobkind.Kind) {
+func (g *LoadGenerator) addError(call call, outcome caroboutcome.Outcome, kind carobkind.Kind) {
 	if call.counted {
-		l.summary.AddError(l.elapsed(call), outcome, kind)
+		g.summary.AddError(g.elapsed(call), outcome, kind)
 	}
 }
 
 // elapsed returns the time since the call should have been sent.
-func (l *LoadGenerator) elapsed(call call) time.Duration {
-	return l.config.Timer.Now().Sub(call.scheduledAt)
+func (g *LoadGenerator) elapsed(call call) time.Duration {
+	return g.config.Timer.Now().Sub(call.scheduledAt)
 }
 
-func (l *LoadGenerator) request(call call) *fasthttp.Request {
+func (g *LoadGenerator) request(call call) *fasthttp.Request {
 	req := &fasthttp.Request{}
 	req.Header.SetMethod(fasthttp.MethodPost)
 	path := "/load"
-	if l.config.AnswerSize > 0 {
-		path += "?size=" + strconv.FormatInt(int64(l.config.AnswerSize), decimal) + "&seed=" + strconv.FormatUint(call.seed, decimal)
+	if g.config.AnswerSize > 0 {
+		path += "?size=" + strconv.FormatInt(int64(g.config.AnswerSize), decimal) + "&seed=" + strconv.FormatUint(call.seed, decimal)
 	}
 	req.SetRequestURI(path)
-	req.Header.SetHost(string(l.config.Service))
-	req.Header.Set(carobheader.Deadline, strconv.FormatInt(l.config.Deadline.Milliseconds(), decimal))
+	req.Header.SetHost(string(g.config.Service))
+	req.Header.Set(carobheader.Deadline, strconv.FormatInt(g.config.Deadline.Milliseconds(), decimal))
 	if call.keyed {
 		req.Header.Set(carobheader.IdempotencyKey, "load-"+strconv.FormatUint(call.seed, decimal))
 	}
-	if l.config.RequestSize <= maxInMemory {
-		req.SetBodyRaw(l.requestBody(call).Bytes())
+	if g.config.RequestSize <= maxInMemory {
+		req.SetBodyRaw(g.requestBody(call).Bytes())
 	} else {
-		req.SetBodyStream(l.requestBody(call), int(l.config.RequestSize))
+		req.SetBodyStream(g.requestBody(call), int(g.config.RequestSize))
 	}
 	return req
 }
 
 // requestBody returns the body of a call.
-func (l *LoadGenerator) requestBody(call call) *carobpattern.Pattern {
-	return carobpattern.NewPattern(carobpattern.Config{Seed: call.seed, Length: int64(l.config.RequestSize)})
+func (g *LoadGenerator) requestBody(call call) *carobpattern.Pattern {
+	return carobpattern.NewPattern(carobpattern.Config{Seed: call.seed, Length: int64(g.config.RequestSize)})
 }
 
 // verify reads an answer to its end and reports whether it is complete and belongs
 // to the call. An error of the target has no body to compare.
-func (l *LoadGenerator) verify(call call, answer *carobanswer.Answer) bool {
+func (g *LoadGenerator) verify(call call, answer *carobanswer.Answer) bool {
 	if answer.Response.StatusCode() != fasthttp.StatusOK {
 		_, err := io.Copy(io.Discard, answer.Body)
 		return err == nil
 	}
-	if l.config.AnswerSize == 0 && l.config.RequestSize <= maxInMemory {
+	if g.config.AnswerSize == 0 && g.config.RequestSize <= maxInMemory {
 		got, err := io.ReadAll(answer.Body)
-		return err == nil && bytes.Equal(got, l.requestBody(call).Bytes())
+		return err == nil && bytes.Equal(got, g.requestBody(call).Bytes())
 	}
-	if !l.uploadIntact(call, answer) {
+	if !g.uploadIntact(call, answer) {
 		return false
 	}
-	want := carobpattern.NewPattern(carobpattern.Config{Seed: call.seed, Length: int64(l.config.AnswerSize)})
+	want := carobpattern.NewPattern(carobpattern.Config{Seed: call.seed, Length: int64(g.config.AnswerSize)})
 	got, length, err := carobpattern.Checksum(answer.Body)
 	expected, _, _ := carobpattern.Checksum(want)
-	return err == nil && length == int64(l.config.AnswerSize) && got == expected
+	return err == nil && length == int64(g.config.AnswerSize) && got == expected
 }
 
 // uploadIntact reports whether the target received the whole body, by the checksum
 // that it returned.
-func (l *LoadGenerator) uploadIntact(call call, answer *carobanswer.Answer) bool {
+func (g *LoadGenerator) uploadIntact(call call, answer *carobanswer.Answer) bool {
 	const hexadecimal = 16
-	sum, _, err := carobpattern.Checksum(l.requestBody(call))
+	sum, _, err := carobpattern.Checksum(g.requestBody(call))
 	return err == nil && string(answer.Response.Header.Peek(headerSum)) == strconv.FormatUint(sum, hexadecimal)
 }
--- a/internal/carobloadgenerator/loadgenerator.go
+++ b/internal/carobloadgenerator/loadgenerator.go
@@ -85,52 +85,52 @@
 
 // Run sends the load until a limit is reached or ctx ends, waits for the last
 // answer and returns the summary. A load generator runs once.
-func (l *LoadGenerator) Run(ctx context.Context) *carobsummary.Summary {
-	defer l.pool.Close()
-	start := l.config.Timer.Now()
-	countFrom := start.Add(l.config.Warmup)
+func (g *LoadGenerator) Run(ctx context.Context) *carobsummary.Summary {
+	defer g.pool.Close()
+	start := g.config.Timer.Now()
+	countFrom := start.Add(g.config.Warmup)
 	next := start
-	for sent := 0; l.continues(sent, next.Sub(start)); sent++ {
-		next = next.Add(time.Duration(l.random.ExpFloat64() / l.config.Rate * float64(time.Second)))
-		if !l.waitUntil(ctx, next) {
+	for sent := 0; g.continues(sent, next.Sub(start)); sent++ {
+		next = next.Add(time.Duration(g.random.ExpFloat64() / g.config.Rate * float64(time.Second)))
+		if !g.waitUntil(ctx, next) {
 			break
 		}
-		call := l.newCall(next)
+		call := g.newCall(next)
 		call.counted = !next.Before(countFrom)
-		l.inProgress.Go(func() { l.send(ctx, call) })
+		g.inProgress.Go(func() { g.send(ctx, call) })
 	}
-	l.inProgress.Wait()
-	l.summary.Close(next.Sub(countFrom))
-	return l.summary
+	g.inProgress.Wait()
+	g.summary.Close(next.Sub(countFrom))
+	return g.summary
 }
 
 // continues reports whether the load continues after the given number of calls and time.
-func (l *LoadGenerator) continues(sent int, elapsed time.Duration) bool {
-	if l.config.MaxCalls > 0 && sent >= l.config.MaxCalls {
+func (g *LoadGenerator) continues(sent int, elapsed time.Duration) bool {
+	if g.config.MaxCalls > 0 && sent >= g.config.MaxCalls {
 		return false
 	}
-	return l.config.Duration <= 0 || elapsed < l.config.Duration
+	return g.config.Duration <= 0 || elapsed < g.config.Duration
 }
 
 // waitUntil waits until an instant. It returns false if the load is stopped.
-func (l *LoadGenerator) waitUntil(ctx context.Context, at carobinstant.Instant) bool {
+func (g *LoadGenerator) waitUntil(ctx context.Context, at carobinstant.Instant) bool {
 	for {
-		remaining := at.Sub(l.config.Timer.Now())
+		remaining := at.Sub(g.config.Timer.Now())
 		if remaining <= 0 {
 			return ctx.Err() == nil
 		}
-		if l.config.Timer.Wait(ctx, remaining) != nil {
+		if g.config.Timer.Wait(ctx, remaining) != nil {
 			return false
 		}
 	}
 }
 
 // newCall draws the next call, which should be sent at the given instant.
-func (l *LoadGenerator) newCall(at carobinstant.Instant) call {
+func (g *LoadGenerator) newCall(at carobinstant.Instant) call {
 	return call{
 		scheduledAt: at,
-		seed:        l.random.Uint64() >> 1,
-		node:        l.config.Nodes[l.random.IntN(len(l.config.Nodes))],
-		keyed:       l.random.Float64() < float64(l.config.KeyShare),
+		seed:        g.random.Uint64() >> 1,
+		node:        g.config.Nodes[g.random.IntN(len(g.config.Nodes))],
+		keyed:       g.random.Float64() < float64(g.config.KeyShare),
 	}
 }
--- a/internal/caroblogwriter/logwriter.go
+++ b/internal/caroblogwriter/logwriter.go
@@ -85,97 +85,97 @@
 
 // Execute takes the hops, audit entries and records of a tick for appending. It does
 // not wait for the log.
-func (t *LogWriter) Execute(out *caroboutbox.Outbox) {
+func (w *LogWriter) Execute(out *caroboutbox.Outbox) {
 	if len(out.Hops) == 0 && len(out.Audits) == 0 && len(out.Appends) == 0 {
 		return
 	}
-	t.mutex.Lock()
+	w.mutex.Lock()
 	for i := range out.Hops {
-		t.buffers[carobstream.Traces].add(&out.Hops[i])
+		w.buffers[carobstream.Traces].add(&out.Hops[i])
 	}
 	for i := range out.Audits {
-		t.audit(&out.Audits[i])
+		w.audit(&out.Audits[i])
 	}
 	for _, ap := range out.Appends {
-		t.records[ap.Stream] = ap.Data
+		w.records[ap.Stream] = ap.Data
 	}
-	t.mutex.Unlock()
-	t.signal()
+	w.mutex.Unlock()
+	w.signal()
 }
 
 // signal wakes Run. It does not block.
-func (t *LogWriter) signal() {
+func (w *LogWriter) signal() {
 	select {
-	case t.wake <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
 // audit logs an audit entry and, unless it is local, adds it to the audit stream.
-func (t *LogWriter) audit(entry *carobaudit.Audit) {
+func (w *LogWriter) audit(entry *carobaudit.Audit) {
 	if entry.When.IsZero() {
-		entry.When = t.config.Timer.WallTime().UTC()
+		entry.When = w.config.Timer.WallTime().UTC()
 	}
-	t.config.Logger.WithFields(logrus.Fields{
+	w.config.Logger.WithFields(logrus.Fields{
 		"part": entry.Component, "who": entry.Who, "what": entry.What, "from": entry.From, "to": entry.To,
 	}).Info("audit: changed")
 	if !entry.LocalOnly {
-		t.buffers[carobstream.Audit].add(entry)
+		w.buffers[carobstream.Audit].add(entry)
 	}
 }
 
 // Dropped returns how many hops and audit entries were dropped since the start.
-func (t *LogWriter) Dropped() (hops, audits int) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return t.buffers[carobstream.Traces].dropped, t.buffers[carobstream.Audit].dropped
+func (w *LogWriter) Dropped() (hops, audits int) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.buffers[carobstream.Traces].dropped, w.buffers[carobstream.Audit].dropped
 }
 
 // Run appends what is due until ctx is done.
-func (t *LogWriter) Run(ctx context.Context) {
-	wakeAt := t.config.Timer.Subscribe(t.signal)
+func (w *LogWriter) Run(ctx context.Context) {
+	wakeAt := w.config.Timer.Subscribe(w.signal)
 	defer wakeAt(carobinstant.Never)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.wake:
+		case <-w.wake:
 		}
-		wakeAt(t.write(ctx, false))
+		wakeAt(w.write(ctx, false))
 	}
 }
 
 // Flush tries once to append the next record of every stream, whether due or not.
-func (t *LogWriter) Flush(ctx context.Context) {
-	t.write(ctx, true)
+func (w *LogWriter) Flush(ctx context.Context) {
+	w.write(ctx, true)
 }
 
 // write makes the appends that are due, or all that there are, and returns when the
 // next one is due, or Never.
-func (t *LogWriter) write(ctx context.Context, all bool) carobinstant.Instant {
-	t.writeMutex.Lock()
-	defer t.writeMutex.Unlock()
-	next := t.writeRecords(ctx)
-	for stream, entries := range t.buffers {
-		t.mutex.Lock()
-		now := t.config.Timer.Now()
+func (w *LogWriter) write(ctx context.Context, all bool) carobinstant.Instant {
+	w.writeMutex.Lock()
+	defer w.writeMutex.Unlock()
+	next := w.writeRecords(ctx)
+	for stream, entries := range w.buffers {
+		w.mutex.Lock()
+		now := w.config.Timer.Now()
 		due := entries.due(now)
 		var data []byte
 		if due.Reached(now) || all && due != carobinstant.Never {
 			data = entries.nextRecord(now)
 			due = now.Add(appendInterval)
 		}
-		t.mutex.Unlock()
+		w.mutex.Unlock()
 		next = carobinstant.Earlier(next, due)
 		if data == nil {
 			continue
 		}
-		_, err := t.config.Log.Append(ctx, stream, data)
-		t.mutex.Lock()
+		_, err := w.config.Log.Append(ctx, stream, data)
+		w.mutex.Lock()
 		entries.endAppend(err == nil)
-		t.mutex.Unlock()
+		w.mutex.Unlock()
 		if err != nil {
-			t.config.Logger.WithField("stream", stream).WithError(err).Warn("log: append failed, entries are kept for the next attempt")
+			w.config.Logger.WithField("stream", stream).WithError(err).Warn("log: append failed, entries are kept for the next attempt")
 		}
 	}
 	return next
@@ -184,22 +184,22 @@
 // writeRecords appends the records of systems. It returns when to retry those that
 // failed, or Never if none did. A newer record of the same stream replaces a failed
 // one.
-func (t *LogWriter) writeRecords(ctx context.Context) carobinstant.Instant {
-	t.mutex.Lock()
-	records := t.records
-	t.records = map[carobstream.Stream][]byte{}
-	t.mutex.Unlock()
+func (w *LogWriter) writeRecords(ctx context.Context) carobinstant.Instant {
+	w.mutex.Lock()
+	records := w.records
+	w.records = map[carobstream.Stream][]byte{}
+	w.mutex.Unlock()
 	next := carobinstant.Never
 	for stream, data := range records {
-		if _, err := t.config.Log.Append(ctx, stream, data); err == nil {
+		if _, err := w.config.Log.Append(ctx, stream, data); err == nil {
 			continue
 		}
-		next = t.config.Timer.Now().Add(retryInterval)
-		t.mutex.Lock()
-		if _, newer := t.records[stream]; !newer {
-			t.records[stream] = data
+		next = w.config.Timer.Now().Add(retryInterval)
+		w.mutex.Lock()
+		if _, newer := w.records[stream]; !newer {
+			w.records[stream] = data
 		}
-		t.mutex.Unlock()
+		w.mutex.Unlock()
 	}
 	return next
 }
--- a/internal/carobmembersync/membersync.go
+++ b/internal/carobmembersync/membersync.go
@@ -62,16 +62,16 @@
 
 // Execute takes the newest member that the tick appends to the stream of nodes. It
 // does not wait for the directory.
-func (e *MemberSync) Execute(out *caroboutbox.Outbox) {
+func (s *MemberSync) Execute(out *caroboutbox.Outbox) {
 	for _, ap := range out.Appends {
 		if ap.Stream != carobstream.Nodes {
 			continue
 		}
-		e.mutex.Lock()
-		e.member = ap.Data
-		e.mutex.Unlock()
+		s.mutex.Lock()
+		s.member = ap.Data
+		s.mutex.Unlock()
 		select {
-		case e.wake <- struct{}{}:
+		case s.wake <- struct{}{}:
 		default:
 		}
 	}
@@ -80,21 +80,21 @@
 // Run writes the node's member after each change and then reads those of all nodes,
 // until ctx is done. It writes before it reads, so that of two nodes that start
 // together at least one finds the other.
-func (e *MemberSync) Run(ctx context.Context) {
+func (s *MemberSync) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.wake:
+		case <-s.wake:
 		}
-		e.retry(ctx, "directory: own member cannot be written", e.write)
-		e.retry(ctx, "directory: members cannot be read", e.read)
+		s.retry(ctx, "directory: own member cannot be written", s.write)
+		s.retry(ctx, "directory: members cannot be read", s.read)
 	}
 }
 
 // retry repeats an operation with backoff until it succeeds or ctx is done. It logs
 // only the first failure.
-func (e *MemberSync) retry(ctx context.Context, failureText string, operation func(ctx context.Context) error) {
+func (s *MemberSync) retry(ctx context.Context, failureText string, operation func(ctx context.Context) error) {
 	backoff := minBackoff
 	for tries := 0; ctx.Err() == nil; tries++ {
 		inner, cancel := context.WithTimeout(ctx, requestTimeout)
@@ -104,27 +104,27 @@
 			return
 		}
 		if tries == 0 {
-			e.config.Logger.WithError(err).Warn(failureText)
+			s.config.Logger.WithError(err).Warn(failureText)
 		}
-		_ = e.config.Timer.Wait(ctx, backoff+time.Duration(rand.Int64N(int64(backoff)))) //nolint:gosec // jitter need not be secret
+		_ = s.config.Timer.Wait(ctx, backoff+time.Duration(rand.Int64N(int64(backoff)))) //nolint:gosec // jitter need not be secret
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func (e *MemberSync) write(ctx context.Context) error {
-	e.mutex.Lock()
-	member := e.member
-	e.mutex.Unlock()
-	return e.config.Directory.PutMember(ctx, e.config.Node, member)
+func (s *MemberSync) write(ctx context.Context) error {
+	s.mutex.Lock()
+	member := s.member
+	s.mutex.Unlock()
+	return s.config.Directory.PutMember(ctx, s.config.Node, member)
 }
 
 // read posts the members of all nodes as records of the stream of nodes.
-func (e *MemberSync) read(ctx context.Context) error {
-	members, err := e.config.Directory.Members(ctx)
+func (s *MemberSync) read(ctx context.Context) error {
+	members, err := s.config.Directory.Members(ctx)
 	if err != nil {
 		return err
 	}
-	e.config.Mailbox.Post(func(in *carobinbox.Inbox) {
+	s.config.Mailbox.Post(func(in *carobinbox.Inbox) {
 		for _, member := range members {
 			in.Records = append(in.Records, carobrecord.Record{Stream: carobstream.Nodes, Data: member})
 		}
--- a/internal/carobpipelinedrequest/pipelinedrequest.go
+++ b/internal/carobpipelinedrequest/pipelinedrequest.go
@@ -54,28 +54,28 @@
 }
 
 // Request returns the request, including the complete body.
-func (v *PipelinedRequest) Request() *fasthttp.Request { return v.config.Request }
+func (p *PipelinedRequest) Request() *fasthttp.Request { return p.config.Request }
 
 // Done returns a channel that is closed once the request was answered or its
 // connection broke.
-func (v *PipelinedRequest) Done() <-chan struct{} { return v.done }
+func (p *PipelinedRequest) Done() <-chan struct{} { return p.done }
 
 // SetCloseAfter makes the connection close after the answer. It must be called
 // before the answer is sent.
-func (v *PipelinedRequest) SetCloseAfter() { v.closing = true }
+func (p *PipelinedRequest) SetCloseAfter() { p.closing = true }
 
 // ClosesAfter reports whether the connection is to close after the answer, by
 // SetCloseAfter or by the caller's Connection header.
-func (v *PipelinedRequest) ClosesAfter() bool { return v.closing || v.config.Request.ConnectionClose() }
+func (p *PipelinedRequest) ClosesAfter() bool { return p.closing || p.config.Request.ConnectionClose() }
 
 // OnDisconnect sets the function that is called once if the caller disconnects. It is
 // called immediately if the caller has already disconnected. nil removes the
 // function.
-func (v *PipelinedRequest) OnDisconnect(call func()) {
-	v.mutex.Lock()
-	v.onDisconnect = call
-	disconnected := v.disconnected
-	v.mutex.Unlock()
+func (p *PipelinedRequest) OnDisconnect(call func()) {
+	p.mutex.Lock()
+	p.onDisconnect = call
+	disconnected := p.disconnected
+	p.mutex.Unlock()
 	if disconnected && call != nil {
 		call()
 	}
@@ -83,111 +83,111 @@
 
 // Disconnect records that the caller has disconnected, and calls the function that
 // OnDisconnect set.
-func (v *PipelinedRequest) Disconnect() {
-	v.mutex.Lock()
-	call := v.onDisconnect
-	first := !v.disconnected
-	v.disconnected = true
-	v.mutex.Unlock()
+func (p *PipelinedRequest) Disconnect() {
+	p.mutex.Lock()
+	call := p.onDisconnect
+	first := !p.disconnected
+	p.disconnected = true
+	p.mutex.Unlock()
 	if first && call != nil {
 		call()
 	}
 }
 
 // SendResponse sends a complete response after the answers to the earlier requests.
-func (v *PipelinedRequest) SendResponse(resp *fasthttp.Response) {
-	<-v.config.PreviousDone
-	v.finish(v.writeWhole(resp) == nil)
+func (p *PipelinedRequest) SendResponse(resp *fasthttp.Response) {
+	<-p.config.PreviousDone
+	p.finish(p.writeWhole(resp) == nil)
 }
 
 // SendAnswer sends an answer and its body, as it is received, after the answers to the
 // earlier requests. It returns None if the complete answer was sent, and
 // ConnectionLost otherwise.
-func (v *PipelinedRequest) SendAnswer(answer *carobanswer.Answer) carobkind.Kind {
-	<-v.config.PreviousDone
-	err := v.writeStream(answer)
+func (p *PipelinedRequest) SendAnswer(answer *carobanswer.Answer) carobkind.Kind {
+	<-p.config.PreviousDone
+	err := p.writeStream(answer)
 	closeErr := answer.Body.Close()
-	v.finish(err == nil)
+	p.finish(err == nil)
 	if err != nil || closeErr != nil && !answer.NoBody {
 		return carobkind.ConnectionLost
 	}
 	return carobkind.None
 }
 
-func (v *PipelinedRequest) finish(complete bool) {
-	close(v.done)
-	v.config.Connection.Remove(v, complete)
+func (p *PipelinedRequest) finish(complete bool) {
+	close(p.done)
+	p.config.Connection.Remove(p, complete)
 }
 
 // prepareHeader sets the headers that concern the connection.
-func (v *PipelinedRequest) prepareHeader(resp *fasthttp.Response) {
+func (p *PipelinedRequest) prepareHeader(resp *fasthttp.Response) {
 	resp.Header.SetNoDefaultContentType(true)
-	if v.config.Connection.ClosesAfter(v) {
+	if p.config.Connection.ClosesAfter(p) {
 		resp.SetConnectionClose()
 	}
-	v.config.Connection.ExtendDeadline()
+	p.config.Connection.ExtendDeadline()
 }
 
-func (v *PipelinedRequest) writeWhole(resp *fasthttp.Response) error {
-	v.prepareHeader(resp)
+func (p *PipelinedRequest) writeWhole(resp *fasthttp.Response) error {
+	p.prepareHeader(resp)
 	body := resp.Body()
 	resp.Header.SetContentLength(len(body))
-	if err := resp.Header.Write(v.config.Writer); err != nil {
+	if err := resp.Header.Write(p.config.Writer); err != nil {
 		return err
 	}
-	if !v.config.Request.Header.IsHead() {
-		if _, err := v.config.Writer.Write(body); err != nil {
+	if !p.config.Request.Header.IsHead() {
+		if _, err := p.config.Writer.Write(body); err != nil {
 			return err
 		}
 	}
-	return v.config.Writer.Flush()
+	return p.config.Writer.Flush()
 }
 
 // copyBufferSize is the size in bytes of the buffer for copying a body.
 const copyBufferSize = 16 * 1024
 
-func (v *PipelinedRequest) writeStream(answer *carobanswer.Answer) error {
-	v.prepareHeader(answer.Response)
+func (p *PipelinedRequest) writeStream(answer *carobanswer.Answer) error {
+	p.prepareHeader(answer.Response)
 	if !answer.NoBody {
 		answer.Response.Header.SetContentLength(answer.Length)
 	}
-	if err := answer.Response.Header.Write(v.config.Writer); err != nil {
+	if err := answer.Response.Header.Write(p.config.Writer); err != nil {
 		return err
 	}
 	switch {
 	case answer.NoBody:
 	case answer.Length >= 0:
-		if err := v.copyFixedLength(answer); err != nil {
+		if err := p.copyFixedLength(answer); err != nil {
 			return err
 		}
 	default:
-		if err := v.copyChunked(answer.Body); err != nil {
+		if err := p.copyChunked(answer.Body); err != nil {
 			return err
 		}
 	}
-	return v.config.Writer.Flush()
+	return p.config.Writer.Flush()
 }
 
-func (v *PipelinedRequest) copyFixedLength(answer *carobanswer.Answer) error {
-	n, err := io.CopyBuffer(v.config.Writer, &deadlineReader{Reader: answer.Body, connection: v.config.Connection}, make([]byte, min(copyBufferSize, max(1, answer.Length))))
+func (p *PipelinedRequest) copyFixedLength(answer *carobanswer.Answer) error {
+	n, err := io.CopyBuffer(p.config.Writer, &deadlineReader{Reader: answer.Body, connection: p.config.Connection}, make([]byte, min(copyBufferSize, max(1, answer.Length))))
 	if err == nil && n != int64(answer.Length) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-func (v *PipelinedRequest) copyChunked(body io.Reader) error {
+func (p *PipelinedRequest) copyChunked(body io.Reader) error {
 	buf := make([]byte, copyBufferSize)
 	for {
-		v.config.Connection.ExtendDeadline()
+		p.config.Connection.ExtendDeadline()
 		n, err := body.Read(buf)
 		if n > 0 {
-			if writeErr := writeChunk(v.config.Writer, buf[:n]); writeErr != nil {
+			if writeErr := writeChunk(p.config.Writer, buf[:n]); writeErr != nil {
 				return writeErr
 			}
 		}
 		if err == io.EOF { //nolint:errorlint // readers return io.EOF itself
-			_, err = v.config.Writer.WriteString("0\r\n\r\n")
+			_, err = p.config.Writer.WriteString("0\r\n\r\n")
 			return err
 		}
 		if err != nil {
--- a/internal/carobprofilehistory/profilehistory.go
+++ b/internal/carobprofilehistory/profilehistory.go
@@ -52,43 +52,43 @@
 
 // Read applies all records up to the present end of the log. It can be called again
 // to apply later ones.
-func (l *ProfileHistory) Read(ctx context.Context) error {
+func (h *ProfileHistory) Read(ctx context.Context) error {
 	for {
-		page, err := l.log.Read(ctx, carobstream.Profiles, l.next, 0)
+		page, err := h.log.Read(ctx, carobstream.Profiles, h.next, 0)
 		if err != nil {
 			return err
 		}
-		l.first, l.next = page.FirstOffset, max(l.next, page.NextOffset)
+		h.first, h.next = page.FirstOffset, max(h.next, page.NextOffset)
 		if len(page.Records) == 0 {
 			return nil
 		}
-		l.world.BeginTick(carobinbox.Inbox{Records: page.Records})
-		l.fold.Run(l.world, 1)
-		l.Results = append(l.Results, l.world.Outbox.ChangeResults...)
+		h.world.BeginTick(carobinbox.Inbox{Records: page.Records})
+		h.fold.Run(h.world, 1)
+		h.Results = append(h.Results, h.world.Outbox.ChangeResults...)
 	}
 }
 
 // Complete reports whether all records that were read could be applied. If it is
 // false, the first changes have expired from the log and it holds no snapshot that
 // replaces them.
-func (l *ProfileHistory) Complete() bool {
-	return l.world.ProfilesRead+1 >= l.next
+func (h *ProfileHistory) Complete() bool {
+	return h.world.ProfilesRead+1 >= h.next
 }
 
 // NextOffset returns the offset after the last record that was read.
-func (l *ProfileHistory) NextOffset() caroboffset.Offset {
-	return l.next
+func (h *ProfileHistory) NextOffset() caroboffset.Offset {
+	return h.next
 }
 
 // RevisionsInForce returns the revisions in force, one for each profile.
-func (l *ProfileHistory) RevisionsInForce() []carobrevision.Revision {
-	return l.world.TakeSnapshot().Revisions
+func (h *ProfileHistory) RevisionsInForce() []carobrevision.Revision {
+	return h.world.TakeSnapshot().Revisions
 }
 
 // CurrentOffset returns the offset of the revision in force of a profile, or None if there is
 // no such profile.
-func (l *ProfileHistory) CurrentOffset(name carobname.Name) caroboffset.Offset {
-	if revision := l.world.Profiles.Get(name); revision != nil {
+func (h *ProfileHistory) CurrentOffset(name carobname.Name) caroboffset.Offset {
+	if revision := h.world.Profiles.Get(name); revision != nil {
 		return revision.Offset
 	}
 	return caroboffset.BeforeFirst
@@ -97,8 +97,8 @@
 // FindResult returns the result of the change with an ID. A change that was appended more
 // than once was accepted if one of its records was. A change whose record has
 // expired is found while its revision is in force.
-func (l *ProfileHistory) FindResult(id string) (found carobchangeresult.ChangeResult, ok bool) {
-	for _, result := range l.Results {
+func (h *ProfileHistory) FindResult(id string) (found carobchangeresult.ChangeResult, ok bool) {
+	for _, result := range h.Results {
 		if result.Change.ID == id && (result.Applied || !ok) {
 			found, ok = result, true
 		}
@@ -106,7 +106,7 @@
 			return found, true
 		}
 	}
-	for _, revision := range l.RevisionsInForce() {
+	for _, revision := range h.RevisionsInForce() {
 		if revision.Change.ID == id {
 			return carobchangeresult.ChangeResult{Change: revision.Change, Offset: revision.Offset, Applied: true}, true
 		}
--- a/internal/carobrequestbody/requestbody.go
+++ b/internal/carobrequestbody/requestbody.go
@@ -78,117 +78,117 @@
 // it reads at most one byte more than Config.MaxBuffered, to find out whether it has to
 // be streamed. The error has kind TooLarge, RequestTimeout or Invalid.
 func NewRequestBody(c Config) (*RequestBody, error) {
-	u := &RequestBody{config: c}
+	b := &RequestBody{config: c}
 	switch {
 	case c.MaxSize > 0 && carobsize.Size(c.Length) > c.MaxSize:
 		return nil, tooLarge(c.MaxSize)
 	case c.Stream == nil:
-		u.buffered = c.Body
-		return u, nil
+		b.buffered = c.Body
+		return b, nil
 	case carobsize.Size(c.Length) > c.MaxBuffered:
-		u.streamed, u.unread = true, c.Stream
-		return u, nil
+		b.streamed, b.unread = true, c.Stream
+		return b, nil
 	default:
-		return u, u.readBuffered()
+		return b, b.readBuffered()
 	}
 }
 
 // readBuffered reads a body of at most Config.MaxBuffered bytes, or the beginning of a
 // longer one of unknown length.
-func (u *RequestBody) readBuffered() error {
-	if u.config.Length >= 0 {
-		u.buffered = make([]byte, u.config.Length)
-		if _, err := io.ReadFull(u.timedStream(), u.buffered); err != nil {
+func (b *RequestBody) readBuffered() error {
+	if b.config.Length >= 0 {
+		b.buffered = make([]byte, b.config.Length)
+		if _, err := io.ReadFull(b.timedStream(), b.buffered); err != nil {
 			return senderError(err)
 		}
 		return nil
 	}
-	ahead, err := io.ReadAll(io.LimitReader(u.timedStream(), int64(u.config.MaxBuffered)+1))
+	ahead, err := io.ReadAll(io.LimitReader(b.timedStream(), int64(b.config.MaxBuffered)+1))
 	if err != nil {
 		return senderError(err)
 	}
-	if carobsize.Size(len(ahead)) <= u.config.MaxBuffered {
-		u.buffered = ahead
+	if carobsize.Size(len(ahead)) <= b.config.MaxBuffered {
+		b.buffered = ahead
 		return nil
 	}
-	u.streamed, u.unread = true, io.MultiReader(bytes.NewReader(ahead), u.config.Stream)
-	u.received = 0
+	b.streamed, b.unread = true, io.MultiReader(bytes.NewReader(ahead), b.config.Stream)
+	b.received = 0
 	return nil
 }
 
 // Streamed reports whether the body is too long to be buffered.
-func (u *RequestBody) Streamed() bool {
-	return u.streamed
+func (b *RequestBody) Streamed() bool {
+	return b.streamed
 }
 
 // NotResendable reports whether no further attempt can send the body.
-func (u *RequestBody) NotResendable() bool {
-	return u.streamed && (u.claimed.Load() || u.released.Load())
+func (b *RequestBody) NotResendable() bool {
+	return b.streamed && (b.claimed.Load() || b.released.Load())
 }
 
 // Attach sets the body of an attempt's request. The error has kind NotResendable
 // if the body was already streamed to another attempt.
-func (u *RequestBody) Attach(req *fasthttp.Request) error {
+func (b *RequestBody) Attach(req *fasthttp.Request) error {
 	switch {
-	case u.NotResendable():
+	case b.NotResendable():
 		return carobkind.New(carobkind.NotResendable, "the body was already sent and is too long to be buffered")
-	case u.streamed:
-		req.SetBodyStream(&attemptBody{body: u}, u.config.Length)
-	case u.config.Stream != nil || len(u.buffered) > 0:
-		req.SetBodyRaw(u.buffered)
-		req.Header.SetContentLength(len(u.buffered))
+	case b.streamed:
+		req.SetBodyStream(&attemptBody{body: b}, b.config.Length)
+	case b.config.Stream != nil || len(b.buffered) > 0:
+		req.SetBodyRaw(b.buffered)
+		req.Header.SetContentLength(len(b.buffered))
 	}
 	return nil
 }
 
 // Release ends all reads of the stream, and returns when none is in progress. It
 // must be called before the connection is used for anything else.
-func (u *RequestBody) Release() {
-	if !u.streamed || u.released.Swap(true) {
+func (b *RequestBody) Release() {
+	if !b.streamed || b.released.Swap(true) {
 		return
 	}
-	if u.reading.Load() {
-		_ = u.config.Conn.SetReadDeadline(pastDeadline)
+	if b.reading.Load() {
+		_ = b.config.Conn.SetReadDeadline(pastDeadline)
 	}
-	u.readMutex.Lock()
-	u.readMutex.Unlock() //nolint:staticcheck // taken only to wait for the reader
+	b.readMutex.Lock()
+	b.readMutex.Unlock() //nolint:staticcheck // taken only to wait for the reader
 }
 
 // timedStream returns the stream with a deadline for each read.
-func (u *RequestBody) timedStream() io.Reader {
+func (b *RequestBody) timedStream() io.Reader {
 	return readerFunc(func(buf []byte) (int, error) {
-		return u.read(u.config.Stream, buf)
+		return b.read(b.config.Stream, buf)
 	})
 }
 
 // read reads from stream with a deadline, counts the bytes, and records an error
 // of the sender. It returns os.ErrClosed after Release.
-func (u *RequestBody) read(stream io.Reader, buf []byte) (int, error) {
-	u.readMutex.Lock()
-	defer u.readMutex.Unlock()
-	_ = u.config.Conn.SetReadDeadline(u.config.Timer.WallTime().Add(u.config.StallTimeout))
-	u.reading.Store(true)
-	defer u.reading.Store(false)
-	if u.released.Load() {
+func (b *RequestBody) read(stream io.Reader, buf []byte) (int, error) {
+	b.readMutex.Lock()
+	defer b.readMutex.Unlock()
+	_ = b.config.Conn.SetReadDeadline(b.config.Timer.WallTime().Add(b.config.StallTimeout))
+	b.reading.Store(true)
+	defer b.reading.Store(false)
+	if b.released.Load() {
 		return 0, os.ErrClosed
 	}
 	n, err := stream.Read(buf)
-	u.received += carobsize.Size(n)
-	if u.config.MaxSize > 0 && u.received > u.config.MaxSize {
-		n, err = 0, tooLarge(u.config.MaxSize)
+	b.received += carobsize.Size(n)
+	if b.config.MaxSize > 0 && b.received > b.config.MaxSize {
+		n, err = 0, tooLarge(b.config.MaxSize)
 	}
-	if err != nil && err != io.EOF && u.senderErr == nil && !u.released.Load() { //nolint:errorlint // readers return io.EOF itself
-		u.senderErr = senderError(err)
+	if err != nil && err != io.EOF && b.senderErr == nil && !b.released.Load() { //nolint:errorlint // readers return io.EOF itself
+		b.senderErr = senderError(err)
 	}
 	return n, err
 }
 
 // SenderError returns the first error of the sender while its body was read, such as a
 // stall or a body above the limit; nil if there was none.
-func (u *RequestBody) SenderError() error {
-	u.readMutex.Lock()
-	defer u.readMutex.Unlock()
-	return u.senderErr
+func (b *RequestBody) SenderError() error {
+	b.readMutex.Lock()
+	defer b.readMutex.Unlock()
+	return b.senderErr
 }
 
 // attemptBody is a streamed body as one attempt reads it.
--- a/internal/carobroutepoller/routepoller.go
+++ b/internal/carobroutepoller/routepoller.go
@@ -69,51 +69,51 @@
 }
 
 // Execute starts or stops the reading of tables, as the tick decided.
-func (f *RoutePoller) Execute(out *caroboutbox.Outbox) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	f.meanWait = out.LongPollTimeout
-	if f.enabled == out.ReadingStore {
+func (p *RoutePoller) Execute(out *caroboutbox.Outbox) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.meanWait = out.LongPollTimeout
+	if p.enabled == out.ReadingStore {
 		return
 	}
-	f.enabled = out.ReadingStore
-	if !f.enabled && f.cancel != nil {
-		f.cancel()
+	p.enabled = out.ReadingStore
+	if !p.enabled && p.cancel != nil {
+		p.cancel()
 	}
 	select {
-	case f.changed <- struct{}{}:
+	case p.changed <- struct{}{}:
 	default:
 	}
 }
 
 // Run reads tables until ctx is done.
-func (f *RoutePoller) Run(ctx context.Context) {
+func (p *RoutePoller) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !f.isEnabled() && !f.idle(ctx) {
+		if !p.isEnabled() && !p.idle(ctx) {
 			continue
 		}
-		f.read(ctx)
+		p.read(ctx)
 	}
 }
 
-func (f *RoutePoller) isEnabled() bool {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	return f.enabled
+func (p *RoutePoller) isEnabled() bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.enabled
 }
 
 // idle waits until enabled changes, or until an unreadable store has to be checked
 // again. It reports whether to read although tables are not needed.
-func (f *RoutePoller) idle(ctx context.Context) bool {
+func (p *RoutePoller) idle(ctx context.Context) bool {
 	inner, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if f.unreadable {
-		cancelAt := f.config.Timer.Subscribe(cancel)
-		cancelAt(f.config.Timer.Now().Add(recheckInterval))
+	if p.unreadable {
+		cancelAt := p.config.Timer.Subscribe(cancel)
+		cancelAt(p.config.Timer.Now().Add(recheckInterval))
 		defer cancelAt(0)
 	}
 	select {
-	case <-f.changed:
+	case <-p.changed:
 		return false
 	case <-inner.Done():
 		return ctx.Err() == nil
@@ -122,29 +122,29 @@
 
 // read reads once. The store may hold the read only while tables are needed, not if
 // it is checked for recovery.
-func (f *RoutePoller) read(ctx context.Context) {
+func (p *RoutePoller) read(ctx context.Context) {
 	inner, cancel := context.WithCancel(ctx)
 	defer cancel()
 	wait := time.Duration(0)
-	f.mutex.Lock()
-	if f.enabled {
-		f.cancel = cancel
-		wait = withJitter(f.meanWait)
+	p.mutex.Lock()
+	if p.enabled {
+		p.cancel = cancel
+		wait = withJitter(p.meanWait)
 	}
-	f.mutex.Unlock()
-	routes, err := f.config.Source.AwaitRoutes(inner, wait)
-	f.mutex.Lock()
-	f.cancel = nil
-	f.mutex.Unlock()
+	p.mutex.Unlock()
+	routes, err := p.config.Source.AwaitRoutes(inner, wait)
+	p.mutex.Lock()
+	p.cancel = nil
+	p.mutex.Unlock()
 	if inner.Err() != nil {
 		return
 	}
-	f.updateState(err)
+	p.updateState(err)
 	if routes != nil {
-		f.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.RouteTables = append(in.RouteTables, routes) })
+		p.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.RouteTables = append(in.RouteTables, routes) })
 	}
 	if err != nil {
-		_ = f.config.Timer.Wait(ctx, min(minBackoff<<min(f.failures, 4), maxBackoff))
+		_ = p.config.Timer.Wait(ctx, min(minBackoff<<min(p.failures, 4), maxBackoff))
 	}
 }
 
@@ -156,20 +156,20 @@
 
 // updateState counts failures, and logs and posts when the store becomes unreadable
 // or readable again.
-func (f *RoutePoller) updateState(err error) {
-	f.failures++
+func (p *RoutePoller) updateState(err error) {
+	p.failures++
 	if err == nil {
-		f.failures = 0
+		p.failures = 0
 	}
-	unreadable := f.failures >= failureThreshold || f.unreadable && err != nil
-	if unreadable == f.unreadable {
+	unreadable := p.failures >= failureThreshold || p.unreadable && err != nil
+	if unreadable == p.unreadable {
 		return
 	}
-	f.unreadable = unreadable
+	p.unreadable = unreadable
 	if unreadable {
-		f.config.Logger.WithError(err).Warn("store: route tables cannot be read")
+		p.config.Logger.WithError(err).Warn("store: route tables cannot be read")
 	} else {
-		f.config.Logger.Info("store: route tables can be read again")
+		p.config.Logger.Info("store: route tables can be read again")
 	}
-	f.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.StoreUnreadable = append(in.StoreUnreadable, unreadable) })
+	p.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.StoreUnreadable = append(in.StoreUnreadable, unreadable) })
 }
