--- a/internal/carobadminserver/adminserver.go
+++ b/internal/carobadminserver/adminserver.go
@@ -1,5 +1,5 @@
-// Package carobadminserver is the HTTP server of a node for its own VM: targets announce
-// themselves here, and operators read status, health and metrics.
+// Package carobadminserver is the HTTP server of a node for its own VM: targets
+// announce themselves here, and operators read status, health and metrics.
 package carobadminserver
 
 import (
--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -46,12 +46,12 @@
 	PrepareRequest(req *fasthttp.Request, start *carobstart.Start, target carobtargetid.ID)
 	// PrepareHealthCheck fills in a health check of the target at an address.
 	PrepareHealthCheck(req *fasthttp.Request, address carobaddress.Address)
-	// ParseIdentity returns the name and the number of slots of a target, from its response
-	// to a health check.
+	// ParseIdentity returns the name and the number of slots of a target, from its
+	// response to a health check.
 	ParseIdentity(resp *fasthttp.Response) (carobname.Name, int)
-	// Classify classifies a response. The kind is None if the response answers the call, and
-	// the reason otherwise, for example that the target refused the call. The load is nil
-	// if the response does not report it.
+	// Classify classifies a response. The kind is None if the response answers the
+	// call, and the reason otherwise, for example that the target refused the call. The
+	// load is nil if the response does not report it.
 	Classify(resp *fasthttp.Response) (carobkind.Kind, *carobtargetload.TargetLoad)
 }
 
@@ -62,9 +62,9 @@
 	TargetClient exchanger
 	// Dialect is the HTTP interface of the targets; nil means carobknot's own headers.
 	Dialect dialect
-	// MaxBufferedAnswer is the size of the largest response body that is read to its end before
-	// the response is forwarded; 0 means that every response is forwarded as it is
-	// received.
+	// MaxBufferedAnswer is the size of the largest response body that is read to its
+	// end before the response is forwarded; 0 means that every response is forwarded as
+	// it is received.
 	MaxBufferedAnswer carobsize.Size
 	// DisconnectWatch detects that entry nodes close their connections.
 	DisconnectWatch *carobdisconnectwatch.DisconnectWatch
--- a/internal/carobadmitter/discover.go
+++ b/internal/carobadmitter/discover.go
@@ -16,21 +16,21 @@
 const (
 	// identifyTimeout is the time-out of the health check that identifies a target.
 	identifyTimeout = 500 * time.Millisecond
-	// identifyRetryDelay is the delay between two tries to connect to a target that does
-	// not listen yet, and identifyTries is the number of tries. After the last one the
-	// target's own announcements have arrived.
+	// identifyRetryDelay is the delay between two tries to connect to a target that
+	// does not listen yet, and identifyTries is the number of tries. After the last one
+	// the target's own announcements have arrived.
 	identifyRetryDelay = 200 * time.Millisecond
 	identifyTries      = 8
 )
 
-// Discover sends a health check to the address of an announcement, fills in the name and
-// the slots of the target that responds, and announces it. A node that restarts beside
-// a running target need not wait for the target's next announcement. Announcements
-// that the target makes itself take precedence over this one.
+// Discover sends a health check to the address of an announcement, fills in the name
+// and the slots of the target that responds, and announces it. A node that restarts
+// beside a running target need not wait for the target's next announcement.
+// Announcements that the target makes itself take precedence over this one.
 //
 // The kind of an error is Unreachable if no connection could be opened, NotReady if the
-// target responded but is not ready, and Invalid if its name breaks the rules. ConnectionLost and
-// Cancelled mean that the response did not arrive whole or in time.
+// target responded but is not ready, and Invalid if its name breaks the rules.
+// ConnectionLost and Cancelled mean that the response did not arrive whole or in time.
 func (a *Admitter) Discover(ctx context.Context, announcement carobannouncement.Announcement) error {
 	var err error
 	for range identifyTries {
--- a/internal/carobadmitter/incoming_job.go
+++ b/internal/carobadmitter/incoming_job.go
@@ -17,8 +17,8 @@
 	"github.com/carobknot/carobknot/pkg/carobstart"
 )
 
-// incomingJobKey is the key of the user value that keeps an admitted job from HandleExpect
-// until the HTTP library calls Serve.
+// incomingJobKey is the key of the user value that keeps an admitted job from
+// HandleExpect until the HTTP library calls Serve.
 type incomingJobKey struct{}
 
 // maxBufferedBody is the largest body that is read before the request is sent to the
--- a/internal/carobadmitter/native_dialect.go
+++ b/internal/carobadmitter/native_dialect.go
@@ -18,8 +18,8 @@
 // nativeDialect is the dialect of targets that read carobknot's own headers.
 type nativeDialect struct{}
 
-// PrepareRequest sets the time left until the call's deadline in milliseconds, the call's ID and
-// its trace context.
+// PrepareRequest sets the time left until the call's deadline in milliseconds, the
+// call's ID and its trace context.
 func (nativeDialect) PrepareRequest(req *fasthttp.Request, start *carobstart.Start, _ carobtargetid.ID) {
 	const base = 10
 	req.Header.Set(carobheader.Deadline, strconv.FormatInt(max(1, int64(start.TimeLeft/time.Millisecond)), base))
@@ -29,8 +29,8 @@
 	}
 }
 
-// PrepareHealthCheck leaves the request empty: these targets have no health check that reports
-// how slow their VM is.
+// PrepareHealthCheck leaves the request empty: these targets have no health check that
+// reports how slow their VM is.
 func (nativeDialect) PrepareHealthCheck(*fasthttp.Request, carobaddress.Address) {}
 
 // ParseIdentity returns no name and no slots, since these targets do not identify
--- a/internal/carobadmitter/serve.go
+++ b/internal/carobadmitter/serve.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// HandleExpect handles the header of an attempt with "HandleExpect: 100-continue". It returns 100
-// once the job is started, and otherwise the status of the refusal; the entry node then
-// sends no body and can send it to another target.
+// HandleExpect handles the header of an attempt with "HandleExpect: 100-continue". It
+// returns 100 once the job is started, and otherwise the status of the refusal; the
+// entry node then sends no body and can send it to another target.
 func (a *Admitter) HandleExpect(ctx *fasthttp.RequestCtx) int {
 	job, err := a.receive(ctx)
 	if err != nil {
--- a/internal/carobbehaviour/behaviour.go
+++ b/internal/carobbehaviour/behaviour.go
@@ -15,23 +15,24 @@
 	Latency carobduration.Duration `json:"latency"`
 	// Shape is the distribution of service times: "fixed", "lognormal" or "pareto".
 	Shape string `json:"shape"`
-	// Sigma is the standard deviation of the logarithm under the log-normal distribution.
+	// Sigma is the standard deviation of the logarithm under the log-normal
+	// distribution.
 	Sigma float64 `json:"sigma"`
 	// Alpha is the exponent of the bounded Pareto distribution, above 1.
 	Alpha float64 `json:"alpha"`
 	// SlowFactor multiplies the service time of each call; 1 has no effect.
 	SlowFactor float64 `json:"straggle"`
-	// JumpFactor multiplies the service times of calls that start during a jump of load, which
-	// models a noisy neighbour.
+	// JumpFactor multiplies the service times of calls that start during a jump of
+	// load, which models a noisy neighbour.
 	JumpFactor float64 `json:"jump"`
 	// JumpInterval is the mean time between two jumps; 0 means no jumps.
 	JumpInterval carobduration.Duration `json:"gap"`
 	// MinJump and MaxJump bound the length of a jump.
 	MinJump carobduration.Duration `json:"shortest"`
 	MaxJump carobduration.Duration `json:"longest"`
-	// Warmup is the duration of the warm-up, which starts with the target and again when
-	// this field is set; 0 means none. The factor on service times falls linearly from
-	// ColdFactor to 1 during the warm-up.
+	// Warmup is the duration of the warm-up, which starts with the target and again
+	// when this field is set; 0 means none. The factor on service times falls linearly
+	// from ColdFactor to 1 during the warm-up.
 	Warmup     carobduration.Duration `json:"cold"`
 	ColdFactor float64                `json:"chill"`
 	// Fail answers every call with status 500, almost at once.
--- a/internal/carobbench/cell.go
+++ b/internal/carobbench/cell.go
@@ -35,12 +35,12 @@
 	Capacity float64 `json:"capacity"`
 	// ExtraRuns is the number of runs above one for each call, as a share of all calls.
 	ExtraRuns float64 `json:"extra"`
-	// FaultyShare is the share of calls that the first target received while it was faulty,
-	// without the first detectionTime, or the first half of the fault if that is
-	// shorter; 0 without a fault.
+	// FaultyShare is the share of calls that the first target received while it was
+	// faulty, without the first detectionTime, or the first half of the fault if that
+	// is shorter; 0 without a fault.
 	FaultyShare float64 `json:"sick"`
-	// RecoveredShare is the share of calls that the first target received in the second half of
-	// the time after its recovery; 0 without one.
+	// RecoveredShare is the share of calls that the first target received in the second
+	// half of the time after its recovery; 0 without one.
 	RecoveredShare float64 `json:"back"`
 	// CPU is the processor time that a node used, in cores; the mean of all nodes.
 	CPU float64 `json:"cpu"`
--- a/internal/carobbench/cluster.go
+++ b/internal/carobbench/cluster.go
@@ -59,7 +59,8 @@
 	// targets are those of the first service, otherTargets those of all others.
 	targets      []*process
 	otherTargets []*process
-	// profileOffset is the offset of the newest profile in the log; -1 if there is none.
+	// profileOffset is the offset of the newest profile in the log; -1 if there is
+	// none.
 	profileOffset int64
 	// logFile receives what the processes write to their standard error.
 	logFile *os.File
--- a/internal/carobbench/variants.go
+++ b/internal/carobbench/variants.go
@@ -32,8 +32,8 @@
 	policyOnly("prequal"),
 	policyOnly("expected"),
 	defaultWith("default", nil),
-	// Each of these lacks one mechanism of the default. They are measured only if Config
-	// names them.
+	// Each of these lacks one mechanism of the default. They are measured only if
+	// Config names them.
 	defaultWith("nohedge", map[string]any{"hedge": "0%"}),
 	defaultWith("noeject", map[string]any{"eject": "0%"}),
 	defaultWith("anywhere", map[string]any{"near": "0%"}),
--- a/internal/carobbody/attach.go
+++ b/internal/carobbody/attach.go
@@ -14,9 +14,9 @@
 // header, in bytes. The header of a response with a longer body is sent at once.
 const maxSingleWriteBody = 4096
 
-// SetResponseBody forwards the body of answer as the body of the response to ctx, whose header
-// must already be set. Sending fails if the receiver accepts no bytes for the duration
-// stallTimeout. onEnd is called like Config.OnEnd.
+// SetResponseBody forwards the body of answer as the body of the response to ctx, whose
+// header must already be set. Sending fails if the receiver accepts no bytes for the
+// duration stallTimeout. onEnd is called like Config.OnEnd.
 func SetResponseBody(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, timer *carobtimer.Timer, stallTimeout time.Duration, onEnd func(kind carobkind.Kind)) {
 	ctx.Response.Header.SetNoDefaultContentType(true)
 	conn := ctx.Conn()
--- a/internal/carobbody/body.go
+++ b/internal/carobbody/body.go
@@ -15,11 +15,11 @@
 	Stream io.ReadCloser
 	// Length is the length of the body in bytes; negative if it is not known.
 	Length int
-	// ExtendDeadline is called after each read of Stream, before the bytes are sent. It extends the
-	// write deadline of the receiver's connection. May be nil.
+	// ExtendDeadline is called after each read of Stream, before the bytes are sent. It
+	// extends the write deadline of the receiver's connection. May be nil.
 	ExtendDeadline func()
-	// OnEnd is called once, when the body is closed. The kind is None if the whole body was
-	// read, and ConnectionLost otherwise.
+	// OnEnd is called once, when the body is closed. The kind is None if the whole body
+	// was read, and ConnectionLost otherwise.
 	OnEnd func(kind carobkind.Kind)
 }
 
--- a/internal/carobcommand/command.go
+++ b/internal/carobcommand/command.go
@@ -21,8 +21,9 @@
 	exitUsage   = 2
 	// exitConflict: another change of the profile came first.
 	exitConflict = 3
-	// exitLogUnavailable: the change is not in the log, because the log could not be used
-	// or, if the result of an earlier change is requested, because it is not there.
+	// exitLogUnavailable: the change is not in the log, because the log could not be
+	// used or, if the result of an earlier change is requested, because it is not
+	// there.
 	exitLogUnavailable = 4
 	// exitUncertain: it is not known whether the change was appended.
 	exitUncertain = 5
--- a/internal/carobcommand/publish.go
+++ b/internal/carobcommand/publish.go
@@ -21,8 +21,8 @@
 const (
 	// logTimeout is the default timeout of a request to the log.
 	logTimeout = 5 * time.Second
-	// maxAppends is how often a change is appended at most while it is not known whether
-	// it is in the log.
+	// maxAppends is how often a change is appended at most while it is not known
+	// whether it is in the log.
 	maxAppends = 3
 )
 
--- a/internal/carobcommand/status.go
+++ b/internal/carobcommand/status.go
@@ -57,9 +57,9 @@
 	return status.WriteTables(std.out)
 }
 
-// fetchStatus returns the body of the node's response. Errors are of kind Unreachable if
-// the request failed, ConnectionLost if the response was truncated, and Internal if its status is
-// not 200.
+// fetchStatus returns the body of the node's response. Errors are of kind Unreachable
+// if the request failed, ConnectionLost if the response was truncated, and Internal if
+// its status is not 200.
 func fetchStatus(ctx context.Context, admin carobaddress.Address) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
--- a/internal/carobdialectfrontend/dialectfrontend.go
+++ b/internal/carobdialectfrontend/dialectfrontend.go
@@ -35,8 +35,8 @@
 	// ParseArrival returns the fields of a request that the control goroutine needs. It
 	// leaves only those headers in the request that the target is to receive.
 	ParseArrival(req *fasthttp.Request) (carobarrival.Arrival, error)
-	// WriteRefusal fills in the response to a call that ended with an error. req is nil if
-	// no request could be read. after is the delay after which the caller may retry,
+	// WriteRefusal fills in the response to a call that ended with an error. req is nil
+	// if no request could be read. after is the delay after which the caller may retry,
 	// or 0.
 	WriteRefusal(resp *fasthttp.Response, req *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
 }
--- a/internal/carobdisconnectwatch/disconnectwatch.go
+++ b/internal/carobdisconnectwatch/disconnectwatch.go
@@ -1,5 +1,5 @@
-// Package carobdisconnectwatch detects that the other end of a connection has disconnected
-// while nothing is read from it.
+// Package carobdisconnectwatch detects that the other end of a connection has
+// disconnected while nothing is read from it.
 //
 // The HTTP library reads a connection only between calls, so that it does not
 // detect a disconnect during a call. The watch polls the kernel for the state of
--- a/internal/carobdocument/document.go
+++ b/internal/carobdocument/document.go
@@ -63,9 +63,9 @@
 	return ok
 }
 
-// WithPosition returns an error of kind Invalid with the file and the text of err. If the
-// text starts with a key of the document and a colon, the line and column of its value
-// are added.
+// WithPosition returns an error of kind Invalid with the file and the text of err. If
+// the text starts with a key of the document and a colon, the line and column of its
+// value are added.
 func (d *Document) WithPosition(err error) error {
 	text := reason(err)
 	key, _, _ := strings.Cut(text, ":")
--- a/internal/carobeventlog/eventlog.go
+++ b/internal/carobeventlog/eventlog.go
@@ -26,11 +26,11 @@
 type Config struct {
 	Logger *logrus.Logger
 	Timer  *carobtimer.Timer
-	// MaxSuccessLines limits the lines a second about successful decisions; MaxFailureLines limits
-	// those about failures and audit entries.
+	// MaxSuccessLines limits the lines a second about successful decisions;
+	// MaxFailureLines limits those about failures and audit entries.
 	MaxSuccessLines, MaxFailureLines int
-	// LogAudits makes the log include the audit entries. Set it where no other part logs
-	// them.
+	// LogAudits makes the log include the audit entries. Set it where no other part
+	// logs them.
 	LogAudits bool
 }
 
--- a/internal/carobexchange/exchanges.go
+++ b/internal/carobexchange/exchanges.go
@@ -50,8 +50,8 @@
 type Config struct {
 	Mailbox *carobmailbox.Mailbox
 	Relay   relay
-	// MaxBufferedAnswer is the size in bytes up to which an answer is read completely before
-	// the control goroutine learns of it, so that an answer that is cut off can
+	// MaxBufferedAnswer is the size in bytes up to which an answer is read completely
+	// before the control goroutine learns of it, so that an answer that is cut off can
 	// still be retried. 0 means that every answer is streamed.
 	MaxBufferedAnswer carobsize.Size
 }
--- a/internal/carobfaketarget/faketarget.go
+++ b/internal/carobfaketarget/faketarget.go
@@ -22,8 +22,8 @@
 // Config holds the settings of a target.
 type Config struct {
 	ID carobtargetid.ID
-	// Profile, Slots and Connections are announced to the node. Slots is also the number of
-	// calls that run at once; below 1 it counts as 1.
+	// Profile, Slots and Connections are announced to the node. Slots is also the
+	// number of calls that run at once; below 1 it counts as 1.
 	Profile     carobname.Name
 	Slots       int
 	Connections int
--- a/internal/carobfaketarget/sampler.go
+++ b/internal/carobfaketarget/sampler.go
@@ -20,7 +20,8 @@
 	jumpRandom *rand.Rand
 	// warmupStart is when the target last started to warm up.
 	warmupStart carobinstant.Instant
-	// jumpStart and jumpEnd bound the current or next jump of load; Never without jumps.
+	// jumpStart and jumpEnd bound the current or next jump of load; Never without
+	// jumps.
 	jumpStart, jumpEnd carobinstant.Instant
 }
 
--- a/internal/carobfaketarget/serve.go
+++ b/internal/carobfaketarget/serve.go
@@ -36,9 +36,11 @@
 )
 
 const (
-	// maxEcho is the length in bytes of the longest body that is returned to the caller.
+	// maxEcho is the length in bytes of the longest body that is returned to the
+	// caller.
 	maxEcho = 1 << 20
-	// pollInterval is the time between checks whether a caller has closed its connection.
+	// pollInterval is the time between checks whether a caller has closed its
+	// connection.
 	pollInterval = 5 * time.Millisecond
 	// failTime is the service time of calls under the fault Fail.
 	failTime = 100 * time.Microsecond
--- a/internal/carobloadgenerator/loadgenerator.go
+++ b/internal/carobloadgenerator/loadgenerator.go
@@ -1,5 +1,5 @@
-// Package carobloadgenerator generates an open-loop load of calls from a seed and checks
-// every answer.
+// Package carobloadgenerator generates an open-loop load of calls from a seed and
+// checks every answer.
 //
 // In an open loop, calls are sent on schedule and do not wait for earlier answers,
 // and latency is measured from the scheduled instant. In a closed loop, a slow answer
@@ -42,8 +42,8 @@
 	Warmup time.Duration
 	// Seed seeds the random arrivals, nodes, keys and bodies.
 	Seed uint64
-	// RequestSize is the length of each request's body; AnswerSize that of each answer's body, or
-	// 0 if targets return the request's body.
+	// RequestSize is the length of each request's body; AnswerSize that of each
+	// answer's body, or 0 if targets return the request's body.
 	RequestSize, AnswerSize carobsize.Size
 	// KeyShare is the share of calls with an idempotency key.
 	KeyShare carobshare.Share
@@ -104,7 +104,8 @@
 	return g.summary
 }
 
-// continues reports whether the load continues after the given number of calls and time.
+// continues reports whether the load continues after the given number of calls and
+// time.
 func (g *LoadGenerator) continues(sent int, elapsed time.Duration) bool {
 	if g.config.MaxCalls > 0 && sent >= g.config.MaxCalls {
 		return false
--- a/internal/caroblogclient/logclient.go
+++ b/internal/caroblogclient/logclient.go
@@ -41,9 +41,9 @@
 	return &LogClient{config: c, http: &http.Client{}}
 }
 
-// Append appends a record to a stream and returns its offset. The error is of
-// kind LogUnavailable if the record was certainly not appended, and AppendUncertain if it may have
-// been.
+// Append appends a record to a stream and returns its offset. The error is of kind
+// LogUnavailable if the record was certainly not appended, and AppendUncertain if it
+// may have been.
 func (c *LogClient) Append(ctx context.Context, stream carobstream.Stream, data []byte) (caroboffset.Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
--- a/internal/caroblogfault/logfault.go
+++ b/internal/caroblogfault/logfault.go
@@ -6,8 +6,8 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// LogFault is the fault in force at a log, until the next one is set. The zero value means
-// no fault.
+// LogFault is the fault in force at a log, until the next one is set. The zero value
+// means no fault.
 type LogFault struct {
 	// Outage refuses every request with status 503, without effect.
 	Outage bool `json:"out"`
@@ -15,14 +15,15 @@
 	ReadOutage bool `json:"deaf"`
 	// Delay is a delay before every request.
 	Delay carobduration.Duration `json:"slow"`
-	// LostAnswers is the number of following appends that take effect but are answered with
-	// status 504. Each such append decrements it.
+	// LostAnswers is the number of following appends that take effect but are answered
+	// with status 504. Each such append decrements it.
 	LostAnswers int `json:"lose"`
-	// DroppedAppends is the number of following appends, after those of LostAnswers, that take no effect
-	// and are answered with status 504. Each such append decrements it.
+	// DroppedAppends is the number of following appends, after those of LostAnswers,
+	// that take no effect and are answered with status 504. Each such append decrements
+	// it.
 	DroppedAppends int `json:"drop"`
-	// Retention is the number of records of each stream that are kept; older ones expire at
-	// once. 0 means the log's own retention.
+	// Retention is the number of records of each stream that are kept; older ones
+	// expire at once. 0 means the log's own retention.
 	Retention int `json:"keep"`
 }
 
--- a/internal/caroblogpage/logpage.go
+++ b/internal/caroblogpage/logpage.go
@@ -13,8 +13,8 @@
 	Records []carobrecord.Record `json:"records"`
 	// FirstOffset is the lowest offset that the log still retains.
 	FirstOffset caroboffset.Offset `json:"first"`
-	// NextOffset is the offset from which to continue: the one after the last record. If
-	// Records is empty, it is the requested offset, or the lowest retained one if that
-	// is higher.
+	// NextOffset is the offset from which to continue: the one after the last record.
+	// If Records is empty, it is the requested offset, or the lowest retained one if
+	// that is higher.
 	NextOffset caroboffset.Offset `json:"next"`
 }
--- a/internal/carobmeter/meter.go
+++ b/internal/carobmeter/meter.go
@@ -136,8 +136,8 @@
 	return string(kind)
 }
 
-// durationBuckets are the bounds of the histograms: 18 from 100 µs on, each twice the one
-// before.
+// durationBuckets are the bounds of the histograms: 18 from 100 µs on, each twice the
+// one before.
 func durationBuckets() tally.DurationBuckets {
 	const first, factor, count = 100 * time.Microsecond, 2, 18
 	return tally.MustMakeExponentialDurationBuckets(first, factor, count)
--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -52,8 +52,8 @@
 	// interface and log.
 	Dialect dialect
 	Store   store
-	// LocalTarget describes a target that may already run on the VM; a health check finds out
-	// its name and slots. No health check is sent if the address is empty.
+	// LocalTarget describes a target that may already run on the VM; a health check
+	// finds out its name and slots. No health check is sent if the address is empty.
 	LocalTarget carobannouncement.Announcement
 }
 
@@ -104,8 +104,8 @@
 	failureLines = 200
 	// logTimeout is the time-out of a request to the platform's log.
 	logTimeout = 2 * time.Second
-	// protocolDetectionTimeout is how long a new connection to the peer address may take
-	// to send the bytes by which its protocol is detected.
+	// protocolDetectionTimeout is how long a new connection to the peer address may
+	// take to send the bytes by which its protocol is detected.
 	protocolDetectionTimeout = 5 * time.Second
 	// finalSendDelay is the delay before the servers are closed, in which the last
 	// messages to other nodes are sent.
@@ -114,11 +114,11 @@
 	// Settings.ShutdownTimeout applies if it is shorter.
 	closeTimeout = 2 * time.Second
 
-	// keepAliveInterval is the interval of TCP keep-alive probes on a connection without
-	// traffic.
+	// keepAliveInterval is the interval of TCP keep-alive probes on a connection
+	// without traffic.
 	keepAliveInterval = 500 * time.Millisecond
-	// maxReuseAge is the longest time that a connection may have been idle to get a call
-	// which must not run twice.
+	// maxReuseAge is the longest time that a connection may have been idle to get a
+	// call which must not run twice.
 	maxReuseAge = time.Second
 	// maxBufferedResponse is the size of the largest response body that is read to its
 	// end before the response is forwarded, in bytes.
@@ -166,14 +166,14 @@
 	return carobaddress.Address(n.callListener.Addr().String())
 }
 
-// PeerAddress returns the address at which the node receives attempts and control messages
-// of other nodes.
+// PeerAddress returns the address at which the node receives attempts and control
+// messages of other nodes.
 func (n *Node) PeerAddress() carobaddress.Address {
 	return carobaddress.Address(n.peerListener.Addr().String())
 }
 
-// AdminAddress returns the address at which the node receives the announcements of the VM's
-// own targets and the requests of operators.
+// AdminAddress returns the address at which the node receives the announcements of the
+// VM's own targets and the requests of operators.
 func (n *Node) AdminAddress() carobaddress.Address {
 	return carobaddress.Address(n.adminListener.Addr().String())
 }
--- a/internal/carobpipelinedrequest/pipelinedrequest.go
+++ b/internal/carobpipelinedrequest/pipelinedrequest.go
@@ -1,5 +1,5 @@
-// Package carobpipelinedrequest holds one request of a connection until it is answered, and
-// writes its answer after those of the earlier requests.
+// Package carobpipelinedrequest holds one request of a connection until it is answered,
+// and writes its answer after those of the earlier requests.
 package carobpipelinedrequest
 
 import (
@@ -35,7 +35,8 @@
 	PreviousDone <-chan struct{}
 }
 
-// PipelinedRequest is a request with the place of its answer in the order of its connection.
+// PipelinedRequest is a request with the place of its answer in the order of its
+// connection.
 type PipelinedRequest struct {
 	config Config
 	mutex  sync.Mutex
--- a/internal/carobpool/exchange.go
+++ b/internal/carobpool/exchange.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// readFinalResponse reads the header of the final response and opens its body. It
-// skips interim responses and, with Config.MatchesRequest, responses to earlier requests.
+// readFinalResponse reads the header of the final response and opens its body. It skips
+// interim responses and, with Config.MatchesRequest, responses to earlier requests.
 func (x *exchange) readFinalResponse() (*fasthttp.Response, error) {
 	for range maxInterimResponses {
 		resp, err := x.readHeader()
@@ -211,9 +211,9 @@
 	return err
 }
 
-// readHeader reads the header of the next response. Unless Config.AllowCloseDelimited is set, a
-// final response with neither a length nor chunks is an error, because the end of
-// its body could not be distinguished from a broken connection.
+// readHeader reads the header of the next response. Unless Config.AllowCloseDelimited
+// is set, a final response with neither a length nor chunks is an error, because the
+// end of its body could not be distinguished from a broken connection.
 func (x *exchange) readHeader() (*fasthttp.Response, error) {
 	if err := x.checkFraming(); err != nil {
 		return nil, err
--- a/internal/carobpool/options_test.go
+++ b/internal/carobpool/options_test.go
@@ -70,8 +70,9 @@
 	require.Equal(t, carobkind.ConnectionLost, carobkind.Of(err))
 }
 
-// TestBodyMayEndWithConnection checks that, with AllowCloseDelimited, a body ends when the server
-// closes the connection, and that a reset is not taken for the end of the body.
+// TestBodyMayEndWithConnection checks that, with AllowCloseDelimited, a body ends when
+// the server closes the connection, and that a reset is not taken for the end of the
+// body.
 func TestBodyMayEndWithConnection(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -97,8 +98,9 @@
 }
 
 // TestNonIdempotentRequestAvoidsOldConnection guards against sending a request that
-// must not run twice on a connection that has been idle for longer than MaxReuseAge. If the
-// server has dropped that connection silently, it is unknown whether the request ran.
+// must not run twice on a connection that has been idle for longer than MaxReuseAge. If
+// the server has dropped that connection silently, it is unknown whether the request
+// ran.
 func TestNonIdempotentRequestAvoidsOldConnection(t *testing.T) {
 	server := startServer(t, func(conn net.Conn, req *http.Request, _, _ int64) bool {
 		respondWithID(conn, req.Header.Get(idHeader), "mine")
--- a/internal/carobpool/pool.go
+++ b/internal/carobpool/pool.go
@@ -42,26 +42,26 @@
 	// MaxHeader is the size of the read buffer of a connection, in bytes. A response
 	// whose header is longer is rejected. It is 4096 at least.
 	MaxHeader int
-	// StallTimeout is how long the peer may send or accept nothing while a body is being
-	// transferred.
+	// StallTimeout is how long the peer may send or accept nothing while a body is
+	// being transferred.
 	StallTimeout time.Duration
-	// ExpectContinue is true if the client sends "Expect: 100-continue" and waits for the
-	// peer's agreement before it sends a body that needs more than one write.
+	// ExpectContinue is true if the client sends "Expect: 100-continue" and waits for
+	// the peer's agreement before it sends a body that needs more than one write.
 	ExpectContinue bool
-	// MaxReuseAge is the longest time that a connection may have been idle to get a request
-	// which must not run twice; 0 means no limit. The peer may have dropped an older
-	// connection silently, and then it is unknown whether the request ran.
+	// MaxReuseAge is the longest time that a connection may have been idle to get a
+	// request which must not run twice; 0 means no limit. The peer may have dropped an
+	// older connection silently, and then it is unknown whether the request ran.
 	MaxReuseAge time.Duration
-	// KeepAliveInterval is the interval between TCP keep-alive probes on a connection without
-	// traffic; 0 means the operating system's default. The connection breaks after
-	// three probes without an answer.
+	// KeepAliveInterval is the interval between TCP keep-alive probes on a connection
+	// without traffic; 0 means the operating system's default. The connection breaks
+	// after three probes without an answer.
 	KeepAliveInterval time.Duration
-	// AllowCloseDelimited is true if a response may have neither a length nor chunks, so that
-	// its body ends when the connection closes.
+	// AllowCloseDelimited is true if a response may have neither a length nor chunks,
+	// so that its body ends when the connection closes.
 	AllowCloseDelimited bool
-	// MatchesRequest reports whether a response belongs to the request; nil accepts every
-	// response. Other responses are discarded: they answer earlier requests on the
-	// connection.
+	// MatchesRequest reports whether a response belongs to the request; nil accepts
+	// every response. Other responses are discarded: they answer earlier requests on
+	// the connection.
 	MatchesRequest func(req *fasthttp.Request, resp *fasthttp.Response) bool
 }
 
@@ -274,8 +274,8 @@
 	return nil
 }
 
-// idleTimeoutOf returns how long the connection of a response may stay idle: half
-// of the time-out in its Keep-Alive header, and Config.IdleTimeout at most or without one.
+// idleTimeoutOf returns how long the connection of a response may stay idle: half of
+// the time-out in its Keep-Alive header, and Config.IdleTimeout at most or without one.
 func (p *Pool) idleTimeoutOf(resp *fasthttp.Response) time.Duration {
 	_, text, found := strings.Cut(string(resp.Header.Peek("Keep-Alive")), "timeout=")
 	text, _, _ = strings.Cut(text, ",")
--- a/internal/carobprofilehistory/profilehistory.go
+++ b/internal/carobprofilehistory/profilehistory.go
@@ -1,5 +1,5 @@
-// Package carobprofilehistory reads all profiles and their changes from the platform's log,
-// for the command line.
+// Package carobprofilehistory reads all profiles and their changes from the platform's
+// log, for the command line.
 package carobprofilehistory
 
 import (
@@ -28,8 +28,9 @@
 	Log reader
 }
 
-// ProfileHistory holds the profiles and their changes as recorded in the log. It applies
-// records with the same system as the nodes, so that both reach the same result.
+// ProfileHistory holds the profiles and their changes as recorded in the log. It
+// applies records with the same system as the nodes, so that both reach the same
+// result.
 type ProfileHistory struct {
 	log   reader
 	world *carobworld.World
@@ -85,8 +86,8 @@
 	return h.world.TakeSnapshot().Revisions
 }
 
-// CurrentOffset returns the offset of the revision in force of a profile, or None if there is
-// no such profile.
+// CurrentOffset returns the offset of the revision in force of a profile, or None if
+// there is no such profile.
 func (h *ProfileHistory) CurrentOffset(name carobname.Name) caroboffset.Offset {
 	if revision := h.world.Profiles.Get(name); revision != nil {
 		return revision.Offset
@@ -94,8 +95,8 @@
 	return caroboffset.BeforeFirst
 }
 
-// FindResult returns the result of the change with an ID. A change that was appended more
-// than once was accepted if one of its records was. A change whose record has
+// FindResult returns the result of the change with an ID. A change that was appended
+// more than once was accepted if one of its records was. A change whose record has
 // expired is found while its revision is in force.
 func (h *ProfileHistory) FindResult(id string) (found carobchangeresult.ChangeResult, ok bool) {
 	for _, result := range h.Results {
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -22,20 +22,21 @@
 type Scenario struct {
 	// Centres are the data centres; at least one.
 	Centres []carobcentre.Centre `json:"centres"`
-	// LocalDelay is the network delay between two VMs of one data centre, and RemoteDelay that between
-	// two data centres.
+	// LocalDelay is the network delay between two VMs of one data centre, and
+	// RemoteDelay that between two data centres.
 	LocalDelay  carobduration.Duration `json:"hop"`
 	RemoteDelay carobduration.Duration `json:"far"`
 	// Noise is the effect of noisy neighbours on the VMs.
 	Noise noise `json:"noise"`
-	// ProbeLimits, RetryLimits and Profile are settings of the nodes; one profile holds for all
-	// services.
+	// ProbeLimits, RetryLimits and Profile are settings of the nodes; one profile holds
+	// for all services.
 	ProbeLimits carobprobelimits.ProbeLimits `json:"measure"`
 	RetryLimits carobretrylimits.RetryLimits `json:"retries"`
 	Profile     carobprofile.Profile         `json:"profile"`
 	// Services has at least one element.
 	Services []service `json:"services"`
-	// CallKinds has at least one element. A kind must precede those that name it in NestedKind.
+	// CallKinds has at least one element. A kind must precede those that name it in
+	// NestedKind.
 	CallKinds []callKind `json:"kinds"`
 }
 
@@ -80,9 +81,9 @@
 	Priority int `json:"rank"`
 	// Retries is the number of times that a caller retries a failed call.
 	Retries int `json:"retries"`
-	// NestedKind is the kind of the nested calls that a target makes while it runs a call of
-	// this kind; empty if it makes none. NestedCalls is their number, one after the other, and
-	// NestedShare the share of runs that make them.
+	// NestedKind is the kind of the nested calls that a target makes while it runs a
+	// call of this kind; empty if it makes none. NestedCalls is their number, one after
+	// the other, and NestedShare the share of runs that make them.
 	NestedKind  carobname.Name   `json:"calls"`
 	NestedCalls int              `json:"times"`
 	NestedShare carobshare.Share `json:"share"`
--- a/internal/carobserver/conn.go
+++ b/internal/carobserver/conn.go
@@ -215,9 +215,9 @@
 	pipelined.SendResponse(resp)
 }
 
-// ClosesAfter reports whether the connection closes after the answer to pipelined. If it
-// does, no further request is accepted. A draining server closes a connection
-// with the last pending answer.
+// ClosesAfter reports whether the connection closes after the answer to pipelined. If
+// it does, no further request is accepted. A draining server closes a connection with
+// the last pending answer.
 func (c *conn) ClosesAfter(pipelined *carobpipelinedrequest.PipelinedRequest) bool {
 	draining := c.server.isDraining()
 	c.mutex.Lock()
--- a/internal/carobserver/server.go
+++ b/internal/carobserver/server.go
@@ -35,9 +35,9 @@
 	Timer   *carobtimer.Timer
 	// MaxHeader and MaxBody are the maximum sizes of a request's header and body.
 	MaxHeader, MaxBody carobsize.Size
-	// HeaderTimeout is the maximum time from the first byte of a request to the end of its
-	// header. StallTimeout is the maximum time to read a body, and to wait for the receiver
-	// of an answer to accept bytes.
+	// HeaderTimeout is the maximum time from the first byte of a request to the end of
+	// its header. StallTimeout is the maximum time to read a body, and to wait for the
+	// receiver of an answer to accept bytes.
 	HeaderTimeout, StallTimeout time.Duration
 	// IdleTimeout is the maximum time that a connection may have no request.
 	IdleTimeout time.Duration
--- a/internal/carobsettings/settings.go
+++ b/internal/carobsettings/settings.go
@@ -30,8 +30,8 @@
 	CallAddress carobaddress.Address `json:"call"`
 	// PeerAddress is the address at which the node listens for other nodes.
 	PeerAddress carobaddress.Address `json:"peer"`
-	// PublicAddress is the address at which other nodes reach the node. Empty if the node
-	// listens there itself.
+	// PublicAddress is the address at which other nodes reach the node. Empty if the
+	// node listens there itself.
 	PublicAddress carobaddress.Address `json:"public,omitempty"`
 	// AdminAddress is the address for the targets of the node's VM and for operators.
 	AdminAddress carobaddress.Address `json:"admin"`
@@ -44,13 +44,14 @@
 	ProbeLimits carobprobelimits.ProbeLimits `json:"measure"`
 	// RetryLimits limits how many attempts are sent beyond one for each call.
 	RetryLimits carobretrylimits.RetryLimits `json:"retries"`
-	// AnnouncementTimeout is the time without an announcement after which a target expires.
+	// AnnouncementTimeout is the time without an announcement after which a target
+	// expires.
 	AnnouncementTimeout carobduration.Duration `json:"silence"`
-	// ShutdownTimeout is the timeout of a graceful shutdown, after which the calls in flight are
-	// ended.
+	// ShutdownTimeout is the timeout of a graceful shutdown, after which the calls in
+	// flight are ended.
 	ShutdownTimeout carobduration.Duration `json:"grace"`
-	// MinDrainTime is the least time for which the node keeps accepting calls after a graceful
-	// shutdown has begun, because callers may not have noticed it yet.
+	// MinDrainTime is the least time for which the node keeps accepting calls after a
+	// graceful shutdown has begun, because callers may not have noticed it yet.
 	MinDrainTime carobduration.Duration `json:"stay"`
 	// MaxSuccessLines limits the log lines a second about successful decisions.
 	MaxSuccessLines int `json:"lines"`
--- a/internal/carobsplitter/splitter.go
+++ b/internal/carobsplitter/splitter.go
@@ -22,8 +22,8 @@
 	// Listener accepts the connections at the peer address.
 	Listener net.Listener
 	Timer    *carobtimer.Timer
-	// DetectionTimeout is how long a new connection may take to send its first bytes. It is closed
-	// afterwards.
+	// DetectionTimeout is how long a new connection may take to send its first bytes.
+	// It is closed afterwards.
 	DetectionTimeout time.Duration
 }
 
--- a/internal/carobstatus/status.go
+++ b/internal/carobstatus/status.go
@@ -42,7 +42,8 @@
 
 // overhead is what the node has spent of its probe limits and retry budgets.
 type overhead struct {
-	// RetryBudgetSpent is the total spent of all retry budgets, so it includes resent attempts.
+	// RetryBudgetSpent is the total spent of all retry budgets, so it includes resent
+	// attempts.
 	RetryBudgetSpent uint64 `json:"hedges"`
 	// ProbeBytes is the number of bytes that were charged to the probe limits.
 	ProbeBytes float64 `json:"bytes"`
@@ -76,8 +77,8 @@
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
 	Centre      carobcentre.Centre           `json:"centre"`
 	Leaving     bool                         `json:"leaving"`
-	// SinceLastHeard is the time since the last message from the peer; before the first one, since
-	// this node learned of the peer.
+	// SinceLastHeard is the time since the last message from the peer; before the first
+	// one, since this node learned of the peer.
 	SinceLastHeard carobduration.Duration `json:"age"`
 }
 
--- a/internal/carobsummary/summary.go
+++ b/internal/carobsummary/summary.go
@@ -49,8 +49,8 @@
 	// GoodLatency holds quantiles of the latency of good calls, from their scheduled
 	// arrival.
 	GoodLatency quantiles `json:"latency"`
-	// EffectiveLatency holds quantiles of the latency of all calls. A call without a good answer
-	// counts with its deadline, or with its own latency if that is longer.
+	// EffectiveLatency holds quantiles of the latency of all calls. A call without a
+	// good answer counts with its deadline, or with its own latency if that is longer.
 	EffectiveLatency quantiles `json:"felt"`
 
 	deadline           time.Duration
@@ -153,7 +153,8 @@
 	_ = writer.Flush()
 }
 
-// FormatMilliseconds formats a duration in milliseconds with two decimals, as in tables.
+// FormatMilliseconds formats a duration in milliseconds with two decimals, as in
+// tables.
 func FormatMilliseconds(duration carobduration.Duration) string {
 	return fmt.Sprintf("%.2f ms", float64(duration)/float64(time.Millisecond))
 }
--- a/internal/carobtimer/timer.go
+++ b/internal/carobtimer/timer.go
@@ -18,8 +18,9 @@
 	mu    sync.Mutex
 	// schedule has the subscriptions for which an instant is set.
 	schedule *carobschedule.Schedule[*subscription]
-	// rescheduled wakes the timer's goroutine after the earliest instant has changed. Its
-	// capacity is 1 and set drops elements beyond that, which keeps set from blocking.
+	// rescheduled wakes the timer's goroutine after the earliest instant has changed.
+	// Its capacity is 1 and set drops elements beyond that, which keeps set from
+	// blocking.
 	rescheduled chan struct{}
 }
 
@@ -96,8 +97,8 @@
 	}
 }
 
-// pop removes and returns the function of a subscription that is due. If none is due, it
-// returns nil and the instant of the next one.
+// pop removes and returns the function of a subscription that is due. If none is due,
+// it returns nil and the instant of the next one.
 func (t *Timer) pop() (func(), carobinstant.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/carobtransport/transport.go
+++ b/internal/carobtransport/transport.go
@@ -23,8 +23,8 @@
 	procedure = "/carobknot.v1.Peer/Tell"
 	// requestTimeout is the time-out of a request, and of reading the header of one.
 	requestTimeout = 2 * time.Second
-	// pingTimeout is how long a connection may be without traffic before the client pings
-	// the peer, and how long the response to the ping may take.
+	// pingTimeout is how long a connection may be without traffic before the client
+	// pings the peer, and how long the response to the ping may take.
 	pingTimeout = time.Second
 	// maxInFlight is the largest number of concurrent requests to one node.
 	maxInFlight = 64
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -151,7 +151,8 @@
 // cannot have run.
 var expectContinueTransport = &http.Transport{DisableKeepAlives: true, ExpectContinueTimeout: time.Minute}
 
-// startTraffic starts the callers. They stop at traffic.finish or at the end of the test.
+// startTraffic starts the callers. They stop at traffic.finish or at the end of the
+// test.
 func (c *cluster) startTraffic(t *testing.T, transport *http.Transport) *traffic {
 	t.Helper()
 	const callers = 8
--- a/test/nodepair_test.go
+++ b/test/nodepair_test.go
@@ -109,8 +109,8 @@
 	np.waitForService(t, service)
 }
 
-// waitForService waits until the near node no longer refuses calls of a service
-// because it has no target or no profile of it. The calls that it sends have the path /ready.
+// waitForService waits until the near node no longer refuses calls of a service because
+// it has no target or no profile of it. The calls that it sends have the path /ready.
 func (np nodePair) waitForService(t *testing.T, service string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
