--- a/internal/carobadmitter/serve.go
+++ b/internal/carobadmitter/serve.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// HandleExpect handles the header of an attempt with "HandleExpect: 100-continue". It
+// HandleExpect handles the header of an attempt with "Expect: 100-continue". It
 // returns 100 once the job is started, and otherwise the status of the refusal; the
 // entry node then sends no body and can send it to another target.
 func (a *Admitter) HandleExpect(ctx *fasthttp.RequestCtx) int {
--- a/internal/carobemulator/caller.go
+++ b/internal/carobemulator/caller.go
@@ -111,7 +111,7 @@
 // scheduleRetry schedules a retry if the request allows one, and reports whether it
 // does. A request that is not idempotent is retried only if its call did not run.
 func (e *Emulator) scheduleRetry(id uint64, request *request, conclusion carobconclusion.Conclusion, status int) bool {
-	idempotent := e.scenario.CallKinds[request.callKind].Once == carobguarantee.Idempotent
+	idempotent := e.scenario.CallKinds[request.callKind].Guarantee == carobguarantee.Idempotent
 	timeLeft := request.deadline.Sub(e.now)
 	if request.retriesLeft == 0 || timeLeft <= 0 || status == http.StatusOK || !idempotent && (conclusion.Kind == carobkind.None || !conclusion.Kind.NotRun()) {
 		return false
--- a/internal/carobemulator/emulator.go
+++ b/internal/carobemulator/emulator.go
@@ -172,7 +172,7 @@
 func route(scenario carobscenario.Scenario, i int) carobroute.Route {
 	callKind := &scenario.CallKinds[i]
 	return carobroute.Route{
-		Name: callKind.Name, Host: host(i), Prefix: "/", Guarantee: callKind.Once, Attempts: maxTries, Timeout: callKind.Timeout, SLO: callKind.SLO,
+		Name: callKind.Name, Host: host(i), Prefix: "/", Guarantee: callKind.Guarantee, Attempts: maxTries, Timeout: callKind.Timeout, SLO: callKind.SLO,
 		Priority: callKind.Priority, WeightedServices: weightedServices(callKind.Service),
 	}
 }
--- a/internal/caroblogwriter/buffer.go
+++ b/internal/caroblogwriter/buffer.go
@@ -52,8 +52,8 @@
 	// readers recognise one that was appended twice.
 	Number  uint64 `json:"pack"`
 	Entries int    `json:"entries"`
-	// Lost is how many entries were dropped since the batch before.
-	Lost int `json:"lost"`
+	// Dropped is how many entries were dropped since the batch before.
+	Dropped int `json:"lost"`
 }
 
 // maxBatchEntries is the number of entries at which a batch is compressed.
@@ -85,7 +85,7 @@
 	b.number++
 	head, err := json.Marshal(header{
 		Node: string(b.self.Node), Incarnation: uint64(b.self.Incarnation),
-		Number: b.number, Entries: len(b.lines), Lost: b.dropped - b.reported,
+		Number: b.number, Entries: len(b.lines), Dropped: b.dropped - b.reported,
 	})
 	if err != nil {
 		return
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -73,10 +73,10 @@
 	Spread carobshare.Share       `json:"spread"`
 	// SLO is the latency objective, Timeout the limit that the operator sets, and
 	// Deadline the time after which callers give up.
-	SLO      carobduration.Duration   `json:"slo"`
-	Timeout  carobduration.Duration   `json:"timeout"`
-	Deadline carobduration.Duration   `json:"deadline"`
-	Once     carobguarantee.Guarantee `json:"once"`
+	SLO       carobduration.Duration   `json:"slo"`
+	Timeout   carobduration.Duration   `json:"timeout"`
+	Deadline  carobduration.Duration   `json:"deadline"`
+	Guarantee carobguarantee.Guarantee `json:"once"`
 	// Priority is the priority, 0 the highest.
 	Priority int `json:"rank"`
 	// Retries is the number of times that a caller retries a failed call.
--- a/internal/carobserver/server.go
+++ b/internal/carobserver/server.go
@@ -24,7 +24,7 @@
 // handler handles requests.
 type handler interface {
 	// Handle answers a request. It runs on a goroutine of its own.
-	Handle(visit *carobpipelinedrequest.PipelinedRequest)
+	Handle(pipelined *carobpipelinedrequest.PipelinedRequest)
 	// Reject fills in the response to bytes that could not be read as a request.
 	Reject(resp *fasthttp.Response, err error)
 }
