--- a/pkg/carobadmission/system.go
+++ b/pkg/carobadmission/system.go
@@ -136,7 +136,7 @@
 	case of.TimeLeft <= 0:
 		return carobkind.NotStartedInTime
 	case of.Requirements.Guarantee != carobguarantee.Idempotent && w.ShutdownDeadline.Before(now.Add(of.TimeLeft)):
-		// If the node ended before the response, the entry node could not find out
+		// If the node exited before the response, the entry node could not find out
 		// whether the job ran.
 		return carobkind.Leaving
 	default:
--- a/pkg/carobadmission/urgency_test.go
+++ b/pkg/carobadmission/urgency_test.go
@@ -139,22 +139,22 @@
 	require.Len(t, r.finish(jobs[2], 1), 2, "at the usual speed both free slots are filled")
 }
 
-// Guards against starting a call that may run only once on a node that may end before
+// Guards against starting a call that may run only once on a node that may exit before
 // the call's deadline: the outcome of the call would then be unknown.
-func TestEndingNodeRefusesOnceCallsPastItsEnd(t *testing.T) {
+func TestShutdownRefusesOnceCallsThatMayOutlastIt(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		guarantee carobguarantee.Guarantee
-		untilEnd  time.Duration
+		untilExit time.Duration
 		accepted  bool
 	}{
-		{"ends after the deadline", carobguarantee.OncePerCall, 11 * time.Second, true},
-		{"ends before the deadline", carobguarantee.OncePerCall, 9 * time.Second, false},
-		{"ends before the deadline, call may run again elsewhere", carobguarantee.Idempotent, 9 * time.Second, true},
+		{"exits after the deadline", carobguarantee.OncePerCall, 11 * time.Second, true},
+		{"exits before the deadline", carobguarantee.OncePerCall, 9 * time.Second, false},
+		{"exits before the deadline, call may run again elsewhere", carobguarantee.Idempotent, 9 * time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(1, 4)
-			r.step(0, carobinbox.Inbox{ShutdownDeadline: r.now.Add(c.untilEnd)})
+			r.step(0, carobinbox.Inbox{ShutdownDeadline: r.now.Add(c.untilExit)})
 			r.offer(carobrequirements.Requirements{Guarantee: c.guarantee})
 			if c.accepted {
 				require.Len(t, r.world.Outbox.Starts, 1)
--- a/pkg/carobadmissionstate/admissionstate.go
+++ b/pkg/carobadmissionstate/admissionstate.go
@@ -46,7 +46,7 @@
 	// LastNestedAt is when the newest nested call arrived, that is, a call for which another
 	// job waits; Never before the first.
 	LastNestedAt carobinstant.Instant
-	// ReportDue reports whether the load has changed since the last published report.
+	// ReportDue is true if the load has changed since the last published report.
 	ReportDue bool
 	// LatencyStart is when the newest call that contributed to Latency started; Never before
 	// the first call.
--- a/pkg/carobcheckresult/checkresult.go
+++ b/pkg/carobcheckresult/checkresult.go
@@ -1,4 +1,4 @@
-// Package carobcheckresult holds the message that a health check has ended.
+// Package carobcheckresult holds the tick input that reports the result of a health check.
 package carobcheckresult
 
 import (
--- a/pkg/carobcore/core.go
+++ b/pkg/carobcore/core.go
@@ -86,8 +86,8 @@
 	// shutdownQuietPeriod is how long no attempt must have arrived before a node that shuts down
 	// may exit, so that none is still on its way to it.
 	shutdownQuietPeriod = 500 * time.Millisecond
-	// shutdownSettleTimeout is how long an idle node that shuts down waits
-	// for the new homes of its calls' keys to receive the outcomes of the calls.
+	// shutdownSettleTimeout is how long an idle node that shuts down waits for the new homes
+	// of its calls' keys to receive the outcomes of the calls.
 	shutdownSettleTimeout = 3 * time.Second
 	// maxClaimKeys and maxClaimBytes limit the claims of each shard: the number of keys,
 	// and the bytes of the answers stored with them.
--- a/pkg/carobdetection/system.go
+++ b/pkg/carobdetection/system.go
@@ -102,8 +102,8 @@
 	if pr := w.Peers.Get(ms.From); pr != nil {
 		recordContact(w, now, ms, pr)
 	}
-	if pb := ms.Heartbeat; pb != nil {
-		answer(w, ms, pb)
+	if hb := ms.Heartbeat; hb != nil {
+		answer(w, ms, hb)
 	}
 }
 
@@ -124,23 +124,23 @@
 // answer handles a heartbeat: it forwards a relayed answer to the node that requested the
 // relay, removes an answered heartbeat from the pending ones, relays a heartbeat for
 // another node, or answers a heartbeat to this node.
-func answer(w *carobworld.World, ms *carobmessage.Message, pb *carobpeerheartbeat.PeerHeartbeat) {
+func answer(w *carobworld.World, ms *carobmessage.Message, hb *carobpeerheartbeat.PeerHeartbeat) {
 	switch {
-	case pb.Answer && pb.RelayFor != "" && pb.RelayFor != w.Self.PeerAddress:
-		w.SendMessage(carobmessage.Message{To: pb.RelayFor, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
-			Number: pb.Number, Node: pb.Node, Answer: true, ProfilesRead: w.ProfilesRead,
+	case hb.Answer && hb.RelayFor != "" && hb.RelayFor != w.Self.PeerAddress:
+		w.SendMessage(carobmessage.Message{To: hb.RelayFor, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
+			Number: hb.Number, Node: hb.Node, Answer: true, ProfilesRead: w.ProfilesRead,
 		}})
-	case pb.Answer:
-		if ph := w.PendingHeartbeats.Get(pb.Number); ph != nil && ph.Node == pb.Node {
-			w.PendingHeartbeats.Delete(pb.Number)
+	case hb.Answer:
+		if ph := w.PendingHeartbeats.Get(hb.Number); ph != nil && ph.Node == hb.Node {
+			w.PendingHeartbeats.Delete(hb.Number)
 		}
-	case pb.RelayTo != "":
-		w.SendMessage(carobmessage.Message{To: pb.RelayTo, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
-			Number: pb.Number, Node: pb.Node, RelayFor: ms.ReplyTo, ProfilesRead: w.ProfilesRead,
+	case hb.RelayTo != "":
+		w.SendMessage(carobmessage.Message{To: hb.RelayTo, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
+			Number: hb.Number, Node: hb.Node, RelayFor: ms.ReplyTo, ProfilesRead: w.ProfilesRead,
 		}})
-	case pb.Node == "" || pb.Node == w.Self.Node:
+	case hb.Node == "" || hb.Node == w.Self.Node:
 		w.SendMessage(carobmessage.Message{To: ms.ReplyTo, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
-			Number: pb.Number, Node: w.Self.Node, Answer: true, RelayFor: pb.RelayFor, ProfilesRead: w.ProfilesRead, Checksums: w.Checksums(),
+			Number: hb.Number, Node: w.Self.Node, Answer: true, RelayFor: hb.RelayFor, ProfilesRead: w.ProfilesRead, Checksums: w.Checksums(),
 		}})
 	}
 }
@@ -204,9 +204,9 @@
 
 // setLiveness sets the liveness state of a peer, records it in the audit trail, and
 // schedules it for gossip.
-func setLiveness(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer, sd carobliveness.Liveness) {
-	w.Audit("member", string(w.Self.Node), "node "+string(pr.Member.Node), pr.Member.Liveness.String(), sd.String())
-	pr.Member.Liveness, pr.LivenessSince, pr.GossipCount = sd, now, 0
+func setLiveness(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer, liveness carobliveness.Liveness) {
+	w.Audit("member", string(w.Self.Node), "node "+string(pr.Member.Node), pr.Member.Liveness.String(), liveness.String())
+	pr.Member.Liveness, pr.LivenessSince, pr.GossipCount = liveness, now, 0
 	w.PeerChanges++
 	w.PendingGossip.Put(pr.Member.Node, struct{}{})
 }
--- a/pkg/carobdissemination/system.go
+++ b/pkg/carobdissemination/system.go
@@ -29,8 +29,8 @@
 	roundInterval = 50 * time.Millisecond
 	// fanout is the number of nodes that a round goes to.
 	fanout = 3
-	// maxRoundSends is the number of times a description is sent in rounds,
-	// and maxSends the number of times it is sent in total.
+	// maxRoundSends is the number of times a description is sent in rounds, and maxSends the
+	// number of times it is sent in total.
 	maxRoundSends = 2
 	maxSends      = 6
 	// roundSize and piggybackSize are the approximate maximum sizes of the descriptions
@@ -166,13 +166,13 @@
 // recipients returns random peers that are not down: most of them in this node's data
 // centre, and at least one elsewhere if there is one.
 func recipients(w *carobworld.World) []*carobpeer.Peer {
-	near := w.SamplePeers(fanout, func(pr *carobpeer.Peer) bool { return reachable(pr) && pr.Member.Centre == w.Self.Centre })
-	far := w.SamplePeers(fanout, func(pr *carobpeer.Peer) bool { return reachable(pr) && pr.Member.Centre != w.Self.Centre })
+	near := w.SamplePeers(fanout, func(pr *carobpeer.Peer) bool { return isReachable(pr) && pr.Member.Centre == w.Self.Centre })
+	far := w.SamplePeers(fanout, func(pr *carobpeer.Peer) bool { return isReachable(pr) && pr.Member.Centre != w.Self.Centre })
 	fromFar := min(len(far), max(1, fanout-len(near)))
 	return append(far[:fromFar], near[:min(len(near), fanout-fromFar)]...)
 }
 
-func reachable(pr *carobpeer.Peer) bool {
+func isReachable(pr *carobpeer.Peer) bool {
 	return !pr.Member.Liveness.Down()
 }
 
--- a/pkg/carobejection/system.go
+++ b/pkg/carobejection/system.go
@@ -29,9 +29,8 @@
 	// added, so that nodes do not all try the target again at once.
 	minEjection    = 1500 * time.Millisecond
 	ejectionJitter = time.Second
-	// maxEjectedShare is the share of a service's targets that may be ejected
-	// at once. If more fail, the fault lies elsewhere, and ejecting them would
-	// only overload the rest.
+	// maxEjectedShare is the share of a service's targets that may be ejected at once. If
+	// more fail, the fault lies elsewhere, and ejecting them would only overload the rest.
 	maxEjectedShare = 0.5
 )
 
--- a/pkg/carobejection/system_test.go
+++ b/pkg/carobejection/system_test.go
@@ -76,9 +76,9 @@
 // full traffic to those that still fail.
 func TestTrialReplyDecidesEjection(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		status  int
-		returns bool
+		name       string
+		status     int
+		readmitted bool
 	}{
 		{"healed", http.StatusOK, true},
 		{"still failing", http.StatusInternalServerError, false},
@@ -94,7 +94,7 @@
 			require.True(t, load.OnTrial)
 			tickWithReply(world, load.EjectionEnd+1, tc.status)
 			require.False(t, load.OnTrial)
-			require.Equal(t, tc.returns, load.EjectionEnd == carobinstant.Never)
+			require.Equal(t, tc.readmitted, load.EjectionEnd == carobinstant.Never)
 		})
 	}
 }
--- a/pkg/carobelection/system.go
+++ b/pkg/carobelection/system.go
@@ -69,8 +69,9 @@
 	return s.readers
 }
 
-// takesPrecedence reports whether this node takes precedence over all other live nodes
-// of its data centre.
+// takesPrecedence reports whether no other live node of this data centre comes before this
+// one. A node that can read the store comes before one that cannot; among equals the lower
+// id does.
 func takesPrecedence(w *carobworld.World) bool {
 	return len(w.SamplePeers(1, func(pr *carobpeer.Peer) bool {
 		mb := &pr.Member
--- a/pkg/carobelection/system_test.go
+++ b/pkg/carobelection/system_test.go
@@ -44,7 +44,7 @@
 		{"the lowest id is leaving", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Leaving = true })}, false, false, true},
 		{"the lowest id is suspected", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Liveness = carobliveness.Suspect })}, false, false, true},
 		{"cannot read the store, another can", []carobmember.Member{member("z", "x", nil)}, true, false, false},
-		{"none can read the store, the lowest id goes on", []carobmember.Member{member("z", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, true, false, true},
+		{"none can read the store, the lowest id keeps reading", []carobmember.Member{member("z", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, true, false, true},
 		{"has no route table", []carobmember.Member{member("a", "x", nil)}, false, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -76,7 +76,7 @@
 // Each read has a cost, so the rate of reads over all readers must not depend on the
 // number of data centres: each read is held open in proportion to that number.
 func TestMoreReadersHoldTheirReadsForLonger(t *testing.T) {
-	hold := func(centres ...carobcentre.Centre) time.Duration {
+	longPollTimeout := func(centres ...carobcentre.Centre) time.Duration {
 		w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "a", Centre: "x"}, Limits: caroblimits.NewLimits()})
 		for i, centre := range centres {
 			node := carobnodeid.ID("b" + string(rune('a'+i)))
@@ -86,9 +86,9 @@
 		carobelection.NewSystem().Run(w, 1)
 		return w.Outbox.LongPollTimeout
 	}
-	alone := hold()
+	alone := longPollTimeout()
 	require.Positive(t, alone)
 	require.LessOrEqual(t, alone, time.Second)
-	require.Equal(t, alone, hold("x", "x"))
-	require.Equal(t, 3*alone, hold("x", "y", "z", "y"))
+	require.Equal(t, alone, longPollTimeout("x", "x"))
+	require.Equal(t, 3*alone, longPollTimeout("x", "y", "z", "y"))
 }
--- a/pkg/carobevictingmap/evictingmap.go
+++ b/pkg/carobevictingmap/evictingmap.go
@@ -25,49 +25,49 @@
 }
 
 // Get returns the row of a key, and whether there is one.
-func (r *EvictingMap[K, R]) Get(key K) (R, bool) {
-	row, ok := r.rows[key]
+func (m *EvictingMap[K, R]) Get(key K) (R, bool) {
+	row, ok := m.rows[key]
 	return row, ok
 }
 
 // Put adds or replaces the row of a key. A replaced row keeps its age. Put
 // returns the evicted key and row, and whether a row was evicted; without a
 // positive limit that is the row that was passed.
-func (r *EvictingMap[K, R]) Put(key K, row R) (K, R, bool) {
+func (m *EvictingMap[K, R]) Put(key K, row R) (K, R, bool) {
 	var oldest K
 	var evicted R
-	if _, ok := r.rows[key]; ok {
-		r.rows[key] = row
+	if _, ok := m.rows[key]; ok {
+		m.rows[key] = row
 		return oldest, evicted, false
 	}
-	if r.limit <= 0 {
+	if m.limit <= 0 {
 		return key, row, true
 	}
-	full := len(r.rows) >= r.limit
+	full := len(m.rows) >= m.limit
 	if full {
-		oldest, evicted = r.removeOldest()
+		oldest, evicted = m.removeOldest()
 	}
-	r.order = append(r.order, key)
-	r.rows[key] = row
+	m.order = append(m.order, key)
+	m.rows[key] = row
 	return oldest, evicted, full
 }
 
 // Len returns the number of rows.
-func (r *EvictingMap[K, R]) Len() int {
-	return len(r.rows)
+func (m *EvictingMap[K, R]) Len() int {
+	return len(m.rows)
 }
 
 // removeOldest removes and returns the oldest row. The removed keys are cut
 // from order only once there are limit of them, so that the cost of the copy is
 // spread over many calls.
-func (r *EvictingMap[K, R]) removeOldest() (K, R) {
-	oldest := r.order[r.first]
-	row := r.rows[oldest]
-	delete(r.rows, oldest)
-	r.first++
-	if r.first >= r.limit {
-		r.order = append(r.order[:0], r.order[r.first:]...)
-		r.first = 0
+func (m *EvictingMap[K, R]) removeOldest() (K, R) {
+	oldest := m.order[m.first]
+	row := m.rows[oldest]
+	delete(m.rows, oldest)
+	m.first++
+	if m.first >= m.limit {
+		m.order = append(m.order[:0], m.order[m.first:]...)
+		m.first = 0
 	}
 	return oldest, row
 }
--- a/pkg/carobevictingmap/evictingmap_test.go
+++ b/pkg/carobevictingmap/evictingmap_test.go
@@ -12,20 +12,20 @@
 // the oldest, or evicts one when a row is replaced.
 func TestFullMapEvictsOldestRow(t *testing.T) {
 	const limit = 3
-	r := carobevictingmap.NewEvictingMap[int, string](carobevictingmap.Config{Limit: limit})
+	m := carobevictingmap.NewEvictingMap[int, string](carobevictingmap.Config{Limit: limit})
 	for key := range 10 * limit {
-		evicted, row, full := r.Put(key, "row")
+		evicted, row, full := m.Put(key, "row")
 		require.Equal(t, key >= limit, full)
 		if full {
 			require.Equal(t, key-limit, evicted)
 			require.Equal(t, "row", row)
 		}
-		_, _, full = r.Put(key, "row")
+		_, _, full = m.Put(key, "row")
 		require.False(t, full, "replacing a row evicts none")
-		require.Equal(t, min(key+1, limit), r.Len())
+		require.Equal(t, min(key+1, limit), m.Len())
 	}
-	_, ok := r.Get(10*limit - limit)
+	_, ok := m.Get(10*limit - limit)
 	require.True(t, ok)
-	_, ok = r.Get(10*limit - limit - 1)
+	_, ok = m.Get(10*limit - limit - 1)
 	require.False(t, ok)
 }
--- a/pkg/carobfencing/system_test.go
+++ b/pkg/carobfencing/system_test.go
@@ -156,7 +156,7 @@
 
 // Guards against a withdrawn job that still counts as queued, in the admission state or in the
 // published report.
-func TestFenceOfQueuedJobFreesItsPlace(t *testing.T) {
+func TestFenceOfQueuedJobFreesItsQueuePlace(t *testing.T) {
 	r := newRig(10)
 	r.offer(job(1))
 	r.offer(job(2))
@@ -204,7 +204,7 @@
 		require.Equal(t, carobjobstate.Done, r.fence(job(12)))
 		require.Equal(t, carobjobstate.Never, r.fence(job(99)))
 		r.offer(job(8))
-		require.Equal(t, 1, r.started(), "a first offer below the Ended watermark is no duplicate")
+		require.Equal(t, 1, r.started(), "a first offer below EndedSequence is no duplicate")
 	})
 	t.Run("tombstones", func(t *testing.T) {
 		r := newRig(limit)
--- a/pkg/carobfetchreply/fetchreply.go
+++ b/pkg/carobfetchreply/fetchreply.go
@@ -19,22 +19,22 @@
 	ProfilesRead caroboffset.Offset `json:"read"`
 }
 
-// MaxRecords is the maximum number of records in one answer.
+// MaxRecords is the maximum number of records in one reply.
 const MaxRecords = 64
 
 // Check returns an error of kind Invalid if the records are too many or not consecutive,
 // or the snapshot is out of bounds.
-func (s FetchReply) Check() error {
-	if len(s.Records) > MaxRecords {
-		return carobkind.New(carobkind.Invalid, "supply: more than %d records", MaxRecords)
+func (f FetchReply) Check() error {
+	if len(f.Records) > MaxRecords {
+		return carobkind.New(carobkind.Invalid, "fetch reply: more than %d records", MaxRecords)
 	}
-	for i, rc := range s.Records {
-		if rc.Offset < 0 || rc.Offset != s.Records[0].Offset+caroboffset.Offset(i) {
-			return carobkind.New(carobkind.Invalid, "supply: record %d is out of order", rc.Offset)
+	for i, rc := range f.Records {
+		if rc.Offset < 0 || rc.Offset != f.Records[0].Offset+caroboffset.Offset(i) {
+			return carobkind.New(carobkind.Invalid, "fetch reply: record %d is out of order", rc.Offset)
 		}
 	}
-	if s.Snapshot != nil {
-		return s.Snapshot.Check()
+	if f.Snapshot != nil {
+		return f.Snapshot.Check()
 	}
 	return nil
 }
--- a/pkg/carobfinish/finish.go
+++ b/pkg/carobfinish/finish.go
@@ -1,4 +1,4 @@
-// Package carobfinish holds the message that a job has ended.
+// Package carobfinish holds the tick input that reports the end of a job.
 package carobfinish
 
 import (
--- a/pkg/carobgroup/group.go
+++ b/pkg/carobgroup/group.go
@@ -1,4 +1,4 @@
-// Package carobgroup holds the row of a service in the tables of a node.
+// Package carobgroup holds the rows of the table of services.
 package carobgroup
 
 import (
@@ -8,8 +8,8 @@
 
 // Group has the targets of one service.
 type Group struct {
-	// Profile is the name that most targets of the service announce; of
-	// several, the first in the order of names.
+	// Profile is the name that most targets of the service announce; of several, the first
+	// in the order of names.
 	Profile carobname.Name
 	// Targets are sorted by name.
 	Targets []carobtargetid.ID
--- a/pkg/carobhedging/system.go
+++ b/pkg/carobhedging/system.go
@@ -1,5 +1,5 @@
-// Package carobhedging requests hedges: second attempts, at another target, at
-// calls that take long.
+// Package carobhedging requests hedges: second attempts at calls that take long,
+// sent to another target.
 package carobhedging
 
 import (
@@ -36,8 +36,7 @@
 // carobrouting, since it schedules the hedges of the attempts that carobrouting
 // has just sent. The hedges that it requests are sent in the next tick.
 type System struct {
-	// pending has the calls that may be hedged, by the time of the next
-	// request.
+	// pending has the calls that may be hedged, by the time of the next request.
 	pending *carobschedule.Schedule[carobcallid.ID]
 }
 
--- a/pkg/carobhedging/system_test.go
+++ b/pkg/carobhedging/system_test.go
@@ -55,7 +55,7 @@
 		{"idempotent", func(*carobcall.Call) {}, true},
 		{"at most once", func(call *carobcall.Call) { call.Profile.Guarantee = carobguarantee.OncePerCall }, false},
 		{"keyed", func(call *carobcall.Call) { call.Profile.Guarantee = carobguarantee.OncePerKey }, false},
-		{"body not kept", func(call *carobcall.Call) { call.Arrival.Streamed = true }, false},
+		{"streamed body", func(call *carobcall.Call) { call.Arrival.Streamed = true }, false},
 		{"one attempt allowed", func(call *carobcall.Call) { call.Profile.Attempts = 1 }, false},
 		{"no hedging", func(call *carobcall.Call) { call.Profile.HedgeQuantile = 0 }, false},
 	} {
--- a/pkg/carobinbox/inbox.go
+++ b/pkg/carobinbox/inbox.go
@@ -38,8 +38,8 @@
 	StoreUnreadable []bool
 	// Stop requests a graceful shutdown of the node.
 	Stop bool
-	// ShutdownDeadline is the deadline of the shutdown, in the tick in which it becomes known; Never
-	// otherwise.
+	// ShutdownDeadline is the deadline of the shutdown, in the tick in which it becomes
+	// known; Never otherwise.
 	ShutdownDeadline carobinstant.Instant
 	// Exit requests a final response for all calls in flight, because the node exits now.
 	Exit bool
--- a/pkg/carobinstance/instance.go
+++ b/pkg/carobinstance/instance.go
@@ -18,7 +18,7 @@
 	// Sequence is the number of the newest announcement; it never decreases
 	// within an incarnation. 0 if the target does not number them.
 	Sequence uint64
-	// Withdrawn says that the target has withdrawn: later announcements of this
+	// Withdrawn is true if the target has withdrawn: later announcements of this
 	// incarnation are ignored.
 	Withdrawn bool
 }
@@ -26,9 +26,9 @@
 // Outdated reports whether an announcement is out of date: it is of an earlier
 // incarnation, or of this one after the target withdrew or with a number that
 // is not above Sequence.
-func (l *Instance) Outdated(incarnation carobincarnation.Incarnation, sequence uint64) bool {
-	if incarnation != l.Incarnation {
-		return incarnation < l.Incarnation
+func (i *Instance) Outdated(incarnation carobincarnation.Incarnation, sequence uint64) bool {
+	if incarnation != i.Incarnation {
+		return incarnation < i.Incarnation
 	}
-	return incarnation > 0 && (l.Withdrawn || sequence > 0 && sequence <= l.Sequence)
+	return incarnation > 0 && (i.Withdrawn || sequence > 0 && sequence <= i.Sequence)
 }
--- a/pkg/carobliveness/liveness.go
+++ b/pkg/carobliveness/liveness.go
@@ -21,19 +21,19 @@
 )
 
 // String returns the name of the state, as it appears in the audit trail.
-func (s Liveness) String() string {
-	return [...]string{"alive", "suspect", "unreachable", "gone"}[min(s, Left)]
+func (l Liveness) String() string {
+	return [...]string{"alive", "suspect", "unreachable", "gone"}[min(l, Left)]
 }
 
 // Down reports whether the node is down: unreachable or left. Calls are not sent to it.
-func (s Liveness) Down() bool {
-	return s >= Unreachable
+func (l Liveness) Down() bool {
+	return l >= Unreachable
 }
 
 // Check returns an error of kind Invalid if the state is not one of those above.
-func (s Liveness) Check() error {
-	if s > Left {
-		return carobkind.New(carobkind.Invalid, "standing %d is unknown", uint8(s))
+func (l Liveness) Check() error {
+	if l > Left {
+		return carobkind.New(carobkind.Invalid, "liveness state %d is unknown", uint8(l))
 	}
 	return nil
 }
--- a/pkg/carobload/load.go
+++ b/pkg/carobload/load.go
@@ -28,11 +28,9 @@
 	// LastSendNumber is the number of the newest attempt sent to the target, counted over
 	// all targets.
 	LastSendNumber uint64
-	// Latency is the estimated time from sending to the reply, network
-	// included.
+	// Latency is the estimated time from sending to the reply, network included.
 	Latency time.Duration
-	// Successes and Failures decay with time; together they give the error
-	// rate.
+	// Successes and Failures decay with time; together they give the error rate.
 	Successes, Failures float64
 	// ConsecutiveFailures counts the failures since the last success.
 	ConsecutiveFailures int
@@ -42,7 +40,7 @@
 	// EjectionEnd is when the ejection of the target expires; Never if it is not
 	// ejected.
 	EjectionEnd carobinstant.Instant
-	// OnTrial says that the ejection has expired, and the target receives one
+	// OnTrial is true if the ejection has expired, and the target receives one
 	// call at a time until a reply decides whether it is ejected again.
 	OnTrial bool
 }
--- a/pkg/carobmessage/check.go
+++ b/pkg/carobmessage/check.go
@@ -22,7 +22,7 @@
 }
 
 // contents returns the content that is set, if its type has a Check method. The content
-// types of calls, claims and load queries have none.
+// types of calls, claims and load probes have none.
 func (m *Message) contents() []validator {
 	var set []validator
 
--- a/pkg/carobmessage/message.go
+++ b/pkg/carobmessage/message.go
@@ -45,7 +45,7 @@
 	Gossip *carobgossip.Gossip `json:"gossip,omitempty"`
 	// Heartbeat is a heartbeat or the answer to one. Its name on the wire is probe.
 	Heartbeat *carobpeerheartbeat.PeerHeartbeat `json:"probe,omitempty"`
-	// Digest lists the versions of the sender's descriptions of some nodes.
+	// Digest lists the versions of the descriptions in one partition of the sender's peer table.
 	Digest *carobdigest.Digest `json:"digest,omitempty"`
 	// Fetch requests profile records, and FetchReply carries them.
 	Fetch      *carobfetch.Fetch           `json:"fetch,omitempty"`
@@ -70,8 +70,8 @@
 
 	// Load probes.
 
-	// LoadProbe queries the load of a target. Its name on the wire is poll.
+	// LoadProbe requests the load of a target. Its name on the wire is poll.
 	LoadProbe *carobloadprobe.LoadProbe `json:"poll,omitempty"`
-	// Report answers a query for a load.
+	// Report answers a load probe.
 	Report *carobreport.Report `json:"report,omitempty"`
 }
--- a/pkg/caroboffer/offer.go
+++ b/pkg/caroboffer/offer.go
@@ -1,4 +1,5 @@
-// Package caroboffer holds the message that an attempt has arrived at a target's node.
+// Package caroboffer holds the tick input that reports the arrival of an attempt at a
+// target's node.
 package caroboffer
 
 import (
--- a/pkg/caroboutbox/outbox.go
+++ b/pkg/caroboutbox/outbox.go
@@ -34,8 +34,8 @@
 	ChangeResults []carobchangeresult.ChangeResult
 	// ReadingStore is true while this node reads the operator's records from the store.
 	ReadingStore bool
-	// LongPollTimeout is how long the store may hold open a long-poll read that finds nothing new. It
-	// is set only if ReadingStore is true.
+	// LongPollTimeout is how long the store may hold open a long-poll read that finds
+	// nothing new. It is set only if ReadingStore is true.
 	LongPollTimeout time.Duration
 	// Stopped is true when a graceful shutdown is complete.
 	Stopped bool
--- a/pkg/carobpeerheartbeat/peerheartbeat.go
+++ b/pkg/carobpeerheartbeat/peerheartbeat.go
@@ -1,5 +1,5 @@
-// Package carobpeerheartbeat holds the heartbeat message, by which nodes detect whether others are
-// alive.
+// Package carobpeerheartbeat holds the heartbeat message, by which nodes detect whether
+// others are alive.
 package carobpeerheartbeat
 
 import (
@@ -38,7 +38,7 @@
 // Check returns an error of kind Invalid if a field is out of bounds.
 func (p PeerHeartbeat) Check() error {
 	if len(p.Checksums) != 0 && len(p.Checksums) != Partitions {
-		return carobkind.New(carobkind.Invalid, "probe: wrong number of checksums: %d", len(p.Checksums))
+		return carobkind.New(carobkind.Invalid, "heartbeat: wrong number of checksums: %d", len(p.Checksums))
 	}
 	if p.Node != "" {
 		if err := p.Node.Check(); err != nil {
--- a/pkg/carobpendingheartbeat/pendingheartbeat.go
+++ b/pkg/carobpendingheartbeat/pendingheartbeat.go
@@ -1,4 +1,4 @@
-// Package carobpendingheartbeat holds the liveness probes that await an answer.
+// Package carobpendingheartbeat holds the rows of the heartbeats that await an answer.
 package carobpendingheartbeat
 
 import (
@@ -6,11 +6,11 @@
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 )
 
-// PendingHeartbeat is a probe of a peer that has not answered yet.
+// PendingHeartbeat is a heartbeat to a peer that has not answered it yet.
 type PendingHeartbeat struct {
 	Node carobnodeid.ID
-	// SentAt is when the probe was sent.
+	// SentAt is when the heartbeat was sent.
 	SentAt carobinstant.Instant
-	// Relayed says that other nodes were requested to probe the peer too.
+	// Relayed is true once other nodes were requested to relay the heartbeat.
 	Relayed bool
 }
--- a/pkg/carobprobing/system.go
+++ b/pkg/carobprobing/system.go
@@ -187,7 +187,7 @@
 }
 
 // MessageBytes returns the bytes that a probe of a target, or the report that answers
-// it, takes from the buckets.
+// it, takes from BytesBucket.
 func MessageBytes(world *carobworld.World, id carobtargetid.ID) float64 {
 	return float64(messageOverhead + len(world.Self.Node) + len(world.Self.PeerAddress) + len(id.Service) + len(id.Name))
 }
--- a/pkg/carobregistry/system.go
+++ b/pkg/carobregistry/system.go
@@ -43,7 +43,7 @@
 		case isOutdated(w, an):
 			auditChange(w, an.Target, "late announcement", string(an.Readiness))
 		case an.Withdrawn:
-			handleLeave(w, an)
+			handleWithdrawal(w, an)
 		default:
 			handleAnnouncement(w, now, an)
 		}
@@ -61,7 +61,7 @@
 
 // isOutdated reports whether an announcement must be ignored. A withdrawal is outdated
 // if a later incarnation of the target is known; any other announcement if it is not
-// newer than the last one from its address, or if its incarnation has left.
+// newer than the last one from its address, or if its incarnation has withdrawn.
 func isOutdated(w *carobworld.World, an carobannouncement.Announcement) bool {
 	if an.Withdrawn {
 		instance := newestInstance(w, an.Target)
@@ -71,9 +71,9 @@
 	return instance != nil && instance.Outdated(an.Incarnation, an.Sequence)
 }
 
-// handleLeave removes a target that has withdrawn itself, and records that later
+// handleWithdrawal removes a target that has withdrawn itself, and records that later
 // announcements of the same incarnation are to be ignored.
-func handleLeave(w *carobworld.World, an carobannouncement.Announcement) {
+func handleWithdrawal(w *carobworld.World, an carobannouncement.Announcement) {
 	if instance := newestInstance(w, an.Target); instance != nil {
 		instance.Withdrawn, an.Target = true, instance.Target
 	}
@@ -100,7 +100,7 @@
 		removeTarget(w, carobannouncement.Announcement{Target: instance.Target})
 	}
 	if instance != nil && instance.Target == an.Target && instance.Incarnation != an.Incarnation {
-		auditChange(w, an.Target, "earlier life", "new life")
+		auditChange(w, an.Target, "earlier incarnation", "new incarnation")
 		if as := w.AdmissionStates.Get(an.Target); as != nil {
 			as.AddedAt = now
 		}
@@ -136,8 +136,8 @@
 	markTargetsChanged(w)
 }
 
-// removeTarget removes the target of an announcement if it is this node's own. Its admission state
-// stays until its jobs have ended.
+// removeTarget removes the target of an announcement if it is this node's own. Its
+// admission state stays until its jobs have ended.
 func removeTarget(w *carobworld.World, an carobannouncement.Announcement) {
 	tg := w.Targets.Get(an.Target)
 	if tg == nil || !w.Owns(tg) {
@@ -166,13 +166,13 @@
 	}
 }
 
-// auditChange adds a change of one of the node's own targets to the audit stream.
+// auditChange adds a change of one of the node's own targets to the audit trail.
 func auditChange(w *carobworld.World, target carobtargetid.ID, from, to string) {
 	w.Audit("target", string(w.Self.Node), target.String(), from, to)
 }
 
-// markTargetsChanged schedules the regrouping of targets and increments the version of
-// the node's own member, so that the change is gossiped to other nodes.
+// markTargetsChanged schedules the regrouping of targets and increments the update sequence
+// of this node's description of itself, so that the change is gossiped to other nodes.
 func markTargetsChanged(w *carobworld.World) {
 	w.TargetsChanged = true
 	w.Self.Sequence++
--- a/pkg/carobregistry/system_test.go
+++ b/pkg/carobregistry/system_test.go
@@ -39,27 +39,27 @@
 	r.system.Run(r.world, r.now)
 }
 
-// state returns the readiness of a target; empty if the target is unknown.
-func (r *rig) state(name carobname.Name) carobreadiness.Readiness {
+// readiness returns the readiness of a target; empty if the target is unknown.
+func (r *rig) readiness(name carobname.Name) carobreadiness.Readiness {
 	if tg := r.world.Targets.Get(carobtargetid.ID{Service: "lookups", Name: name}); tg != nil {
 		return tg.Readiness
 	}
 	return ""
 }
 
-func announcement(name carobname.Name, incarnation carobincarnation.Incarnation, sequence uint64, state carobreadiness.Readiness) carobannouncement.Announcement {
+func announcement(name carobname.Name, incarnation carobincarnation.Incarnation, sequence uint64, readiness carobreadiness.Readiness) carobannouncement.Announcement {
 	return carobannouncement.Announcement{
 		Target: carobtargetid.ID{Service: "lookups", Name: name}, Address: "127.0.0.1:1", Profile: "p",
-		Slots: 12, Connections: 1, Readiness: state, Incarnation: incarnation, Sequence: sequence,
+		Slots: 12, Connections: 1, Readiness: readiness, Incarnation: incarnation, Sequence: sequence,
 	}
 }
 
-func leave(name carobname.Name, incarnation carobincarnation.Incarnation) carobannouncement.Announcement {
+func withdrawal(name carobname.Name, incarnation carobincarnation.Incarnation) carobannouncement.Announcement {
 	return carobannouncement.Announcement{Target: carobtargetid.ID{Name: name}, Withdrawn: true, Incarnation: incarnation}
 }
 
 // Guards against announcements that arrive out of order and overwrite a newer state, or
-// that restore a target which has left or whose address another target has now.
+// that restore a target which has withdrawn or whose address another target has now.
 func TestOutdatedAnnouncementsAreIgnored(t *testing.T) {
 	const ready, leaving = carobreadiness.Ready, carobreadiness.Leaving
 	for _, c := range []struct {
@@ -93,13 +93,13 @@
 			map[carobname.Name]carobreadiness.Readiness{"a": ready},
 		},
 		{
-			"announcement after the target left",
-			[]carobannouncement.Announcement{announcement("a", 5, 1, ready), leave("a", 0), announcement("a", 5, 2, ready)},
+			"announcement after the withdrawal",
+			[]carobannouncement.Announcement{announcement("a", 5, 1, ready), withdrawal("a", 0), announcement("a", 5, 2, ready)},
 			map[carobname.Name]carobreadiness.Readiness{"a": ""},
 		},
 		{
 			"withdrawal of an earlier incarnation",
-			[]carobannouncement.Announcement{announcement("a", 7, 1, ready), leave("a", 5)},
+			[]carobannouncement.Announcement{announcement("a", 7, 1, ready), withdrawal("a", 5)},
 			map[carobname.Name]carobreadiness.Readiness{"a": ready},
 		},
 		{
@@ -118,8 +118,8 @@
 			for _, an := range c.announcements {
 				r.step(an)
 			}
-			for name, state := range c.want {
-				require.Equal(t, state, r.state(name), "target %s", name)
+			for name, readiness := range c.want {
+				require.Equal(t, readiness, r.readiness(name), "target %s", name)
 			}
 		})
 	}
@@ -127,24 +127,24 @@
 
 // Guards against calls to a target that has stopped without withdrawing, and against a
 // target that stays leaving after its announcements resume.
-func TestSilentTargetIsLeaving(t *testing.T) {
+func TestTargetWithoutAnnouncementsIsLeaving(t *testing.T) {
 	r := newRig()
 	r.step(announcement("a", 5, 1, carobreadiness.Ready))
 	r.now = r.now.Add(4 * time.Second)
 	r.step()
-	require.Equal(t, carobreadiness.Leaving, r.state("a"))
+	require.Equal(t, carobreadiness.Leaving, r.readiness("a"))
 	r.step(announcement("a", 5, 2, carobreadiness.Ready))
-	require.Equal(t, carobreadiness.Ready, r.state("a"))
+	require.Equal(t, carobreadiness.Ready, r.readiness("a"))
 }
 
-// Guards against an admission state that is removed while jobs still refer to it, and against one
-// that is never removed.
+// Guards against an admission state that is removed while jobs still refer to it, and
+// against one that is never removed.
 func TestAdmissionStateIsRemovedAfterItsLastJob(t *testing.T) {
 	r := newRig()
 	r.step(announcement("a", 5, 1, carobreadiness.Ready))
 	id := carobtargetid.ID{Service: "lookups", Name: "a"}
 	r.world.AdmissionStates.Get(id).Running = 1
-	r.step(leave("a", 5))
+	r.step(withdrawal("a", 5))
 	require.NotNil(t, r.world.AdmissionStates.Get(id), "a job is still running")
 	r.world.AdmissionStates.Get(id).Running = 0
 	r.step()
--- a/pkg/carobroute/route.go
+++ b/pkg/carobroute/route.go
@@ -21,18 +21,18 @@
 	Host string `json:"host"`
 	// Prefix is the path prefix of the calls. It begins and ends with a slash.
 	Prefix string `json:"prefix"`
-	// Guarantee says how often a call may run.
+	// Guarantee states how often a call may run.
 	Guarantee carobguarantee.Guarantee `json:"once"`
 	// Attempts is the maximum number of targets that a call may run on, at least 1.
 	Attempts int `json:"tries"`
-	// Timeout limits the time until a call's final response; 0 is the caller's
-	// deadline.
+	// Timeout limits the time until a call's final response. If it is 0, the
+	// caller's time-out applies, or the profile's deadline if the caller sets none.
 	Timeout carobduration.Duration `json:"timeout"`
 	// SLO is the latency that callers expect; 0 if none is set.
 	SLO carobduration.Duration `json:"slo"`
 	// Priority is the priority, 0 the highest.
 	Priority int `json:"rank"`
-	// WeightedServices has at least one part.
+	// WeightedServices has at least one entry.
 	WeightedServices []carobweightedservice.WeightedService `json:"split"`
 }
 
--- a/pkg/carobroutesync/system.go
+++ b/pkg/carobroutesync/system.go
@@ -41,8 +41,8 @@
 // Run applies newer tables, answers requests, and requests a newer table if a peer has
 // one.
 func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	for _, rs := range w.Inbox.RouteTables {
-		if apply(w, rs, "store") {
+	for _, table := range w.Inbox.RouteTables {
+		if apply(w, table, "store") {
 			announce(w)
 		}
 	}
@@ -60,12 +60,12 @@
 }
 
 // apply applies a table and reports true if it is newer than the one in force.
-func apply(w *carobworld.World, rs *carobroutetable.RouteTable, from string) bool {
-	if rs.Version <= w.RoutesVersion() {
+func apply(w *carobworld.World, table *carobroutetable.RouteTable, from string) bool {
+	if table.Version <= w.RoutesVersion() {
 		return false
 	}
-	w.AuditRoutes(from, rs)
-	w.RouteTable = rs
+	w.AuditRoutes(from, table)
+	w.RouteTable = table
 	return true
 }
 
--- a/pkg/carobrouting/candidate.go
+++ b/pkg/carobrouting/candidate.go
@@ -19,7 +19,7 @@
 	// peerAddress is the address of the target's node; empty if that is this
 	// node.
 	peerAddress carobaddress.Address
-	// incarnation is that of the target's node.
+	// incarnation is the incarnation of the target's node.
 	incarnation carobincarnation.Incarnation
 	// slots is at least 1.
 	slots int
@@ -35,11 +35,9 @@
 	// latency is the estimated time that the target needs for a call; 0 if
 	// unknown.
 	latency time.Duration
-	// reportedAt is when the report was received; Never before the first
-	// report.
+	// reportedAt is when the report was received; Never before the first report.
 	reportedAt carobinstant.Instant
-	// reportAge is the time since the report was received; 0 for this node's
-	// own target.
+	// reportAge is the time since the report was received; 0 for this node's own target.
 	reportAge time.Duration
 	// load is the target's row in World.Loads.
 	load *carobload.Load
--- a/pkg/carobrouting/policies.go
+++ b/pkg/carobrouting/policies.go
@@ -8,8 +8,7 @@
 
 // policy picks a target for an attempt.
 type policy interface {
-	// pick returns the index of the chosen candidate. candidates is never
-	// empty.
+	// pick returns the index of the chosen candidate. candidates is never empty.
 	pick(rng *rand.Rand, candidates []candidate) int
 }
 
--- a/pkg/carobrouting/system.go
+++ b/pkg/carobrouting/system.go
@@ -33,9 +33,9 @@
 type System struct {
 	// candidates is reused between calls to save allocations.
 	candidates []candidate
-	// withoutTarget has the services that had no candidate in this tick.
-	// Without it, thousands of calls that wait for the same service would each
-	// search all its targets in every tick.
+	// withoutTarget has the services that had no candidate in this tick. Without it,
+	// thousands of calls that wait for the same service would each search all its targets in
+	// every tick.
 	withoutTarget map[carobservice.Service]struct{}
 	// sendNumber counts the attempts that were sent.
 	sendNumber uint64
@@ -185,9 +185,9 @@
 	return load.EjectionEnd != carobinstant.Never || load.OnTrial && load.OpenAttempts > 0
 }
 
-// setReportedLoad sets the load of a candidate. This node's own target has a
-// admission state, which is always current; for others the newest report is used, plus the
-// attempts that this node has sent since.
+// setReportedLoad sets the load of a candidate. For this node's own target it is
+// taken from the admission state, which is always current; for others from the
+// newest report, plus the attempts that this node has sent since.
 func setReportedLoad(world *carobworld.World, now carobinstant.Instant, target *carobtarget.Target, added *candidate) {
 	if state := world.AdmissionStates.Get(target.ID); state != nil && world.Owns(target) {
 		added.reportedCalls, added.latency, added.reportedAt = float64(state.Running+state.Queued), state.Latency, now
--- a/pkg/carobschedule/schedule.go
+++ b/pkg/carobschedule/schedule.go
@@ -23,49 +23,49 @@
 
 // Set sets or replaces the instant at which a key is due. Never removes the
 // key.
-func (a *Schedule[K]) Set(key K, at carobinstant.Instant) {
-	index, ok := a.entries.indices[key]
+func (s *Schedule[K]) Set(key K, at carobinstant.Instant) {
+	index, ok := s.entries.indices[key]
 	switch {
 	case ok && at == carobinstant.Never:
-		heap.Remove(&a.entries, index)
+		heap.Remove(&s.entries, index)
 	case ok:
-		a.entries.list[index].at = at
-		heap.Fix(&a.entries, index)
+		s.entries.list[index].at = at
+		heap.Fix(&s.entries, index)
 	case at != carobinstant.Never:
-		heap.Push(&a.entries, entry[K]{key: key, at: at})
+		heap.Push(&s.entries, entry[K]{key: key, at: at})
 	}
 }
 
 // NextDue returns the earliest instant, or Never if the schedule is empty.
-func (a *Schedule[K]) NextDue() carobinstant.Instant {
-	if len(a.entries.list) == 0 {
+func (s *Schedule[K]) NextDue() carobinstant.Instant {
+	if len(s.entries.list) == 0 {
 		return carobinstant.Never
 	}
-	return a.entries.list[0].at
+	return s.entries.list[0].at
 }
 
 // Pop removes and returns the key with the earliest instant. It returns false
 // if no key is due at now.
-func (a *Schedule[K]) Pop(now carobinstant.Instant) (key K, ok bool) {
-	if !a.NextDue().Reached(now) {
+func (s *Schedule[K]) Pop(now carobinstant.Instant) (key K, ok bool) {
+	if !s.NextDue().Reached(now) {
 		return key, false
 	}
-	due, _ := heap.Pop(&a.entries).(entry[K])
+	due, _ := heap.Pop(&s.entries).(entry[K])
 	return due.key, true
 }
 
 // Peek returns the key with the earliest instant, whether due or not. It
 // returns false if the schedule is empty.
-func (a *Schedule[K]) Peek() (key K, ok bool) {
-	if len(a.entries.list) == 0 {
+func (s *Schedule[K]) Peek() (key K, ok bool) {
+	if len(s.entries.list) == 0 {
 		return key, false
 	}
-	return a.entries.list[0].key, true
+	return s.entries.list[0].key, true
 }
 
 // Len returns the number of keys.
-func (a *Schedule[K]) Len() int {
-	return len(a.entries.list)
+func (s *Schedule[K]) Len() int {
+	return len(s.entries.list)
 }
 
 // entry is a key and the instant at which it is due.
--- a/pkg/carobtarget/target.go
+++ b/pkg/carobtarget/target.go
@@ -1,4 +1,4 @@
-// Package carobtarget holds the row of a target in the tables of a node.
+// Package carobtarget holds the rows of the table of targets.
 package carobtarget
 
 import (
@@ -26,7 +26,7 @@
 	Slots int `json:"slots"`
 	// Connections is the number of connections that the target accepts, at least 1.
 	Connections int `json:"conns"`
-	// Readiness says whether the target accepts new work.
+	// Readiness states whether the target accepts new work.
 	Readiness carobreadiness.Readiness `json:"state"`
 	// AnnouncedAt is when the newest announcement was received; Never on other nodes.
 	AnnouncedAt carobinstant.Instant `json:"-"`
--- a/pkg/carobtokenbucket/tokenbucket_test.go
+++ b/pkg/carobtokenbucket/tokenbucket_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against spending more than the initial capacity plus the rate over the
-// elapsed time, whatever the steps and prices.
+// elapsed time, whatever the steps and amounts.
 func TestSpentTokensStayBelowRateAndCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0, 1000).Draw(t, "rate")
--- a/pkg/carobtracing/system.go
+++ b/pkg/carobtracing/system.go
@@ -23,9 +23,9 @@
 type Config struct {
 	// Seed is the seed of the random span IDs.
 	Seed uint64
-	// NoTracePropagation disables the propagation of trace contexts; hops are still recorded. It is
-	// for deployments that do not join the hops of a call, because a trace context costs
-	// bytes on each hop.
+	// NoTracePropagation disables the propagation of trace contexts; hops are still
+	// recorded. It is for deployments that do not join the hops of a call, because a trace
+	// context costs bytes on each hop.
 	NoTracePropagation bool
 }
 
--- a/pkg/carobwatermark/watermark.go
+++ b/pkg/carobwatermark/watermark.go
@@ -1,4 +1,4 @@
-// Package carobwatermark holds the bounds that replace evicted records of jobs, one row
+// Package carobwatermark holds the bounds that replace evicted records of jobs, in one row
 // for each entry node.
 package carobwatermark
 
--- a/pkg/carobworld/world.go
+++ b/pkg/carobworld/world.go
@@ -84,7 +84,7 @@
 
 	// Targets has all known targets, including the node's own.
 	Targets *carobtable.Table[carobtargetid.ID, carobtarget.Target]
-	// Instances has the newest incarnation of a target at each address on the VM.
+	// Instances has the newest instance of a target at each address on the VM.
 	Instances *carobtable.Table[carobaddress.Address, carobinstance.Instance]
 	// TargetsChanged is true while Groups is out of date with respect to Targets.
 	TargetsChanged bool
@@ -97,8 +97,8 @@
 	PeerChanges uint64
 	// PendingGossip has the peers whose newest description this node still has to gossip.
 	PendingGossip *carobtable.Table[carobnodeid.ID, struct{}]
-	// LoggedAddresses has the addresses that the log records for nodes that are not known as peers.
-	// A node may no longer be at its address.
+	// LoggedAddresses has the addresses that the log records for nodes that are not known as
+	// peers. A node may no longer be at its address.
 	LoggedAddresses *carobtable.Table[carobnodeid.ID, carobaddress.Address]
 	// PendingHeartbeats has the heartbeats that have not been answered, by their number.
 	PendingHeartbeats *carobtable.Table[uint64, carobpendingheartbeat.PendingHeartbeat]
@@ -176,7 +176,7 @@
 	// OpenJobHops has the hops of the jobs at the node's own targets.
 	OpenJobHops *carobtable.Table[carobjobid.ID, carobopenhop.OpenHop]
 
-	// The tick at hand.
+	// The current tick.
 
 	Inbox  carobinbox.Inbox
 	Outbox caroboutbox.Outbox
@@ -191,14 +191,14 @@
 	maxChangesAfterGap = 1024
 )
 
-// maxUnansweredHeartbeats is the maximum number of unanswered heartbeats.
-const maxUnansweredHeartbeats = 64
+// maxPendingHeartbeats is the maximum number of rows of PendingHeartbeats.
+const maxPendingHeartbeats = 64
 
 // NewWorld returns a World with empty tables. Zero RetryLimits are replaced by the defaults.
 func NewWorld(c Config) *World {
 	const (
 		randomStream = 1
-		// probeBuckets is the number of things whose probing cost is limited.
+		// probeBuckets is the number of rows of ProbeBuckets: one each for bytes and processor time.
 		probeBuckets = 2
 	)
 	if c.RetryLimits == (carobretrylimits.RetryLimits{}) {
@@ -223,7 +223,7 @@
 		AdmissionStates:   carobtable.NewTable[carobtargetid.ID, carobadmissionstate.AdmissionState](carobtable.Config{Limit: c.Limits.Targets}),
 		PendingGossip:     carobtable.NewTable[carobnodeid.ID, struct{}](carobtable.Config{Limit: c.Limits.Peers}),
 		LoggedAddresses:   carobtable.NewTable[carobnodeid.ID, carobaddress.Address](carobtable.Config{Limit: c.Limits.Peers}),
-		PendingHeartbeats: carobtable.NewTable[uint64, carobpendingheartbeat.PendingHeartbeat](carobtable.Config{Limit: maxUnansweredHeartbeats}),
+		PendingHeartbeats: carobtable.NewTable[uint64, carobpendingheartbeat.PendingHeartbeat](carobtable.Config{Limit: maxPendingHeartbeats}),
 		Peers:             carobtable.NewTable[carobnodeid.ID, carobpeer.Peer](carobtable.Config{Limit: c.Limits.Peers}),
 		OpenCallHops:      carobtable.NewTable[carobcallid.ID, carobopenhop.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Calls}),
 		OpenJobHops:       carobtable.NewTable[carobjobid.ID, carobopenhop.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Jobs}),
@@ -321,9 +321,9 @@
 }
 
 // AuditRoutes records in the audit trail that a newer route table came from a source.
-func (w *World) AuditRoutes(from string, rs *carobroutetable.RouteTable) {
+func (w *World) AuditRoutes(from string, table *carobroutetable.RouteTable) {
 	w.Audit("routes", from, "route table",
-		strconv.FormatUint(uint64(w.RoutesVersion()), 10), strconv.FormatUint(uint64(rs.Version), 10))
+		strconv.FormatUint(uint64(w.RoutesVersion()), 10), strconv.FormatUint(uint64(table.Version), 10))
 }
 
 // SendMessage enqueues a control message and fills in this node as its sender.
