--- a/pkg/carobadmission/latency_test.go
+++ b/pkg/carobadmission/latency_test.go
@@ -15,26 +15,26 @@
 func TestLatencyFollowsMostRecentStarts(t *testing.T) {
 	const ms = time.Millisecond
 	start := carobinstant.Instant(time.Hour)
-	as := &carobadmissionstate.AdmissionState{}
+	state := &carobadmissionstate.AdmissionState{}
 	for i := range 50 {
 		at := start.Add(time.Duration(i) * 2 * ms)
-		updateLatency(as, at, at.Add(20*ms))
+		updateLatency(state, at, at.Add(20*ms))
 	}
-	require.InDelta(t, 20, float64(as.Latency/ms), 1)
+	require.InDelta(t, 20, float64(state.Latency/ms), 1)
 	// Slow calls of a spike that started before the newest calls change little.
 	spike := start.Add(-300 * ms)
 	for range 12 {
-		updateLatency(as, spike, spike.Add(450*ms))
+		updateLatency(state, spike, spike.Add(450*ms))
 	}
-	require.InDelta(t, 20, float64(as.Latency/ms), 2)
+	require.InDelta(t, 20, float64(state.Latency/ms), 2)
 	// Slow calls that started last raise the estimate.
 	for i := range 20 {
 		at := start.Add((200 + time.Duration(i)) * ms)
-		updateLatency(as, at, at.Add(200*ms))
+		updateLatency(state, at, at.Add(200*ms))
 	}
-	require.Greater(t, as.Latency, 150*ms)
+	require.Greater(t, state.Latency, 150*ms)
 	// After a minute without calls one call replaces nearly the whole estimate.
 	at := start.Add(time.Minute)
-	updateLatency(as, at, at.Add(20*ms))
-	require.InDelta(t, 20, float64(as.Latency/ms), 2)
+	updateLatency(state, at, at.Add(20*ms))
+	require.InDelta(t, 20, float64(state.Latency/ms), 2)
 }
--- a/pkg/carobadmission/limit.go
+++ b/pkg/carobadmission/limit.go
@@ -26,9 +26,9 @@
 // jobLimit returns how many jobs may run at a target now, at least 1. The limit is
 // lower while neighbours of the VM use its processor: jobs then take several times as
 // long, and starting more of them would only delay all of them.
-func jobLimit(as *carobadmissionstate.AdmissionState, now carobinstant.Instant) int {
-	slots := float64(as.Slots)
-	if as.Slowness > slownessThreshold && now.Sub(as.SlownessReadAt) < maxLimitReadingAge {
+func jobLimit(state *carobadmissionstate.AdmissionState, now carobinstant.Instant) int {
+	slots := float64(state.Slots)
+	if state.Slowness > slownessThreshold && now.Sub(state.SlownessReadAt) < maxLimitReadingAge {
 		slots *= slowSlotShare
 	}
 	return max(1, int(slots+0.5))
@@ -37,9 +37,9 @@
 // jobLimitFor returns the number of running jobs below which the job may start, at
 // least 1. Some slots are reserved for nested calls because targets that call each
 // other would deadlock if jobs waiting for nested calls held every slot.
-func jobLimitFor(as *carobadmissionstate.AdmissionState, now carobinstant.Instant, jb *carobjob.Job) int {
-	if isNested(jb) || as.LastNestedAt == carobinstant.Never || now.Sub(as.LastNestedAt) > reservationPeriod {
-		return as.Limit
+func jobLimitFor(state *carobadmissionstate.AdmissionState, now carobinstant.Instant, job *carobjob.Job) int {
+	if isNested(job) || state.LastNestedAt == carobinstant.Never || now.Sub(state.LastNestedAt) > reservationPeriod {
+		return state.Limit
 	}
-	return max(1, as.Limit-int(reservedSlotShare*float64(as.Limit)+0.5))
+	return max(1, state.Limit-int(reservedSlotShare*float64(state.Limit)+0.5))
 }
--- a/pkg/carobadmission/slowness.go
+++ b/pkg/carobadmission/slowness.go
@@ -48,48 +48,48 @@
 )
 
 // handleCheckResult records the result of a health check and updates the job limit.
-func handleCheckResult(w *carobworld.World, now carobinstant.Instant, result carobcheckresult.CheckResult) {
-	as := w.AdmissionStates.Get(result.Target)
-	if as == nil {
+func handleCheckResult(world *carobworld.World, now carobinstant.Instant, result carobcheckresult.CheckResult) {
+	state := world.AdmissionStates.Get(result.Target)
+	if state == nil {
 		return
 	}
-	as.CheckSentAt = carobinstant.Never
+	state.CheckSentAt = carobinstant.Never
 	switch {
 	case result.TargetLoad == nil:
-		as.CheckBackoffEnd = now.Add(unansweredBackoff)
+		state.CheckBackoffEnd = now.Add(unansweredBackoff)
 		return
 	case result.TargetLoad.Slowness == 0:
-		as.CheckBackoffEnd = now.Add(noReadingBackoff)
+		state.CheckBackoffEnd = now.Add(noReadingBackoff)
 		return
 	}
-	recordReading(as, now, result.TargetLoad.Slowness)
-	as.Limit = jobLimit(as, now)
-	as.ReportDue = true
+	recordReading(state, now, result.TargetLoad.Slowness)
+	state.Limit = jobLimit(state, now)
+	state.ReportDue = true
 }
 
 // recordReading records a slowness reading of a target's VM. A reading that is not slow
 // becomes the baseline at once. If all readings are slow for baselineDelay, at most
 // maxReadingGap apart, their minimum becomes the baseline.
-func recordReading(as *carobadmissionstate.AdmissionState, now carobinstant.Instant, slowness float64) {
-	previous := as.SlownessReadAt
-	as.Slowness, as.SlownessReadAt = slowness, now
+func recordReading(state *carobadmissionstate.AdmissionState, now carobinstant.Instant, slowness float64) {
+	previous := state.SlownessReadAt
+	state.Slowness, state.SlownessReadAt = slowness, now
 	switch {
-	case !isSlow(as):
-		as.Baseline, as.SlowSince = max(1, slowness), carobinstant.Never
-	case as.SlowSince == carobinstant.Never || now.Sub(previous) > maxReadingGap:
-		as.SlowSince, as.MinSlowness = now, slowness
+	case !isSlow(state):
+		state.Baseline, state.SlowSince = max(1, slowness), carobinstant.Never
+	case state.SlowSince == carobinstant.Never || now.Sub(previous) > maxReadingGap:
+		state.SlowSince, state.MinSlowness = now, slowness
 	default:
-		as.MinSlowness = min(as.MinSlowness, slowness)
-		if as.SlowSince.Add(baselineDelay).Reached(now) {
-			as.Baseline, as.SlowSince = as.MinSlowness, carobinstant.Never
+		state.MinSlowness = min(state.MinSlowness, slowness)
+		if state.SlowSince.Add(baselineDelay).Reached(now) {
+			state.Baseline, state.SlowSince = state.MinSlowness, carobinstant.Never
 		}
 	}
 }
 
 // isSlow reports whether the newest reading is above slownessThreshold times the
 // baseline.
-func isSlow(as *carobadmissionstate.AdmissionState) bool {
-	return as.Slowness > slownessThreshold*max(1, as.Baseline)
+func isSlow(state *carobadmissionstate.AdmissionState) bool {
+	return state.Slowness > slownessThreshold*max(1, state.Baseline)
 }
 
 // mayStart reports whether the VM of a target is fast enough to start a job now. It
@@ -97,43 +97,43 @@
 // can be obtained: if checks are disabled or backing off, if a check takes longer than
 // checkTimeout, or if the check budget is spent and there is no slow reading younger
 // than maxReadingGap.
-func mayStart(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target, as *carobadmissionstate.AdmissionState) bool {
-	rate := float64(w.ProbeLimits.ChecksPerSecond)
-	if rate == 0 || as.CheckBackoffEnd != carobinstant.Never && !as.CheckBackoffEnd.Reached(now) {
+func mayStart(world *carobworld.World, now carobinstant.Instant, target *carobtarget.Target, state *carobadmissionstate.AdmissionState) bool {
+	rate := float64(world.ProbeLimits.ChecksPerSecond)
+	if rate == 0 || state.CheckBackoffEnd != carobinstant.Never && !state.CheckBackoffEnd.Reached(now) {
 		return true
 	}
-	if as.SlownessReadAt != carobinstant.Never && !isSlow(as) && now.Sub(as.SlownessReadAt) < maxReadingAge {
+	if state.SlownessReadAt != carobinstant.Never && !isSlow(state) && now.Sub(state.SlownessReadAt) < maxReadingAge {
 		return true
 	}
-	if until := as.SlownessReadAt.Add(maxSlowReadingAge); isSlow(as) && !until.Reached(now) {
-		w.WakeAt(until)
+	if until := state.SlownessReadAt.Add(maxSlowReadingAge); isSlow(state) && !until.Reached(now) {
+		world.WakeAt(until)
 		return false
 	}
-	if as.CheckSentAt != carobinstant.Never {
-		due := as.CheckSentAt.Add(checkTimeout)
-		w.WakeAt(due)
+	if state.CheckSentAt != carobinstant.Never {
+		due := state.CheckSentAt.Add(checkTimeout)
+		world.WakeAt(due)
 		return due.Reached(now)
 	}
-	as.CheckBudget.Fill(now, rate, checkBurst*rate)
-	if !as.CheckBudget.Take(1) {
-		w.WakeAt(now.Add(maxSlowReadingAge))
-		return !isSlow(as) || now.Sub(as.SlownessReadAt) >= maxReadingGap
+	state.CheckBudget.Fill(now, rate, checkBurst*rate)
+	if !state.CheckBudget.Take(1) {
+		world.WakeAt(now.Add(maxSlowReadingAge))
+		return !isSlow(state) || now.Sub(state.SlownessReadAt) >= maxReadingGap
 	}
-	as.CheckSentAt = now
-	w.Outbox.HealthChecks = append(w.Outbox.HealthChecks, carobhealthcheck.HealthCheck{Target: tg.ID, Address: tg.Address})
-	w.WakeAt(now.Add(checkTimeout))
+	state.CheckSentAt = now
+	world.Outbox.HealthChecks = append(world.Outbox.HealthChecks, carobhealthcheck.HealthCheck{Target: target.ID, Address: target.Address})
+	world.WakeAt(now.Add(checkTimeout))
 	return false
 }
 
 // refuseMovable refuses the queued jobs that can move to another target while this
 // target's VM is slow, because another target may run them sooner.
-func refuseMovable(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, as *carobadmissionstate.AdmissionState) {
-	if w.ProbeLimits.ChecksPerSecond == 0 || !isSlow(as) || now.Sub(as.SlownessReadAt) > maxSlowReadingAge {
+func refuseMovable(world *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, state *carobadmissionstate.AdmissionState) {
+	if world.ProbeLimits.ChecksPerSecond == 0 || !isSlow(state) || now.Sub(state.SlownessReadAt) > maxSlowReadingAge {
 		return
 	}
-	for _, jb := range w.Jobs.All() {
-		if jb.Offer.Target == id && jb.StartedAt == carobinstant.Never && jb.Offer.Requirements.Movable {
-			shed(w, now, jb, as, "VM is slow")
+	for _, job := range world.Jobs.All() {
+		if job.Offer.Target == id && job.StartedAt == carobinstant.Never && job.Offer.Requirements.Movable {
+			shed(world, now, job, state, "VM is slow")
 		}
 	}
 }
--- a/pkg/carobadmission/system.go
+++ b/pkg/carobadmission/system.go
@@ -37,105 +37,105 @@
 
 // Run handles the tick's health check results, offers and finished jobs, refuses
 // expired jobs, starts queued jobs while slots are free, and publishes load reports.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	if w.Paused {
-		withdrawQueued(w)
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	if world.Paused {
+		withdrawQueued(world)
 	}
-	for _, result := range w.Inbox.CheckResults {
-		handleCheckResult(w, now, result)
+	for _, result := range world.Inbox.CheckResults {
+		handleCheckResult(world, now, result)
 	}
-	for _, of := range w.Inbox.Offers {
-		handleOffer(w, now, of)
+	for _, offer := range world.Inbox.Offers {
+		handleOffer(world, now, offer)
 	}
-	for _, fn := range w.Inbox.Finishes {
-		handleFinish(w, now, fn)
+	for _, finish := range world.Inbox.Finishes {
+		handleFinish(world, now, finish)
 	}
-	expireQueued(w, now)
-	for id, as := range w.AdmissionStates.All() {
-		if as.Queued > 0 {
-			refuseMovable(w, now, id, as)
-			startQueued(w, now, id, as)
+	expireQueued(world, now)
+	for id, state := range world.AdmissionStates.All() {
+		if state.Queued > 0 {
+			refuseMovable(world, now, id, state)
+			startQueued(world, now, id, state)
 		}
 	}
-	publishReports(w)
+	publishReports(world)
 }
 
 // withdrawQueued refuses the jobs that were queued before the node was paused. Their
 // callers may have disconnected in the meantime; callers that still wait send their
 // calls again.
-func withdrawQueued(w *carobworld.World) {
-	for _, jb := range w.Jobs.All() {
-		if jb.StartedAt == carobinstant.Never {
-			carobfencing.RefuseQueued(w, jb, carobkind.Withdrawn)
+func withdrawQueued(world *carobworld.World) {
+	for _, job := range world.Jobs.All() {
+		if job.StartedAt == carobinstant.Never {
+			carobfencing.RefuseQueued(world, job, carobkind.Withdrawn)
 		}
 	}
 }
 
 // handleOffer refuses an offer, starts its job, or enqueues it. If the queue is then
 // too long, its least urgent job is shed. Offers of a known job are ignored.
-func handleOffer(w *carobworld.World, now carobinstant.Instant, of caroboffer.Offer) {
-	if isDuplicate(w, of.Job) {
+func handleOffer(world *carobworld.World, now carobinstant.Instant, offer caroboffer.Offer) {
+	if isDuplicate(world, offer.Job) {
 		return
 	}
-	tg := w.Targets.Get(of.Target)
-	if kind := refusalKind(w, now, tg, of); kind != carobkind.None {
-		refuse(w, of, kind)
+	target := world.Targets.Get(offer.Target)
+	if kind := refusalKind(world, now, target, offer); kind != carobkind.None {
+		refuse(world, offer, kind)
 		return
 	}
-	as := w.AdmissionStates.Get(of.Target)
-	if as == nil || w.Jobs.Full() {
-		refuse(w, of, carobkind.Busy)
+	state := world.AdmissionStates.Get(offer.Target)
+	if state == nil || world.Jobs.Full() {
+		refuse(world, offer, carobkind.Busy)
 		return
 	}
-	jb := w.Jobs.Put(of.Job, carobjob.Job{Offer: of, ArrivedAt: now, Deadline: now.Add(of.TimeLeft)})
-	as.ReportDue = true
-	as.Limit = jobLimit(as, now)
-	if isNested(jb) {
-		as.LastNestedAt = now
+	job := world.Jobs.Put(offer.Job, carobjob.Job{Offer: offer, ArrivedAt: now, Deadline: now.Add(offer.TimeLeft)})
+	state.ReportDue = true
+	state.Limit = jobLimit(state, now)
+	if isNested(job) {
+		state.LastNestedAt = now
 	}
-	if as.Running < jobLimitFor(as, now, jb) && as.Queued == 0 && mayStart(w, now, tg, as) {
-		startJob(w, now, jb, tg, as)
+	if state.Running < jobLimitFor(state, now, job) && state.Queued == 0 && mayStart(world, now, target, state) {
+		startJob(world, now, job, target, state)
 		return
 	}
-	as.Queued++
-	if as.Queued > queueLimit(w, tg)+max(0, as.Limit-as.Running) {
-		jb := leastUrgent(w, now, of.Target)
-		shed(w, now, jb, as, "queue full")
+	state.Queued++
+	if state.Queued > queueLimit(world, target)+max(0, state.Limit-state.Running) {
+		job := leastUrgent(world, now, offer.Target)
+		shed(world, now, job, state, "queue full")
 	}
 }
 
 // shed refuses a queued job with kind Busy and records the reason as a decision.
-func shed(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, as *carobadmissionstate.AdmissionState, reason string) {
-	w.RecordDecision(carobdecision.Decision{
-		Component: "admit", Text: reason, Request: jb.Offer.Requirements.Request, Call: jb.Offer.Job.Call,
-		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Kind: carobkind.Busy, Inputs: decisionInputs(as, now, jb.ArrivedAt),
+func shed(world *carobworld.World, now carobinstant.Instant, job *carobjob.Job, state *carobadmissionstate.AdmissionState, reason string) {
+	world.RecordDecision(carobdecision.Decision{
+		Component: "admit", Text: reason, Request: job.Offer.Requirements.Request, Call: job.Offer.Job.Call,
+		Attempt: job.Offer.Job.Attempt, Target: job.Offer.Target, Kind: carobkind.Busy, Inputs: decisionInputs(state, now, job.ArrivedAt),
 	})
-	carobfencing.RefuseQueued(w, jb, carobkind.Busy)
+	carobfencing.RefuseQueued(world, job, carobkind.Busy)
 }
 
 // isDuplicate reports whether an offer of the job was accepted before. A duplicate
 // offer is not refused, because a refusal states that the job did not run.
-func isDuplicate(w *carobworld.World, job carobjobid.ID) bool {
-	if w.Jobs.Get(job) != nil {
+func isDuplicate(world *carobworld.World, job carobjobid.ID) bool {
+	if world.Jobs.Get(job) != nil {
 		return true
 	}
-	_, ok := w.EndedJobs.Get(job)
+	_, ok := world.EndedJobs.Get(job)
 	return ok
 }
 
 // refusalKind returns the kind with which an offer is refused regardless of load, or
 // None.
-func refusalKind(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target, of caroboffer.Offer) carobkind.Kind {
+func refusalKind(world *carobworld.World, now carobinstant.Instant, target *carobtarget.Target, offer caroboffer.Offer) carobkind.Kind {
 	switch {
-	case of.Incarnation != w.Self.Incarnation, tg == nil, !w.Owns(tg):
+	case offer.Incarnation != world.Self.Incarnation, target == nil, !world.Owns(target):
 		return carobkind.Stale
-	case w.Paused, carobfencing.IsFenced(w, of.Job):
+	case world.Paused, carobfencing.IsFenced(world, offer.Job):
 		return carobkind.Withdrawn
-	case w.Stopping, tg.Readiness == carobreadiness.Leaving:
+	case world.Stopping, target.Readiness == carobreadiness.Leaving:
 		return carobkind.Leaving
-	case of.TimeLeft <= 0:
+	case offer.TimeLeft <= 0:
 		return carobkind.NotStartedInTime
-	case of.Requirements.Guarantee != carobguarantee.Idempotent && w.ShutdownDeadline.Before(now.Add(of.TimeLeft)):
+	case offer.Requirements.Guarantee != carobguarantee.Idempotent && world.ShutdownDeadline.Before(now.Add(offer.TimeLeft)):
 		// If the node exited before the response, the entry node could not find out
 		// whether the job ran.
 		return carobkind.Leaving
@@ -146,49 +146,49 @@
 
 // queueLimit returns the queue length that the target's profile allows; 0 if the
 // profile is unknown.
-func queueLimit(w *carobworld.World, tg *carobtarget.Target) int {
-	rv := w.Profiles.Get(tg.Profile)
-	if rv == nil {
+func queueLimit(world *carobworld.World, target *carobtarget.Target) int {
+	revision := world.Profiles.Get(target.Profile)
+	if revision == nil {
 		return 0
 	}
-	return rv.Change.Profile.QueueLimit
+	return revision.Change.Profile.QueueLimit
 }
 
 // startJob marks the job as started and adds the start to the outbox.
-func startJob(w *carobworld.World, now carobinstant.Instant, jb *carobjob.Job, tg *carobtarget.Target, as *carobadmissionstate.AdmissionState) {
-	jb.StartedAt = now
-	as.Running++
-	w.RecordDecision(carobdecision.Decision{
-		Component: "admit", Text: "job started", Request: jb.Offer.Requirements.Request, Call: jb.Offer.Job.Call,
-		Attempt: jb.Offer.Job.Attempt, Target: jb.Offer.Target, Inputs: decisionInputs(as, now, jb.ArrivedAt),
+func startJob(world *carobworld.World, now carobinstant.Instant, job *carobjob.Job, target *carobtarget.Target, state *carobadmissionstate.AdmissionState) {
+	job.StartedAt = now
+	state.Running++
+	world.RecordDecision(carobdecision.Decision{
+		Component: "admit", Text: "job started", Request: job.Offer.Requirements.Request, Call: job.Offer.Job.Call,
+		Attempt: job.Offer.Job.Attempt, Target: job.Offer.Target, Inputs: decisionInputs(state, now, job.ArrivedAt),
 	})
-	w.Outbox.Starts = append(w.Outbox.Starts, carobstart.Start{
-		Job: jb.Offer.Job, Address: tg.Address, TimeLeft: jb.Deadline.Sub(now),
-		Guarantee: jb.Offer.Requirements.Guarantee,
+	world.Outbox.Starts = append(world.Outbox.Starts, carobstart.Start{
+		Job: job.Offer.Job, Address: target.Address, TimeLeft: job.Deadline.Sub(now),
+		Guarantee: job.Offer.Requirements.Guarantee,
 	})
 }
 
 // handleFinish removes a finished job, and records its latency and the slowness reading
 // of the response. A job that is still queued is withdrawn.
-func handleFinish(w *carobworld.World, now carobinstant.Instant, fn carobfinish.Finish) {
-	jb := w.Jobs.Get(fn.Job)
-	if jb == nil {
+func handleFinish(world *carobworld.World, now carobinstant.Instant, finish carobfinish.Finish) {
+	job := world.Jobs.Get(finish.Job)
+	if job == nil {
 		return
 	}
-	as := w.AdmissionStates.Get(jb.Offer.Target)
-	if jb.StartedAt == carobinstant.Never {
-		carobfencing.RefuseQueued(w, jb, carobkind.Withdrawn)
+	state := world.AdmissionStates.Get(job.Offer.Target)
+	if job.StartedAt == carobinstant.Never {
+		carobfencing.RefuseQueued(world, job, carobkind.Withdrawn)
 		return
 	}
-	as.Running--
-	as.ReportDue = true
-	if load := fn.TargetLoad; load != nil {
-		recordReading(as, now, load.Slowness)
+	state.Running--
+	state.ReportDue = true
+	if load := finish.TargetLoad; load != nil {
+		recordReading(state, now, load.Slowness)
 	}
-	as.Limit = jobLimit(as, now)
-	updateLatency(as, jb.StartedAt, now)
-	carobfencing.RecordEnded(w, fn)
-	w.Jobs.Delete(fn.Job)
+	state.Limit = jobLimit(state, now)
+	updateLatency(state, job.StartedAt, now)
+	carobfencing.RecordEnded(world, finish)
+	world.Jobs.Delete(finish.Job)
 }
 
 const (
@@ -206,87 +206,87 @@
 // when the call started: slow calls of a short load spike end long after the spike and
 // must not outweigh fast calls that started later. After an interval without calls the
 // next call replaces nearly the whole estimate.
-func updateLatency(as *carobadmissionstate.AdmissionState, started, now carobinstant.Instant) {
+func updateLatency(state *carobadmissionstate.AdmissionState, started, now carobinstant.Instant) {
 	const weight = 1.0 / 8
-	duration, sinceNewest := float64(now.Sub(started)), started.Sub(as.LatencyStart)
+	duration, sinceNewest := float64(now.Sub(started)), started.Sub(state.LatencyStart)
 	var share float64
 	switch {
-	case as.LatencyStart == carobinstant.Never:
+	case state.LatencyStart == carobinstant.Never:
 		share = 1
 	case sinceNewest < 0:
 		share = weight * math.Exp(float64(sinceNewest)/float64(earlierStartTimeConstant))
 	default:
 		share = max(weight, 1-math.Exp(-float64(sinceNewest)/float64(latencyTimeConstant)))
 	}
-	as.Latency += time.Duration(share * (duration - float64(as.Latency)))
+	state.Latency += time.Duration(share * (duration - float64(state.Latency)))
 	if sinceNewest > 0 {
-		as.LatencyStart = started
+		state.LatencyStart = started
 	}
 }
 
 // expireQueued refuses queued jobs whose deadline has passed, and those whose target is
 // unknown or leaving.
-func expireQueued(w *carobworld.World, now carobinstant.Instant) {
-	for _, jb := range w.Jobs.All() {
-		if jb.StartedAt != carobinstant.Never {
+func expireQueued(world *carobworld.World, now carobinstant.Instant) {
+	for _, job := range world.Jobs.All() {
+		if job.StartedAt != carobinstant.Never {
 			continue
 		}
-		if tg := w.Targets.Get(jb.Offer.Target); tg == nil || tg.Readiness == carobreadiness.Leaving {
-			carobfencing.RefuseQueued(w, jb, carobkind.Leaving)
+		if target := world.Targets.Get(job.Offer.Target); target == nil || target.Readiness == carobreadiness.Leaving {
+			carobfencing.RefuseQueued(world, job, carobkind.Leaving)
 			continue
 		}
-		if !jb.Deadline.Reached(now) {
-			w.WakeAt(jb.Deadline)
+		if !job.Deadline.Reached(now) {
+			world.WakeAt(job.Deadline)
 			continue
 		}
-		carobfencing.RefuseQueued(w, jb, carobkind.NotStartedInTime)
+		carobfencing.RefuseQueued(world, job, carobkind.NotStartedInTime)
 	}
 }
 
 // startQueued starts the target's queued jobs, the most urgent first, while slots are
 // free and the VM is not slow.
-func startQueued(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, as *carobadmissionstate.AdmissionState) {
-	tg := w.Targets.Get(id)
-	for tg != nil && as.Queued > 0 && as.Running < as.Limit && mayStart(w, now, tg, as) {
-		jb := mostUrgent(w, now, id)
-		if jb == nil || as.Running >= jobLimitFor(as, now, jb) {
+func startQueued(world *carobworld.World, now carobinstant.Instant, id carobtargetid.ID, state *carobadmissionstate.AdmissionState) {
+	target := world.Targets.Get(id)
+	for target != nil && state.Queued > 0 && state.Running < state.Limit && mayStart(world, now, target, state) {
+		job := mostUrgent(world, now, id)
+		if job == nil || state.Running >= jobLimitFor(state, now, job) {
 			return
 		}
-		as.Queued--
-		as.ReportDue = true
-		startJob(w, now, jb, tg, as)
+		state.Queued--
+		state.ReportDue = true
+		startJob(world, now, job, target, state)
 	}
 }
 
 // refuse refuses an offer that was not enqueued.
-func refuse(w *carobworld.World, of caroboffer.Offer, kind carobkind.Kind) {
-	w.Outbox.Refusals = append(w.Outbox.Refusals, carobrefusal.Refusal{Job: of.Job, Kind: kind})
-	w.RecordDecision(carobdecision.Decision{
-		Component: "admit", Text: "job refused", Request: of.Requirements.Request, Call: of.Job.Call,
-		Attempt: of.Job.Attempt, Target: of.Target, Kind: kind,
+func refuse(world *carobworld.World, offer caroboffer.Offer, kind carobkind.Kind) {
+	world.Outbox.Refusals = append(world.Outbox.Refusals, carobrefusal.Refusal{Job: offer.Job, Kind: kind})
+	world.RecordDecision(carobdecision.Decision{
+		Component: "admit", Text: "job refused", Request: offer.Requirements.Request, Call: offer.Job.Call,
+		Attempt: offer.Job.Attempt, Target: offer.Target, Kind: kind,
 	})
 }
 
 // decisionInputs returns the values that admission decisions are based on.
-func decisionInputs(as *carobadmissionstate.AdmissionState, now, arrived carobinstant.Instant) []carobinput.Input {
+func decisionInputs(state *carobadmissionstate.AdmissionState, now, arrived carobinstant.Instant) []carobinput.Input {
 	return []carobinput.Input{
-		{Name: "running", Value: float64(as.Running)},
-		{Name: "queued", Value: float64(as.Queued)},
-		{Name: "limit", Value: float64(as.Limit)},
-		{Name: "slowness", Value: as.Slowness},
-		carobinput.Age("toldms", now, as.SlownessReadAt), carobinput.Age("waitedms", now, arrived),
+		{Name: "running", Value: float64(state.Running)},
+		{Name: "queued", Value: float64(state.Queued)},
+		{Name: "limit", Value: float64(state.Limit)},
+		{Name: "slowness", Value: state.Slowness},
+		carobinput.Age("toldms", now, state.SlownessReadAt), carobinput.Age("waitedms", now, arrived),
 	}
 }
 
 // publishReports adds a report to the outbox for each target whose load changed.
-func publishReports(w *carobworld.World) {
-	for id, as := range w.AdmissionStates.All() {
-		if !as.ReportDue {
+func publishReports(world *carobworld.World) {
+	for id, state := range world.AdmissionStates.All() {
+		if !state.ReportDue {
 			continue
 		}
-		as.ReportDue = false
-		w.Outbox.Reports = append(w.Outbox.Reports, carobreport.Report{
-			Target: id, Running: as.Running, Queued: as.Queued, Slots: as.Limit, Latency: carobduration.Duration(as.Latency),
+		state.ReportDue = false
+		world.Outbox.Reports = append(world.Outbox.Reports, carobreport.Report{
+			Target: id, Running: state.Running, Queued: state.Queued, Slots: state.Limit, Latency: carobduration.Duration(state.Latency),
 		})
 	}
 }
--- a/pkg/carobadmission/urgency.go
+++ b/pkg/carobadmission/urgency.go
@@ -15,25 +15,25 @@
 const maxNestedSLO = 200 * time.Millisecond
 
 // mostUrgent returns the queued job that the target starts next; nil if none is queued.
-func mostUrgent(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID) *carobjob.Job {
-	return selectQueued(w, id, func(a, b *carobjob.Job) bool { return compareUrgency(now, a, b) < 0 })
+func mostUrgent(world *carobworld.World, now carobinstant.Instant, id carobtargetid.ID) *carobjob.Job {
+	return selectQueued(world, id, func(a, b *carobjob.Job) bool { return compareUrgency(now, a, b) < 0 })
 }
 
 // leastUrgent returns the queued job that the target sheds next; nil if none is queued.
-func leastUrgent(w *carobworld.World, now carobinstant.Instant, id carobtargetid.ID) *carobjob.Job {
-	return selectQueued(w, id, func(a, b *carobjob.Job) bool { return compareUrgency(now, a, b) > 0 })
+func leastUrgent(world *carobworld.World, now carobinstant.Instant, id carobtargetid.ID) *carobjob.Job {
+	return selectQueued(world, id, func(a, b *carobjob.Job) bool { return compareUrgency(now, a, b) > 0 })
 }
 
 // selectQueued returns the target's queued job that precedes all others; nil if none is
 // queued.
-func selectQueued(w *carobworld.World, id carobtargetid.ID, precedes func(a, b *carobjob.Job) bool) *carobjob.Job {
+func selectQueued(world *carobworld.World, id carobtargetid.ID, precedes func(a, b *carobjob.Job) bool) *carobjob.Job {
 	var best *carobjob.Job
-	for _, jb := range w.Jobs.All() {
-		if jb.Offer.Target != id || jb.StartedAt != carobinstant.Never {
+	for _, job := range world.Jobs.All() {
+		if job.Offer.Target != id || job.StartedAt != carobinstant.Never {
 			continue
 		}
-		if best == nil || precedes(jb, best) {
-			best = jb
+		if best == nil || precedes(job, best) {
+			best = job
 		}
 	}
 	return best
@@ -60,23 +60,23 @@
 
 // isLate reports whether the job has missed its SLO. Nested calls and calls without an
 // SLO are never late.
-func isLate(now carobinstant.Instant, jb *carobjob.Job) bool {
-	return jb.Offer.Requirements.SLO > 0 && !isNested(jb) && dueAt(jb).Reached(now)
+func isLate(now carobinstant.Instant, job *carobjob.Job) bool {
+	return job.Offer.Requirements.SLO > 0 && !isNested(job) && dueAt(job).Reached(now)
 }
 
 // dueAt returns when the response is due by the caller's SLO, or the deadline if the
 // call has no SLO.
-func dueAt(jb *carobjob.Job) carobinstant.Instant {
-	if jb.Offer.Requirements.SLO == 0 {
-		return jb.Deadline
+func dueAt(job *carobjob.Job) carobinstant.Instant {
+	if job.Offer.Requirements.SLO == 0 {
+		return job.Deadline
 	}
-	return jb.ArrivedAt.Add(jb.Offer.Requirements.SLOTimeLeft)
+	return job.ArrivedAt.Add(job.Offer.Requirements.SLOTimeLeft)
 }
 
 // isNested reports whether another job waits for this call. Nested calls are identified
 // by their SLO, which is shorter than that of any external caller.
-func isNested(jb *carobjob.Job) bool {
-	return jb.Offer.Requirements.SLO > 0 && jb.Offer.Requirements.SLO <= maxNestedSLO
+func isNested(job *carobjob.Job) bool {
+	return job.Offer.Requirements.SLO > 0 && job.Offer.Requirements.SLO <= maxNestedSLO
 }
 
 func boolToInt(b bool) int {
--- a/pkg/carobadmission/urgency_test.go
+++ b/pkg/carobadmission/urgency_test.go
@@ -40,13 +40,13 @@
 }
 
 func newRig(slots, queue int) *rig {
-	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "here", Incarnation: 1}, Limits: caroblimits.NewLimits()})
-	pf := carobprofile.NewProfile("p")
-	pf.QueueLimit = queue
-	w.Profiles.Put("p", carobrevision.Revision{Change: carobchange.Change{Profile: pf}})
-	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: slots, Readiness: carobreadiness.Ready})
-	w.AdmissionStates.Put(target, carobadmissionstate.AdmissionState{Slots: slots, Limit: slots})
-	return &rig{world: w, system: carobadmission.NewSystem(), now: carobinstant.Instant(time.Hour)}
+	world := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "here", Incarnation: 1}, Limits: caroblimits.NewLimits()})
+	profile := carobprofile.NewProfile("p")
+	profile.QueueLimit = queue
+	world.Profiles.Put("p", carobrevision.Revision{Change: carobchange.Change{Profile: profile}})
+	world.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: slots, Readiness: carobreadiness.Ready})
+	world.AdmissionStates.Put(target, carobadmissionstate.AdmissionState{Slots: slots, Limit: slots})
+	return &rig{world: world, system: carobadmission.NewSystem(), now: carobinstant.Instant(time.Hour)}
 }
 
 func (r *rig) step(d time.Duration, in carobinbox.Inbox) {
@@ -56,11 +56,11 @@
 }
 
 // offer steps with the offer of a new job and returns the job's ID.
-func (r *rig) offer(ws carobrequirements.Requirements) carobjobid.ID {
+func (r *rig) offer(required carobrequirements.Requirements) carobjobid.ID {
 	r.next++
 	job := carobjobid.ID{Call: carobcallid.ID{Node: "there", Incarnation: 1, Sequence: r.next}, Attempt: 1}
 	r.step(time.Millisecond, carobinbox.Inbox{Offers: []caroboffer.Offer{
-		{Job: job, Target: target, Incarnation: 1, TimeLeft: 10 * time.Second, Requirements: ws},
+		{Job: job, Target: target, Incarnation: 1, TimeLeft: 10 * time.Second, Requirements: required},
 	}})
 	return job
 }
--- a/pkg/carobcore/core.go
+++ b/pkg/carobcore/core.go
@@ -100,8 +100,8 @@
 // NewCore returns a Core with empty tables, apart from the configured profiles.
 func NewCore(c Config) *Core {
 	world := carobworld.NewWorld(c.World)
-	for _, pf := range c.Profiles {
-		world.Profiles.Put(pf.Name, carobrevision.Revision{Offset: caroboffset.BeforeFirst, Change: carobchange.Change{Profile: pf}})
+	for _, profile := range c.Profiles {
+		world.Profiles.Put(profile.Name, carobrevision.Revision{Offset: caroboffset.BeforeFirst, Change: carobchange.Change{Profile: profile}})
 	}
 	return &Core{
 		world: world,
--- a/pkg/carobdetection/monitorset.go
+++ b/pkg/carobdetection/monitorset.go
@@ -33,16 +33,16 @@
 }
 
 // next returns the next peer that is not down; nil if there is none.
-func (m *monitorSet) next(w *carobworld.World, now carobinstant.Instant) *carobpeer.Peer {
-	if m.nextDraw == carobinstant.Never || m.nextDraw.Reached(now) || m.peerCount != w.Peers.Len() {
-		m.draw(w)
-		m.nextDraw, m.peerCount = now.Add(redrawInterval), w.Peers.Len()
+func (m *monitorSet) next(world *carobworld.World, now carobinstant.Instant) *carobpeer.Peer {
+	if m.nextDraw == carobinstant.Never || m.nextDraw.Reached(now) || m.peerCount != world.Peers.Len() {
+		m.draw(world)
+		m.nextDraw, m.peerCount = now.Add(redrawInterval), world.Peers.Len()
 	}
 	for range m.nodes {
 		m.current = (m.current + 1) % len(m.nodes)
-		pr := w.Peers.Get(m.nodes[m.current])
-		if pr != nil && !pr.Member.Liveness.Down() {
-			return pr
+		peer := world.Peers.Get(m.nodes[m.current])
+		if peer != nil && !peer.Member.Liveness.Down() {
+			return peer
 		}
 	}
 	return nil
@@ -50,34 +50,34 @@
 
 // draw fills the set with the successors on the ring and random peers of this node's data
 // centre and of others.
-func (m *monitorSet) draw(w *carobworld.World) {
-	m.nodes = ringSuccessors(w)
+func (m *monitorSet) draw(world *carobworld.World) {
+	m.nodes = ringSuccessors(world)
 	add := func(sample []*carobpeer.Peer) {
-		for _, pr := range sample {
-			if !slices.Contains(m.nodes, pr.Member.Node) {
-				m.nodes = append(m.nodes, pr.Member.Node)
+		for _, peer := range sample {
+			if !slices.Contains(m.nodes, peer.Member.Node) {
+				m.nodes = append(m.nodes, peer.Member.Node)
 			}
 		}
 	}
-	add(w.SamplePeers(randomNear, func(pr *carobpeer.Peer) bool {
-		return !pr.Member.Liveness.Down() && pr.Member.Centre == w.Self.Centre
+	add(world.SamplePeers(randomNear, func(peer *carobpeer.Peer) bool {
+		return !peer.Member.Liveness.Down() && peer.Member.Centre == world.Self.Centre
 	}))
-	add(w.SamplePeers(randomFar, func(pr *carobpeer.Peer) bool {
-		return !pr.Member.Liveness.Down() && pr.Member.Centre != w.Self.Centre
+	add(world.SamplePeers(randomFar, func(peer *carobpeer.Peer) bool {
+		return !peer.Member.Liveness.Down() && peer.Member.Centre != world.Self.Centre
 	}))
 }
 
 // ringSuccessors returns the nearest nodes that follow this one on the hash ring of node
 // ids.
-func ringSuccessors(w *carobworld.World) []carobnodeid.ID {
+func ringSuccessors(world *carobworld.World) []carobnodeid.ID {
 	type successor struct {
 		node     carobnodeid.ID
 		distance uint64
 	}
-	own := carobmemberversion.Hash(w.Self.Node)
+	own := carobmemberversion.Hash(world.Self.Node)
 	var next []successor
-	for id, pr := range w.Peers.All() {
-		if pr.Member.Liveness.Down() {
+	for id, peer := range world.Peers.All() {
+		if peer.Member.Liveness.Down() {
 			continue
 		}
 		next = append(next, successor{id, carobmemberversion.Hash(id) - own})
--- a/pkg/carobdetection/restart_test.go
+++ b/pkg/carobdetection/restart_test.go
@@ -21,16 +21,16 @@
 // with the checksums that make both sides compare their peer tables.
 func TestNodeThatLeftGetsHeartbeatsWhileItMayRestart(t *testing.T) {
 	start := carobinstant.Instant(time.Hour)
-	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "self", PeerAddress: "127.0.0.1:1"}, Limits: caroblimits.NewLimits()})
-	w.Peers.Put("gone", carobpeer.Peer{
+	world := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "self", PeerAddress: "127.0.0.1:1"}, Limits: caroblimits.NewLimits()})
+	world.Peers.Put("gone", carobpeer.Peer{
 		Member: carobmember.Member{Node: "gone", PeerAddress: "127.0.0.1:2", Liveness: carobliveness.Left}, LivenessSince: start,
 	})
 	system := carobdetection.NewSystem()
 	sent := map[bool]int{}
 	for now := start; now.Sub(start) < time.Minute; now = now.Add(100 * time.Millisecond) {
-		w.BeginTick(carobinbox.Inbox{})
-		system.Run(w, now)
-		for _, ms := range w.Outbox.Messages {
+		world.BeginTick(carobinbox.Inbox{})
+		system.Run(world, now)
+		for _, ms := range world.Outbox.Messages {
 			require.EqualValues(t, "127.0.0.1:2", ms.To)
 			require.NotEmpty(t, ms.Heartbeat.Checksums, "checksums let both sides compare their peer tables")
 			sent[now.Sub(start) < 25*time.Second]++
--- a/pkg/carobdetection/system.go
+++ b/pkg/carobdetection/system.go
@@ -64,193 +64,193 @@
 
 // Run answers heartbeats, sends new ones, and updates the state of nodes that did not
 // answer.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	s.resetAfterPause(w, now)
-	for i := range w.Inbox.Messages {
-		receive(w, now, &w.Inbox.Messages[i])
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	s.resetAfterPause(world, now)
+	for i := range world.Inbox.Messages {
+		receive(world, now, &world.Inbox.Messages[i])
 	}
-	s.expireHeartbeats(w, now)
+	s.expireHeartbeats(world, now)
 	if s.nextHeartbeat == carobinstant.Never || s.nextHeartbeat.Reached(now) {
 		s.nextHeartbeat = now.Add(heartbeatInterval)
-		expireSuspicions(w, now)
-		s.monitorNext(w, now)
-		s.retryDown(w, now)
+		expireSuspicions(world, now)
+		s.monitorNext(world, now)
+		s.retryDown(world, now)
 	}
-	w.WakeAt(s.nextHeartbeat)
+	world.WakeAt(s.nextHeartbeat)
 }
 
 // resetAfterPause discards pending heartbeats and restarts the suspicion time-outs after
 // this node was paused, so that a pause of this node does not make others unreachable.
-func (s *System) resetAfterPause(w *carobworld.World, now carobinstant.Instant) {
+func (s *System) resetAfterPause(world *carobworld.World, now carobinstant.Instant) {
 	paused := s.lastTick != carobinstant.Never && now.Sub(s.lastTick) > pauseThreshold
 	s.lastTick = now
 	if !paused {
 		return
 	}
-	for number := range w.PendingHeartbeats.All() {
-		w.PendingHeartbeats.Delete(number)
+	for number := range world.PendingHeartbeats.All() {
+		world.PendingHeartbeats.Delete(number)
 	}
-	for _, pr := range w.Peers.All() {
-		if pr.Member.Liveness == carobliveness.Suspect {
-			pr.LivenessSince = now
+	for _, peer := range world.Peers.All() {
+		if peer.Member.Liveness == carobliveness.Suspect {
+			peer.LivenessSince = now
 		}
 	}
 }
 
 // receive handles one message from another node.
-func receive(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message) {
-	if pr := w.Peers.Get(ms.From); pr != nil {
-		recordContact(w, now, ms, pr)
+func receive(world *carobworld.World, now carobinstant.Instant, message *carobmessage.Message) {
+	if peer := world.Peers.Get(message.From); peer != nil {
+		recordContact(world, now, message, peer)
 	}
-	if hb := ms.Heartbeat; hb != nil {
-		answer(w, ms, hb)
+	if heartbeat := message.Heartbeat; heartbeat != nil {
+		answer(world, message, heartbeat)
 	}
 }
 
 // recordContact records that a peer is alive. If this node has the peer as suspect or down,
 // or with a newer incarnation, it sends the peer that description, so that the peer can
 // refute it.
-func recordContact(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message, pr *carobpeer.Peer) {
-	if ms.Incarnation == pr.Member.Incarnation {
-		pr.LastContactAt = now
+func recordContact(world *carobworld.World, now carobinstant.Instant, message *carobmessage.Message, peer *carobpeer.Peer) {
+	if message.Incarnation == peer.Member.Incarnation {
+		peer.LastContactAt = now
 	}
-	outdated := ms.Incarnation < pr.Member.Incarnation ||
-		ms.Incarnation == pr.Member.Incarnation && pr.Member.Liveness != carobliveness.Alive
-	if outdated && ms.Heartbeat != nil {
-		w.SendMessage(carobmessage.Message{To: ms.ReplyTo, Gossip: &carobgossip.Gossip{Members: []carobmember.Member{pr.Member}}})
+	outdated := message.Incarnation < peer.Member.Incarnation ||
+		message.Incarnation == peer.Member.Incarnation && peer.Member.Liveness != carobliveness.Alive
+	if outdated && message.Heartbeat != nil {
+		world.SendMessage(carobmessage.Message{To: message.ReplyTo, Gossip: &carobgossip.Gossip{Members: []carobmember.Member{peer.Member}}})
 	}
 }
 
 // answer handles a heartbeat: it forwards a relayed answer to the node that requested the
 // relay, removes an answered heartbeat from the pending ones, relays a heartbeat for
 // another node, or answers a heartbeat to this node.
-func answer(w *carobworld.World, ms *carobmessage.Message, hb *carobpeerheartbeat.PeerHeartbeat) {
+func answer(world *carobworld.World, message *carobmessage.Message, heartbeat *carobpeerheartbeat.PeerHeartbeat) {
 	switch {
-	case hb.Answer && hb.RelayFor != "" && hb.RelayFor != w.Self.PeerAddress:
-		w.SendMessage(carobmessage.Message{To: hb.RelayFor, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
-			Number: hb.Number, Node: hb.Node, Answer: true, ProfilesRead: w.ProfilesRead,
+	case heartbeat.Answer && heartbeat.RelayFor != "" && heartbeat.RelayFor != world.Self.PeerAddress:
+		world.SendMessage(carobmessage.Message{To: heartbeat.RelayFor, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
+			Number: heartbeat.Number, Node: heartbeat.Node, Answer: true, ProfilesRead: world.ProfilesRead,
 		}})
-	case hb.Answer:
-		if ph := w.PendingHeartbeats.Get(hb.Number); ph != nil && ph.Node == hb.Node {
-			w.PendingHeartbeats.Delete(hb.Number)
+	case heartbeat.Answer:
+		if pending := world.PendingHeartbeats.Get(heartbeat.Number); pending != nil && pending.Node == heartbeat.Node {
+			world.PendingHeartbeats.Delete(heartbeat.Number)
 		}
-	case hb.RelayTo != "":
-		w.SendMessage(carobmessage.Message{To: hb.RelayTo, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
-			Number: hb.Number, Node: hb.Node, RelayFor: ms.ReplyTo, ProfilesRead: w.ProfilesRead,
+	case heartbeat.RelayTo != "":
+		world.SendMessage(carobmessage.Message{To: heartbeat.RelayTo, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
+			Number: heartbeat.Number, Node: heartbeat.Node, RelayFor: message.ReplyTo, ProfilesRead: world.ProfilesRead,
 		}})
-	case hb.Node == "" || hb.Node == w.Self.Node:
-		w.SendMessage(carobmessage.Message{To: ms.ReplyTo, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
-			Number: hb.Number, Node: w.Self.Node, Answer: true, RelayFor: hb.RelayFor, ProfilesRead: w.ProfilesRead, Checksums: w.Checksums(),
+	case heartbeat.Node == "" || heartbeat.Node == world.Self.Node:
+		world.SendMessage(carobmessage.Message{To: message.ReplyTo, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
+			Number: heartbeat.Number, Node: world.Self.Node, Answer: true, RelayFor: heartbeat.RelayFor, ProfilesRead: world.ProfilesRead, Checksums: world.Checksums(),
 		}})
 	}
 }
 
 // expireHeartbeats handles the heartbeats that timed out: it first requests other nodes to
 // relay them, and after a second time-out suspects the node.
-func (s *System) expireHeartbeats(w *carobworld.World, now carobinstant.Instant) {
-	for number, ph := range w.PendingHeartbeats.All() {
-		due := ph.SentAt.Add(answerTimeout)
-		if ph.Relayed {
+func (s *System) expireHeartbeats(world *carobworld.World, now carobinstant.Instant) {
+	for number, pending := range world.PendingHeartbeats.All() {
+		due := pending.SentAt.Add(answerTimeout)
+		if pending.Relayed {
 			due = due.Add(answerTimeout)
 		}
 		if !due.Reached(now) {
-			w.WakeAt(due)
+			world.WakeAt(due)
 			continue
 		}
-		pr := w.Peers.Get(ph.Node)
+		peer := world.Peers.Get(pending.Node)
 		switch {
-		case pr == nil || pr.LastContactAt > ph.SentAt:
-			w.PendingHeartbeats.Delete(number)
-		case ph.Relayed:
-			w.PendingHeartbeats.Delete(number)
-			suspect(w, now, pr)
+		case peer == nil || peer.LastContactAt > pending.SentAt:
+			world.PendingHeartbeats.Delete(number)
+		case pending.Relayed:
+			world.PendingHeartbeats.Delete(number)
+			suspect(world, now, peer)
 		default:
-			ph.Relayed = true
-			relay(w, number, pr)
-			w.WakeAt(due.Add(answerTimeout))
+			pending.Relayed = true
+			relay(world, number, peer)
+			world.WakeAt(due.Add(answerTimeout))
 		}
 	}
 }
 
 // relay requests random live peers to send the heartbeat to a node in place of this one.
-func relay(w *carobworld.World, number uint64, pr *carobpeer.Peer) {
-	others := w.SamplePeers(relayFanout, func(o *carobpeer.Peer) bool {
-		return o.Member.Liveness == carobliveness.Alive && o.Member.Node != pr.Member.Node
+func relay(world *carobworld.World, number uint64, peer *carobpeer.Peer) {
+	others := world.SamplePeers(relayFanout, func(o *carobpeer.Peer) bool {
+		return o.Member.Liveness == carobliveness.Alive && o.Member.Node != peer.Member.Node
 	})
 	for _, o := range others {
-		w.SendMessage(carobmessage.Message{To: o.Member.PeerAddress, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
-			Number: number, Node: pr.Member.Node, RelayTo: pr.Member.PeerAddress, ProfilesRead: w.ProfilesRead,
+		world.SendMessage(carobmessage.Message{To: o.Member.PeerAddress, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
+			Number: number, Node: peer.Member.Node, RelayTo: peer.Member.PeerAddress, ProfilesRead: world.ProfilesRead,
 		}})
 	}
 }
 
-func suspect(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer) {
-	if pr.Member.Liveness != carobliveness.Alive {
+func suspect(world *carobworld.World, now carobinstant.Instant, peer *carobpeer.Peer) {
+	if peer.Member.Liveness != carobliveness.Alive {
 		return
 	}
-	setLiveness(w, now, pr, carobliveness.Suspect)
+	setLiveness(world, now, peer, carobliveness.Suspect)
 }
 
 // expireSuspicions marks suspects as unreachable that did not refute the suspicion in
 // time, and removes their targets from the target table.
-func expireSuspicions(w *carobworld.World, now carobinstant.Instant) {
-	for _, pr := range w.Peers.All() {
-		if pr.Member.Liveness == carobliveness.Suspect && pr.LivenessSince.Add(suspicionTimeout).Reached(now) {
-			setLiveness(w, now, pr, carobliveness.Unreachable)
-			w.DropTargets(pr.Member.Node)
+func expireSuspicions(world *carobworld.World, now carobinstant.Instant) {
+	for _, peer := range world.Peers.All() {
+		if peer.Member.Liveness == carobliveness.Suspect && peer.LivenessSince.Add(suspicionTimeout).Reached(now) {
+			setLiveness(world, now, peer, carobliveness.Unreachable)
+			world.DropTargets(peer.Member.Node)
 		}
 	}
 }
 
 // setLiveness sets the liveness state of a peer, records it in the audit trail, and
 // schedules it for gossip.
-func setLiveness(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer, liveness carobliveness.Liveness) {
-	w.Audit("member", string(w.Self.Node), "node "+string(pr.Member.Node), pr.Member.Liveness.String(), liveness.String())
-	pr.Member.Liveness, pr.LivenessSince, pr.GossipCount = liveness, now, 0
-	w.PeerChanges++
-	w.PendingGossip.Put(pr.Member.Node, struct{}{})
+func setLiveness(world *carobworld.World, now carobinstant.Instant, peer *carobpeer.Peer, liveness carobliveness.Liveness) {
+	world.Audit("member", string(world.Self.Node), "node "+string(peer.Member.Node), peer.Member.Liveness.String(), liveness.String())
+	peer.Member.Liveness, peer.LivenessSince, peer.GossipCount = liveness, now, 0
+	world.PeerChanges++
+	world.PendingGossip.Put(peer.Member.Node, struct{}{})
 }
 
 // monitorNext sends a heartbeat to the next node of the monitor set.
-func (s *System) monitorNext(w *carobworld.World, now carobinstant.Instant) {
-	pr := s.monitored.next(w, now)
-	if pr == nil {
+func (s *System) monitorNext(world *carobworld.World, now carobinstant.Instant) {
+	peer := s.monitored.next(world, now)
+	if peer == nil {
 		return
 	}
 	s.number++
-	w.PendingHeartbeats.Put(s.number, carobpendingheartbeat.PendingHeartbeat{Node: pr.Member.Node, SentAt: now})
-	s.sendHeartbeat(w, pr.Member)
+	world.PendingHeartbeats.Put(s.number, carobpendingheartbeat.PendingHeartbeat{Node: peer.Member.Node, SentAt: now})
+	s.sendHeartbeat(world, peer.Member)
 }
 
 // retryDown sends heartbeats to some of the nodes that are down.
-func (s *System) retryDown(w *carobworld.World, now carobinstant.Instant) {
+func (s *System) retryDown(world *carobworld.World, now carobinstant.Instant) {
 	if s.nextDownRound != carobinstant.Never && !s.nextDownRound.Reached(now) {
 		return
 	}
 	s.nextDownRound = now.Add(downInterval)
-	for _, pr := range w.SamplePeers(downFanout, func(pr *carobpeer.Peer) bool { return shouldRetry(now, pr) }) {
+	for _, peer := range world.SamplePeers(downFanout, func(peer *carobpeer.Peer) bool { return shouldRetry(now, peer) }) {
 		s.number++
-		s.sendHeartbeat(w, pr.Member)
+		s.sendHeartbeat(world, peer.Member)
 	}
 }
 
 // shouldRetry reports whether a node that is down is to be sent a heartbeat. A node that
 // left may be starting again at its address, and cannot find its peers by itself if it
 // cannot read their addresses.
-func shouldRetry(now carobinstant.Instant, pr *carobpeer.Peer) bool {
-	switch pr.Member.Liveness {
+func shouldRetry(now carobinstant.Instant, peer *carobpeer.Peer) bool {
+	switch peer.Member.Liveness {
 	case carobliveness.Unreachable:
 		return true
 	case carobliveness.Left:
-		return now.Sub(pr.LivenessSince) < restartWindow
+		return now.Sub(peer.LivenessSince) < restartWindow
 	default:
 		return false
 	}
 }
 
 // sendHeartbeat sends a direct heartbeat with the checksums of this node's peer table.
-func (s *System) sendHeartbeat(w *carobworld.World, mb carobmember.Member) {
-	w.SendMessage(carobmessage.Message{To: mb.PeerAddress, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
-		Number: s.number, Node: mb.Node, Checksums: w.Checksums(), ProfilesRead: w.ProfilesRead,
+func (s *System) sendHeartbeat(world *carobworld.World, member carobmember.Member) {
+	world.SendMessage(carobmessage.Message{To: member.PeerAddress, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{
+		Number: s.number, Node: member.Node, Checksums: world.Checksums(), ProfilesRead: world.ProfilesRead,
 	}})
 }
--- a/pkg/carobdissemination/system.go
+++ b/pkg/carobdissemination/system.go
@@ -59,49 +59,49 @@
 
 // Run sends pending changes. It has to run after all systems that change descriptions or
 // send heartbeats.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	if w.Outbox.Stopped {
-		announceLeave(w)
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	if world.Outbox.Stopped {
+		announceLeave(world)
 		return
 	}
-	if w.Self.Sequence != s.sequence {
-		s.sequence, s.sent = w.Self.Sequence, 0
+	if world.Self.Sequence != s.sequence {
+		s.sequence, s.sent = world.Self.Sequence, 0
 	}
-	s.piggyback(w)
-	s.startRound(w, now)
+	s.piggyback(world)
+	s.startRound(world, now)
 }
 
 // startRound starts a round: it sends the pending descriptions to some random nodes. A
 // change of this node's own description does not wait for the interval, because it may
 // announce that a target is leaving.
-func (s *System) startRound(w *carobworld.World, now carobinstant.Instant) {
-	if !s.hasPending(w) {
+func (s *System) startRound(world *carobworld.World, now carobinstant.Instant) {
+	if !s.hasPending(world) {
 		return
 	}
 	if s.sent > 0 && s.nextRound != carobinstant.Never && !s.nextRound.Reached(now) {
-		w.WakeAt(s.nextRound)
+		world.WakeAt(s.nextRound)
 		return
 	}
 	s.nextRound = now.Add(roundInterval)
-	w.WakeAt(s.nextRound)
-	to := recipients(w)
+	world.WakeAt(s.nextRound)
+	to := recipients(world)
 	if len(to) == 0 || !s.throttle.Allow(now, 0) {
 		return
 	}
-	members := s.takePending(w, maxRoundSends, roundSize)
-	for _, pr := range to {
-		send(w, pr.Member, members)
+	members := s.takePending(world, maxRoundSends, roundSize)
+	for _, peer := range to {
+		send(world, peer.Member, members)
 		s.throttle.Allow(now, totalSize(members))
 	}
 }
 
 // hasPending reports whether a description is still to be sent in a round.
-func (s *System) hasPending(w *carobworld.World) bool {
+func (s *System) hasPending(world *carobworld.World) bool {
 	if s.sent < maxRoundSends {
 		return true
 	}
-	for id := range w.PendingGossip.All() {
-		if pr := w.Peers.Get(id); pr != nil && pr.GossipCount < maxRoundSends {
+	for id := range world.PendingGossip.All() {
+		if peer := world.Peers.Get(id); peer != nil && peer.GossipCount < maxRoundSends {
 			return true
 		}
 	}
@@ -109,16 +109,16 @@
 }
 
 // piggyback sends pending descriptions along with the heartbeats of this tick.
-func (s *System) piggyback(w *carobworld.World) {
-	if s.sent >= maxSends && w.PendingGossip.Len() == 0 {
+func (s *System) piggyback(world *carobworld.World) {
+	if s.sent >= maxSends && world.PendingGossip.Len() == 0 {
 		return
 	}
-	for _, ms := range w.Outbox.Messages {
-		if ms.Heartbeat == nil {
+	for _, message := range world.Outbox.Messages {
+		if message.Heartbeat == nil {
 			continue
 		}
-		if members := s.takePending(w, maxSends, piggybackSize); len(members) > 0 {
-			w.SendMessage(carobmessage.Message{To: ms.To, Gossip: &carobgossip.Gossip{Members: members}})
+		if members := s.takePending(world, maxSends, piggybackSize); len(members) > 0 {
+			world.SendMessage(carobmessage.Message{To: message.To, Gossip: &carobgossip.Gossip{Members: members}})
 		}
 	}
 }
@@ -126,37 +126,37 @@
 // takePending returns descriptions that were sent fewer than maxSent times, those sent
 // least often first, and counts them as sent. They take up to space bytes, or more if
 // the first one alone does.
-func (s *System) takePending(w *carobworld.World, maxSent, space int) []carobmember.Member {
+func (s *System) takePending(world *carobworld.World, maxSent, space int) []carobmember.Member {
 	var members []carobmember.Member
 	if s.sent < maxSent {
 		s.sent++
-		mb := w.Describe()
-		members = append(members, mb)
-		space -= mb.EncodedSize()
+		member := world.Describe()
+		members = append(members, member)
+		space -= member.EncodedSize()
 	}
-	for _, pr := range pendingPeers(w, maxSent) {
-		space -= pr.Member.EncodedSize()
+	for _, peer := range pendingPeers(world, maxSent) {
+		space -= peer.Member.EncodedSize()
 		if space < 0 && len(members) > 0 || len(members) == carobgossip.MaxMembers {
 			break
 		}
-		pr.GossipCount++
-		members = append(members, pr.Member)
+		peer.GossipCount++
+		members = append(members, peer.Member)
 	}
 	return members
 }
 
 // pendingPeers returns the peers whose pending description was sent fewer than maxSent
 // times, those sent least often first. It removes the ones that were sent often enough.
-func pendingPeers(w *carobworld.World, maxSent int) []*carobpeer.Peer {
+func pendingPeers(world *carobworld.World, maxSent int) []*carobpeer.Peer {
 	var rows []*carobpeer.Peer
-	for id := range w.PendingGossip.All() {
-		pr := w.Peers.Get(id)
-		if pr == nil || pr.GossipCount >= maxSends {
-			w.PendingGossip.Delete(id)
+	for id := range world.PendingGossip.All() {
+		peer := world.Peers.Get(id)
+		if peer == nil || peer.GossipCount >= maxSends {
+			world.PendingGossip.Delete(id)
 			continue
 		}
-		if pr.GossipCount < maxSent {
-			rows = append(rows, pr)
+		if peer.GossipCount < maxSent {
+			rows = append(rows, peer)
 		}
 	}
 	slices.SortStableFunc(rows, func(a, b *carobpeer.Peer) int { return cmp.Compare(a.GossipCount, b.GossipCount) })
@@ -165,29 +165,29 @@
 
 // recipients returns random peers that are not down: most of them in this node's data
 // centre, and at least one elsewhere if there is one.
-func recipients(w *carobworld.World) []*carobpeer.Peer {
-	near := w.SamplePeers(fanout, func(pr *carobpeer.Peer) bool { return isReachable(pr) && pr.Member.Centre == w.Self.Centre })
-	far := w.SamplePeers(fanout, func(pr *carobpeer.Peer) bool { return isReachable(pr) && pr.Member.Centre != w.Self.Centre })
+func recipients(world *carobworld.World) []*carobpeer.Peer {
+	near := world.SamplePeers(fanout, func(peer *carobpeer.Peer) bool { return isReachable(peer) && peer.Member.Centre == world.Self.Centre })
+	far := world.SamplePeers(fanout, func(peer *carobpeer.Peer) bool { return isReachable(peer) && peer.Member.Centre != world.Self.Centre })
 	fromFar := min(len(far), max(1, fanout-len(near)))
 	return append(far[:fromFar], near[:min(len(near), fanout-fromFar)]...)
 }
 
-func isReachable(pr *carobpeer.Peer) bool {
-	return !pr.Member.Liveness.Down()
+func isReachable(peer *carobpeer.Peer) bool {
+	return !peer.Member.Liveness.Down()
 }
 
 // announceLeave announces to some random nodes that this node leaves. It does so only once.
-func announceLeave(w *carobworld.World) {
-	if w.LeaveAnnounced {
+func announceLeave(world *carobworld.World) {
+	if world.LeaveAnnounced {
 		return
 	}
-	w.LeaveAnnounced = true
-	w.Self.Sequence++
-	mb := w.Describe()
-	mb.Liveness = carobliveness.Left
-	w.Audit("member", string(w.Self.Node), "node "+string(w.Self.Node), carobliveness.Alive.String(), mb.Liveness.String())
-	for _, pr := range recipients(w) {
-		send(w, pr.Member, []carobmember.Member{mb})
+	world.LeaveAnnounced = true
+	world.Self.Sequence++
+	member := world.Describe()
+	member.Liveness = carobliveness.Left
+	world.Audit("member", string(world.Self.Node), "node "+string(world.Self.Node), carobliveness.Alive.String(), member.Liveness.String())
+	for _, peer := range recipients(world) {
+		send(world, peer.Member, []carobmember.Member{member})
 	}
 }
 
@@ -200,6 +200,6 @@
 	return size
 }
 
-func send(w *carobworld.World, to carobmember.Member, members []carobmember.Member) {
-	w.SendMessage(carobmessage.Message{To: to.PeerAddress, Gossip: &carobgossip.Gossip{Members: members}})
+func send(world *carobworld.World, to carobmember.Member, members []carobmember.Member) {
+	world.SendMessage(carobmessage.Message{To: to.PeerAddress, Gossip: &carobgossip.Gossip{Members: members}})
 }
--- a/pkg/carobelection/system.go
+++ b/pkg/carobelection/system.go
@@ -39,48 +39,48 @@
 
 // Run applies changes in whether the store can be read, and decides whether this node
 // reads from it and for how long each read may be held open.
-func (s *System) Run(w *carobworld.World, _ carobinstant.Instant) {
-	for _, unreadable := range w.Inbox.StoreUnreadable {
-		if unreadable != w.Self.StoreUnreadable {
-			w.Self.StoreUnreadable = unreadable
-			w.Self.Sequence++
+func (s *System) Run(world *carobworld.World, _ carobinstant.Instant) {
+	for _, unreadable := range world.Inbox.StoreUnreadable {
+		if unreadable != world.Self.StoreUnreadable {
+			world.Self.StoreUnreadable = unreadable
+			world.Self.Sequence++
 		}
 	}
 	// A node without a route table reads the store itself, even if another node does too.
-	w.Outbox.ReadingStore = !w.Stopping && (w.RouteTable == nil || takesPrecedence(w))
-	if w.Outbox.ReadingStore {
-		w.Outbox.LongPollTimeout = readInterval * time.Duration(s.countReaders(w))
+	world.Outbox.ReadingStore = !world.Stopping && (world.RouteTable == nil || takesPrecedence(world))
+	if world.Outbox.ReadingStore {
+		world.Outbox.LongPollTimeout = readInterval * time.Duration(s.countReaders(world))
 	}
 }
 
 // countReaders returns the number of nodes that read from the store: one in each data
 // centre with a live node.
-func (s *System) countReaders(w *carobworld.World) int {
-	if s.countedAt == w.PeerChanges+1 {
+func (s *System) countReaders(world *carobworld.World) int {
+	if s.countedAt == world.PeerChanges+1 {
 		return s.readers
 	}
-	centres := map[carobcentre.Centre]struct{}{w.Self.Centre: {}}
-	for _, pr := range w.Peers.All() {
-		if pr.Member.Liveness == carobliveness.Alive {
-			centres[pr.Member.Centre] = struct{}{}
+	centres := map[carobcentre.Centre]struct{}{world.Self.Centre: {}}
+	for _, peer := range world.Peers.All() {
+		if peer.Member.Liveness == carobliveness.Alive {
+			centres[peer.Member.Centre] = struct{}{}
 		}
 	}
-	s.readers, s.countedAt = len(centres), w.PeerChanges+1
+	s.readers, s.countedAt = len(centres), world.PeerChanges+1
 	return s.readers
 }
 
 // takesPrecedence reports whether no other live node of this data centre comes before this
 // one. A node that can read the store comes before one that cannot; among equals the lower
 // id does.
-func takesPrecedence(w *carobworld.World) bool {
-	return len(w.SamplePeers(1, func(pr *carobpeer.Peer) bool {
-		mb := &pr.Member
-		if mb.Centre != w.Self.Centre || mb.Liveness != carobliveness.Alive || mb.Leaving {
+func takesPrecedence(world *carobworld.World) bool {
+	return len(world.SamplePeers(1, func(peer *carobpeer.Peer) bool {
+		member := &peer.Member
+		if member.Centre != world.Self.Centre || member.Liveness != carobliveness.Alive || member.Leaving {
 			return false
 		}
-		if mb.StoreUnreadable != w.Self.StoreUnreadable {
-			return w.Self.StoreUnreadable
+		if member.StoreUnreadable != world.Self.StoreUnreadable {
+			return world.Self.StoreUnreadable
 		}
-		return mb.Node < w.Self.Node
+		return member.Node < world.Self.Node
 	})) == 0
 }
--- a/pkg/carobelection/system_test.go
+++ b/pkg/carobelection/system_test.go
@@ -48,27 +48,27 @@
 		{"has no route table", []carobmember.Member{member("a", "x", nil)}, false, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := carobworld.NewWorld(carobworld.Config{
+			world := carobworld.NewWorld(carobworld.Config{
 				Self: carobmember.Member{Node: "m", Centre: "x"}, Limits: caroblimits.NewLimits(),
 			})
 			if !c.noRoutes {
 				rs, err := carobroutetable.NewRouteTable(1, nil)
 				require.NoError(t, err)
-				w.RouteTable = rs
+				world.RouteTable = rs
 			}
 			for _, mb := range c.others {
-				w.Peers.Put(mb.Node, carobpeer.Peer{Member: mb})
+				world.Peers.Put(mb.Node, carobpeer.Peer{Member: mb})
 			}
 			in := carobinbox.Inbox{}
 			if c.unreadable {
 				in.StoreUnreadable = []bool{true}
 			}
-			sequence := w.Self.Sequence
-			w.BeginTick(in)
-			carobelection.NewSystem().Run(w, 1)
-			require.Equal(t, c.reads, w.Outbox.ReadingStore)
-			require.Equal(t, c.reads, w.Outbox.LongPollTimeout > 0)
-			require.Equal(t, c.unreadable, w.Self.Sequence != sequence, "other nodes learn whether it can read the store")
+			sequence := world.Self.Sequence
+			world.BeginTick(in)
+			carobelection.NewSystem().Run(world, 1)
+			require.Equal(t, c.reads, world.Outbox.ReadingStore)
+			require.Equal(t, c.reads, world.Outbox.LongPollTimeout > 0)
+			require.Equal(t, c.unreadable, world.Self.Sequence != sequence, "other nodes learn whether it can read the store")
 		})
 	}
 }
@@ -77,14 +77,14 @@
 // number of data centres: each read is held open in proportion to that number.
 func TestMoreReadersHoldTheirReadsForLonger(t *testing.T) {
 	longPollTimeout := func(centres ...carobcentre.Centre) time.Duration {
-		w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "a", Centre: "x"}, Limits: caroblimits.NewLimits()})
+		world := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "a", Centre: "x"}, Limits: caroblimits.NewLimits()})
 		for i, centre := range centres {
 			node := carobnodeid.ID("b" + string(rune('a'+i)))
-			w.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Centre: centre}})
+			world.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Centre: centre}})
 		}
-		w.BeginTick(carobinbox.Inbox{})
-		carobelection.NewSystem().Run(w, 1)
-		return w.Outbox.LongPollTimeout
+		world.BeginTick(carobinbox.Inbox{})
+		carobelection.NewSystem().Run(world, 1)
+		return world.Outbox.LongPollTimeout
 	}
 	alone := longPollTimeout()
 	require.Positive(t, alone)
--- a/pkg/carobfencing/system.go
+++ b/pkg/carobfencing/system.go
@@ -34,125 +34,125 @@
 }
 
 // Run sends a reply to each fence received in this tick.
-func (s *System) Run(w *carobworld.World, _ carobinstant.Instant) {
-	for _, ms := range w.Inbox.Messages {
-		if fc := ms.Fence; fc != nil {
-			w.SendMessage(carobmessage.Message{To: ms.ReplyTo, FenceReply: &carobfencereply.FenceReply{Job: fc.Job, State: Fence(w, *fc)}})
+func (s *System) Run(world *carobworld.World, _ carobinstant.Instant) {
+	for _, message := range world.Inbox.Messages {
+		if fence := message.Fence; fence != nil {
+			world.SendMessage(carobmessage.Message{To: message.ReplyTo, FenceReply: &carobfencereply.FenceReply{Job: fence.Job, State: Fence(world, *fence)}})
 		}
 	}
 }
 
 // Fence returns the state of a job. A job that has not started is fenced: it is refused
 // now if it is queued, or else when its offer arrives.
-func Fence(w *carobworld.World, fc carobfence.Fence) carobjobstate.JobState {
-	if fc.Incarnation != w.Self.Incarnation {
+func Fence(world *carobworld.World, fence carobfence.Fence) carobjobstate.JobState {
+	if fence.Incarnation != world.Self.Incarnation {
 		return carobjobstate.Unknown
 	}
-	if jb := w.Jobs.Get(fc.Job); jb != nil {
-		if jb.StartedAt != carobinstant.Never {
+	if job := world.Jobs.Get(fence.Job); job != nil {
+		if job.StartedAt != carobinstant.Never {
 			return carobjobstate.Running
 		}
-		RefuseQueued(w, jb, carobkind.Withdrawn)
+		RefuseQueued(world, job, carobkind.Withdrawn)
 		return carobjobstate.Never
 	}
-	if _, ok := w.EndedJobs.Get(fc.Job); ok {
+	if _, ok := world.EndedJobs.Get(fence.Job); ok {
 		return carobjobstate.Done
 	}
-	if IsFenced(w, fc.Job) {
+	if IsFenced(world, fence.Job) {
 		return carobjobstate.Never
 	}
-	if mayHaveRun(w, fc.Job.Call) {
+	if mayHaveRun(world, fence.Job.Call) {
 		return carobjobstate.Unknown
 	}
-	addTombstone(w, fc.Job)
+	addTombstone(world, fence.Job)
 	return carobjobstate.Never
 }
 
 // RefuseQueued removes a job that has not started from its queue, refuses it with the given
 // kind, and prevents later offers of it from starting.
-func RefuseQueued(w *carobworld.World, jb *carobjob.Job, kind carobkind.Kind) {
-	as := w.AdmissionStates.Get(jb.Offer.Target)
-	as.Queued--
-	as.ReportDue = true
-	w.Outbox.Refusals = append(w.Outbox.Refusals, carobrefusal.Refusal{Job: jb.Offer.Job, Kind: kind})
-	addTombstone(w, jb.Offer.Job)
-	w.Jobs.Delete(jb.Offer.Job)
+func RefuseQueued(world *carobworld.World, job *carobjob.Job, kind carobkind.Kind) {
+	state := world.AdmissionStates.Get(job.Offer.Target)
+	state.Queued--
+	state.ReportDue = true
+	world.Outbox.Refusals = append(world.Outbox.Refusals, carobrefusal.Refusal{Job: job.Offer.Job, Kind: kind})
+	addTombstone(world, job.Offer.Job)
+	world.Jobs.Delete(job.Offer.Job)
 }
 
 // IsFenced reports whether a job must not run: it has a tombstone, or its tombstone may
 // have been evicted.
-func IsFenced(w *carobworld.World, job carobjobid.ID) bool {
-	if _, ok := w.Tombstones.Get(job); ok {
+func IsFenced(world *carobworld.World, job carobjobid.ID) bool {
+	if _, ok := world.Tombstones.Get(job); ok {
 		return true
 	}
-	wm, ok := w.Watermarks.Get(job.Call.Node)
+	watermark, ok := world.Watermarks.Get(job.Call.Node)
 	if !ok {
-		return w.EvictedFencedIncarnation > 0 && job.Call.Incarnation <= w.EvictedFencedIncarnation
+		return world.EvictedFencedIncarnation > 0 && job.Call.Incarnation <= world.EvictedFencedIncarnation
 	}
-	return covers(wm, job.Call, wm.FencedSequence)
+	return covers(watermark, job.Call, watermark.FencedSequence)
 }
 
 // RecordEnded records that a started job has ended. An evicted older entry raises
 // EndedSequence in the watermark of its entry node.
-func RecordEnded(w *carobworld.World, fn carobfinish.Finish) {
-	if old, _, full := w.EndedJobs.Put(fn.Job, fn); full {
-		wm := watermarkFor(w, old.Call)
-		wm.EndedSequence = max(wm.EndedSequence, old.Call.Sequence)
-		putWatermark(w, old.Call, wm)
+func RecordEnded(world *carobworld.World, finish carobfinish.Finish) {
+	if old, _, full := world.EndedJobs.Put(finish.Job, finish); full {
+		watermark := watermarkFor(world, old.Call)
+		watermark.EndedSequence = max(watermark.EndedSequence, old.Call.Sequence)
+		putWatermark(world, old.Call, watermark)
 	}
 }
 
 // addTombstone prevents a job that has not started from starting later. An evicted
 // older tombstone raises the FencedSequence of the watermark of its entry node.
-func addTombstone(w *carobworld.World, job carobjobid.ID) {
-	if old, _, full := w.Tombstones.Put(job, struct{}{}); full {
-		wm := watermarkFor(w, old.Call)
-		wm.FencedSequence = max(wm.FencedSequence, old.Call.Sequence)
-		putWatermark(w, old.Call, wm)
+func addTombstone(world *carobworld.World, job carobjobid.ID) {
+	if old, _, full := world.Tombstones.Put(job, struct{}{}); full {
+		watermark := watermarkFor(world, old.Call)
+		watermark.FencedSequence = max(watermark.FencedSequence, old.Call.Sequence)
+		putWatermark(world, old.Call, watermark)
 	}
 }
 
 // mayHaveRun reports whether a job of the call may have run and ended although it has
 // no entry in EndedJobs, because entries of its entry node were evicted.
-func mayHaveRun(w *carobworld.World, call carobcallid.ID) bool {
-	wm, ok := w.Watermarks.Get(call.Node)
+func mayHaveRun(world *carobworld.World, call carobcallid.ID) bool {
+	watermark, ok := world.Watermarks.Get(call.Node)
 	if !ok {
-		return w.EvictedIncarnation > 0 && call.Incarnation <= w.EvictedIncarnation
+		return world.EvictedIncarnation > 0 && call.Incarnation <= world.EvictedIncarnation
 	}
-	return covers(wm, call, wm.EndedSequence)
+	return covers(watermark, call, watermark.EndedSequence)
 }
 
 // covers reports whether a call's incarnation is older than the watermark's, or is the
 // same and the call's sequence is not above the bound.
-func covers(wm carobwatermark.Watermark, call carobcallid.ID, bound uint64) bool {
-	if call.Incarnation != wm.Incarnation {
-		return call.Incarnation < wm.Incarnation
+func covers(watermark carobwatermark.Watermark, call carobcallid.ID, bound uint64) bool {
+	if call.Incarnation != watermark.Incarnation {
+		return call.Incarnation < watermark.Incarnation
 	}
 	return call.Sequence <= bound
 }
 
 // watermarkFor returns a copy of the watermark of a call's entry node; a new one if
 // there is none, or if the call is of a newer incarnation.
-func watermarkFor(w *carobworld.World, call carobcallid.ID) carobwatermark.Watermark {
-	wm, ok := w.Watermarks.Get(call.Node)
-	if !ok || wm.Incarnation < call.Incarnation {
+func watermarkFor(world *carobworld.World, call carobcallid.ID) carobwatermark.Watermark {
+	watermark, ok := world.Watermarks.Get(call.Node)
+	if !ok || watermark.Incarnation < call.Incarnation {
 		return carobwatermark.Watermark{Incarnation: call.Incarnation}
 	}
-	return wm
+	return watermark
 }
 
 // putWatermark stores the watermark of a call's entry node. It does nothing if the
 // watermark is of a newer incarnation than the call, since it then covers the call
 // already. An evicted watermark raises the world's EvictedIncarnation and
 // EvictedFencedIncarnation.
-func putWatermark(w *carobworld.World, call carobcallid.ID, wm carobwatermark.Watermark) {
-	if wm.Incarnation != call.Incarnation {
+func putWatermark(world *carobworld.World, call carobcallid.ID, watermark carobwatermark.Watermark) {
+	if watermark.Incarnation != call.Incarnation {
 		return
 	}
-	if _, old, full := w.Watermarks.Put(call.Node, wm); full {
-		w.EvictedIncarnation = max(w.EvictedIncarnation, old.Incarnation)
+	if _, old, full := world.Watermarks.Put(call.Node, watermark); full {
+		world.EvictedIncarnation = max(world.EvictedIncarnation, old.Incarnation)
 		if old.FencedSequence > 0 {
-			w.EvictedFencedIncarnation = max(w.EvictedFencedIncarnation, old.Incarnation)
+			world.EvictedFencedIncarnation = max(world.EvictedFencedIncarnation, old.Incarnation)
 		}
 	}
 }
--- a/pkg/carobfencing/system_test.go
+++ b/pkg/carobfencing/system_test.go
@@ -47,13 +47,13 @@
 func newRig(jobs int) *rig {
 	limits := caroblimits.NewLimits()
 	limits.Jobs, limits.Peers = jobs, 1
-	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "here", Incarnation: nodeIncarnation}, Limits: limits})
-	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
-	w.AdmissionStates.Put(target, carobadmissionstate.AdmissionState{Limit: 1})
+	world := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "here", Incarnation: nodeIncarnation}, Limits: limits})
+	world.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
+	world.AdmissionStates.Put(target, carobadmissionstate.AdmissionState{Limit: 1})
 	rv := carobrevision.Revision{}
 	rv.Change.Profile = carobprofile.NewProfile("p")
-	w.Profiles.Put("p", rv)
-	return &rig{world: w, now: 1}
+	world.Profiles.Put("p", rv)
+	return &rig{world: world, now: 1}
 }
 
 func (r *rig) step(in carobinbox.Inbox) {
--- a/pkg/carobjoining/system.go
+++ b/pkg/carobjoining/system.go
@@ -63,96 +63,96 @@
 
 // Run stores the addresses in the log's records, appends the node's own record when it is
 // due, and contacts some unknown nodes.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	found := storeAddresses(w)
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	found := storeAddresses(world)
 	if s.nextRenewal == carobinstant.Never {
-		w.Audit("member", string(w.Self.Node), "node "+string(w.Self.Node), "none", carobliveness.Alive.String())
+		world.Audit("member", string(world.Self.Node), "node "+string(world.Self.Node), "none", carobliveness.Alive.String())
 	}
 	if s.nextRenewal == carobinstant.Never || s.nextRenewal.Reached(now) {
-		s.nextRenewal = now.Add(renewInterval - time.Duration(w.Random.Int64N(int64(renewInterval/4))))
-		appendOwnRecord(w)
+		s.nextRenewal = now.Add(renewInterval - time.Duration(world.Random.Int64N(int64(renewInterval/4))))
+		appendOwnRecord(world)
 	}
 	if found && s.nextContact != carobinstant.Never {
-		s.nextContact = carobinstant.Earlier(s.nextContact, now.Add(contactDelay+time.Duration(w.Random.Int64N(int64(contactDelay)))))
+		s.nextContact = carobinstant.Earlier(s.nextContact, now.Add(contactDelay+time.Duration(world.Random.Int64N(int64(contactDelay)))))
 	}
-	isolated := len(w.SamplePeers(1, isReachable)) == 0
+	isolated := len(world.SamplePeers(1, isReachable)) == 0
 	if s.nextContact == carobinstant.Never || s.nextContact.Reached(now) || found && isolated {
-		s.contactUnknown(w, isolated)
+		s.contactUnknown(world, isolated)
 		s.nextContact = now.Add(contactInterval)
 		if isolated {
 			s.nextContact = now.Add(isolatedInterval)
 		}
 	}
-	w.WakeAt(carobinstant.Earlier(s.nextContact, s.nextRenewal))
+	world.WakeAt(carobinstant.Earlier(s.nextContact, s.nextRenewal))
 }
 
-func isReachable(pr *carobpeer.Peer) bool {
-	return !pr.Member.Liveness.Down()
+func isReachable(peer *carobpeer.Peer) bool {
+	return !peer.Member.Liveness.Down()
 }
 
 // storeAddresses stores the addresses of other nodes from the log records of this tick,
 // and reports whether there were any. Invalid records are skipped.
-func storeAddresses(w *carobworld.World) bool {
+func storeAddresses(world *carobworld.World) bool {
 	found := false
-	for _, rc := range w.Inbox.Records {
-		if rc.Stream != carobstream.Nodes {
+	for _, record := range world.Inbox.Records {
+		if record.Stream != carobstream.Nodes {
 			continue
 		}
-		var mb carobmember.Member
-		if json.Unmarshal(rc.Data, &mb) != nil || mb.Check() != nil || mb.Node == w.Self.Node {
+		var member carobmember.Member
+		if json.Unmarshal(record.Data, &member) != nil || member.Check() != nil || member.Node == world.Self.Node {
 			continue
 		}
-		w.LoggedAddresses.Put(mb.Node, mb.PeerAddress)
+		world.LoggedAddresses.Put(member.Node, member.PeerAddress)
 		found = true
 	}
 	return found
 }
 
 // appendOwnRecord appends this node's description to the log.
-func appendOwnRecord(w *carobworld.World) {
-	mb := w.Self
-	data, err := json.Marshal(mb)
+func appendOwnRecord(world *carobworld.World) {
+	member := world.Self
+	data, err := json.Marshal(member)
 	if err != nil {
 		return
 	}
-	w.Outbox.Appends = append(w.Outbox.Appends, carobappend.Append{Stream: carobstream.Nodes, Data: data})
+	world.Outbox.Appends = append(world.Outbox.Appends, carobappend.Append{Stream: carobstream.Nodes, Data: data})
 }
 
 // contactUnknown contacts a random sample of the seeds and logged addresses that belong
 // to no known peer, and drops the logged addresses that do.
-func (s *System) contactUnknown(w *carobworld.World, isolated bool) {
-	known := map[carobaddress.Address]bool{w.Self.PeerAddress: true}
-	for _, pr := range w.Peers.All() {
-		if isReachable(pr) {
-			known[pr.Member.PeerAddress] = true
+func (s *System) contactUnknown(world *carobworld.World, isolated bool) {
+	known := map[carobaddress.Address]bool{world.Self.PeerAddress: true}
+	for _, peer := range world.Peers.All() {
+		if isReachable(peer) {
+			known[peer.Member.PeerAddress] = true
 		}
 	}
 	var unknown []carobaddress.Address
-	for _, ad := range s.seeds {
-		if !known[ad] {
-			unknown = append(unknown, ad)
+	for _, address := range s.seeds {
+		if !known[address] {
+			unknown = append(unknown, address)
 		}
 	}
-	for id, ad := range w.LoggedAddresses.All() {
-		if known[*ad] {
-			w.LoggedAddresses.Delete(id)
+	for id, address := range world.LoggedAddresses.All() {
+		if known[*address] {
+			world.LoggedAddresses.Delete(id)
 			continue
 		}
-		unknown = append(unknown, *ad)
+		unknown = append(unknown, *address)
 	}
-	w.Random.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
+	world.Random.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
 	limit := 1
 	if isolated {
 		limit = isolatedContacts
 	}
-	for _, ad := range unknown[:min(limit, len(unknown))] {
-		contact(w, ad)
+	for _, address := range unknown[:min(limit, len(unknown))] {
+		contact(world, address)
 	}
 }
 
 // contact sends this node's description to an address, and a heartbeat with checksums that
 // makes the receiver compare its peer table with this node's.
-func contact(w *carobworld.World, to carobaddress.Address) {
-	w.SendMessage(carobmessage.Message{To: to, Gossip: &carobgossip.Gossip{Members: []carobmember.Member{w.Describe()}}})
-	w.SendMessage(carobmessage.Message{To: to, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{Checksums: w.Checksums(), ProfilesRead: w.ProfilesRead}})
+func contact(world *carobworld.World, to carobaddress.Address) {
+	world.SendMessage(carobmessage.Message{To: to, Gossip: &carobgossip.Gossip{Members: []carobmember.Member{world.Describe()}}})
+	world.SendMessage(carobmessage.Message{To: to, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{Checksums: world.Checksums(), ProfilesRead: world.ProfilesRead}})
 }
--- a/pkg/carobjoining/system_test.go
+++ b/pkg/carobjoining/system_test.go
@@ -29,17 +29,17 @@
 // A node that already has peers must still contact, within seconds, a node that the log
 // names. Otherwise two groups of nodes that have dropped each other stay separate.
 func TestNodeNamedInLogIsContactedWithinSeconds(t *testing.T) {
-	w := carobworld.NewWorld(carobworld.Config{Self: member("self", "127.0.0.1:1"), Limits: caroblimits.NewLimits()})
-	w.Peers.Put("friend", carobpeer.Peer{Member: member("friend", "127.0.0.1:2")})
+	world := carobworld.NewWorld(carobworld.Config{Self: member("self", "127.0.0.1:1"), Limits: caroblimits.NewLimits()})
+	world.Peers.Put("friend", carobpeer.Peer{Member: member("friend", "127.0.0.1:2")})
 	s, now := NewSystem(Config{}), carobinstant.Instant(time.Hour)
-	w.BeginTick(carobinbox.Inbox{})
-	s.Run(w, now)
+	world.BeginTick(carobinbox.Inbox{})
+	s.Run(world, now)
 	data, err := json.Marshal(member("other", "127.0.0.1:3"))
 	require.NoError(t, err)
-	w.BeginTick(carobinbox.Inbox{Records: []carobrecord.Record{{Stream: carobstream.Nodes, Data: data}}})
-	s.Run(w, now.Add(time.Millisecond))
-	w.BeginTick(carobinbox.Inbox{})
-	s.Run(w, now.Add(3*time.Second))
-	require.NotEmpty(t, w.Outbox.Messages)
-	require.EqualValues(t, "127.0.0.1:3", w.Outbox.Messages[0].To)
+	world.BeginTick(carobinbox.Inbox{Records: []carobrecord.Record{{Stream: carobstream.Nodes, Data: data}}})
+	s.Run(world, now.Add(time.Millisecond))
+	world.BeginTick(carobinbox.Inbox{})
+	s.Run(world, now.Add(3*time.Second))
+	require.NotEmpty(t, world.Outbox.Messages)
+	require.EqualValues(t, "127.0.0.1:3", world.Outbox.Messages[0].To)
 }
--- a/pkg/carobmember/member.go
+++ b/pkg/carobmember/member.go
@@ -80,18 +80,18 @@
 	return nil
 }
 
-func checkTarget(tg *carobtarget.Target) error {
-	if err := tg.ID.Service.Check(); err != nil {
+func checkTarget(target *carobtarget.Target) error {
+	if err := target.ID.Service.Check(); err != nil {
 		return err
 	}
-	if err := tg.ID.Name.Check("target"); err != nil {
+	if err := target.ID.Name.Check("target"); err != nil {
 		return err
 	}
-	if err := tg.Profile.Check("profile"); err != nil {
+	if err := target.Profile.Check("profile"); err != nil {
 		return err
 	}
-	if tg.Slots < 1 || tg.Connections < 1 {
-		return carobkind.New(carobkind.Invalid, "target %s: slots and conns must be at least 1", tg.ID)
+	if target.Slots < 1 || target.Connections < 1 {
+		return carobkind.New(carobkind.Invalid, "target %s: slots and conns must be at least 1", target.ID)
 	}
-	return tg.Readiness.Check()
+	return target.Readiness.Check()
 }
--- a/pkg/carobmembership/system.go
+++ b/pkg/carobmembership/system.go
@@ -48,51 +48,51 @@
 }
 
 // Run merges the gossip of this tick, and drops nodes that have been down for too long.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	for _, ms := range w.Inbox.Messages {
-		if ms.Gossip == nil {
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	for _, message := range world.Inbox.Messages {
+		if message.Gossip == nil {
 			continue
 		}
-		for _, mb := range ms.Gossip.Members {
-			s.merge(w, now, mb, ms.Gossip.Requested)
+		for _, member := range message.Gossip.Members {
+			s.merge(world, now, member, message.Gossip.Requested)
 		}
 	}
 	if s.nextSweep == carobinstant.Never || s.nextSweep.Reached(now) {
-		dropExpired(w, now)
+		dropExpired(world, now)
 		s.nextSweep = now.Add(sweepInterval)
 	}
-	w.WakeAt(s.nextSweep)
+	world.WakeAt(s.nextSweep)
 }
 
 // merge applies a description if it is newer than the one in the table. Descriptions that
 // this node requested are not gossiped further, because other nodes already have them.
-func (s *System) merge(w *carobworld.World, now carobinstant.Instant, mb carobmember.Member, requested bool) {
-	if mb.Node == w.Self.Node {
-		s.mergeSelf(w, mb)
+func (s *System) merge(world *carobworld.World, now carobinstant.Instant, member carobmember.Member, requested bool) {
+	if member.Node == world.Self.Node {
+		s.mergeSelf(world, member)
 		return
 	}
-	old := w.Peers.Get(mb.Node)
-	if old == nil && mb.Liveness.Down() || old != nil && !mb.Newer(old.Member) {
+	old := world.Peers.Get(member.Node)
+	if old == nil && member.Liveness.Down() || old != nil && !member.Newer(old.Member) {
 		return
 	}
-	unchanged := old != nil && sameTargets(old.Member, mb)
-	if w.Peers.Put(mb.Node, nextRow(old, mb, now)) == nil {
+	unchanged := old != nil && sameTargets(old.Member, member)
+	if world.Peers.Put(member.Node, nextRow(old, member, now)) == nil {
 		return
 	}
-	w.PeerChanges++
+	world.PeerChanges++
 	if !requested {
-		w.PendingGossip.Put(mb.Node, struct{}{})
+		world.PendingGossip.Put(member.Node, struct{}{})
 	}
 	if !unchanged {
-		replaceTargets(w, mb)
+		replaceTargets(world, member)
 	}
 }
 
 // nextRow returns the row for a newer description. It keeps the times and the route version
 // of the old row, which may be nil, if incarnation and liveness state are unchanged.
-func nextRow(old *carobpeer.Peer, mb carobmember.Member, now carobinstant.Instant) carobpeer.Peer {
-	next := carobpeer.Peer{Member: mb, LastContactAt: now, LivenessSince: now}
-	if old != nil && old.Member.Liveness == mb.Liveness && old.Member.Incarnation == mb.Incarnation {
+func nextRow(old *carobpeer.Peer, member carobmember.Member, now carobinstant.Instant) carobpeer.Peer {
+	next := carobpeer.Peer{Member: member, LastContactAt: now, LivenessSince: now}
+	if old != nil && old.Member.Liveness == member.Liveness && old.Member.Incarnation == member.Incarnation {
 		next.LastContactAt, next.LivenessSince, next.RoutesVersion = old.LastContactAt, old.LivenessSince, old.RoutesVersion
 	}
 	return next
@@ -100,16 +100,16 @@
 
 // mergeSelf handles a description of this node that came from another one. It refutes a
 // suspicion, and records in the audit trail if another node uses the same id.
-func (s *System) mergeSelf(w *carobworld.World, mb carobmember.Member) {
-	if mb.Incarnation == w.Self.Incarnation {
-		if mb.Liveness != carobliveness.Alive && mb.Sequence >= w.Self.Sequence && !w.LeaveAnnounced {
-			w.Self.Sequence = mb.Sequence + 1
+func (s *System) mergeSelf(world *carobworld.World, member carobmember.Member) {
+	if member.Incarnation == world.Self.Incarnation {
+		if member.Liveness != carobliveness.Alive && member.Sequence >= world.Self.Sequence && !world.LeaveAnnounced {
+			world.Self.Sequence = member.Sequence + 1
 		}
 		return
 	}
-	if mb.Incarnation > w.Self.Incarnation && mb.Incarnation > s.duplicate {
-		s.duplicate = mb.Incarnation
-		w.Audit("member", string(mb.Node), "name is used twice", string(w.Self.PeerAddress), string(mb.PeerAddress))
+	if member.Incarnation > world.Self.Incarnation && member.Incarnation > s.duplicate {
+		s.duplicate = member.Incarnation
+		world.Audit("member", string(member.Node), "name is used twice", string(world.Self.PeerAddress), string(member.PeerAddress))
 	}
 }
 
@@ -120,37 +120,37 @@
 
 // replaceTargets replaces a node's rows in the target table by those of its description.
 // The targets of a node that is down are removed there, but stay in the peer's row.
-func replaceTargets(w *carobworld.World, mb carobmember.Member) {
-	w.DropTargets(mb.Node)
-	if mb.Liveness.Down() {
+func replaceTargets(world *carobworld.World, member carobmember.Member) {
+	world.DropTargets(member.Node)
+	if member.Liveness.Down() {
 		return
 	}
-	for _, tg := range mb.Targets {
-		addTarget(w, mb, tg)
+	for _, target := range member.Targets {
+		addTarget(world, member, target)
 	}
 }
 
 // addTarget adds a target of another node to the target table, unless this node has a
 // target of the same id itself.
-func addTarget(w *carobworld.World, mb carobmember.Member, tg carobtarget.Target) {
-	tg.Node = mb.Node
-	if mb.Leaving {
-		tg.Readiness = carobreadiness.Leaving
+func addTarget(world *carobworld.World, member carobmember.Member, target carobtarget.Target) {
+	target.Node = member.Node
+	if member.Leaving {
+		target.Readiness = carobreadiness.Leaving
 	}
-	if existing := w.Targets.Get(tg.ID); existing != nil && w.Owns(existing) {
+	if existing := world.Targets.Get(target.ID); existing != nil && world.Owns(existing) {
 		return
 	}
-	w.Targets.Put(tg.ID, tg)
+	world.Targets.Put(target.ID, target)
 }
 
 // dropExpired removes the peers that have been down for longer than their retention time.
-func dropExpired(w *carobworld.World, now carobinstant.Instant) {
-	for id, pr := range w.Peers.All() {
-		age := now.Sub(pr.LivenessSince)
-		if pr.Member.Liveness == carobliveness.Unreachable && age > unreachableRetention ||
-			pr.Member.Liveness == carobliveness.Left && age > leftRetention {
-			w.Peers.Delete(id)
-			w.PeerChanges++
+func dropExpired(world *carobworld.World, now carobinstant.Instant) {
+	for id, peer := range world.Peers.All() {
+		age := now.Sub(peer.LivenessSince)
+		if peer.Member.Liveness == carobliveness.Unreachable && age > unreachableRetention ||
+			peer.Member.Liveness == carobliveness.Left && age > leftRetention {
+			world.Peers.Delete(id)
+			world.PeerChanges++
 		}
 	}
 }
--- a/pkg/carobpause/system.go
+++ b/pkg/carobpause/system.go
@@ -32,8 +32,8 @@
 
 // Run sets Paused if more than Threshold has passed since the previous tick, and
 // schedules the next tick.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	w.Paused = s.lastTick != carobinstant.Never && now.Sub(s.lastTick) > s.config.Threshold
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	world.Paused = s.lastTick != carobinstant.Never && now.Sub(s.lastTick) > s.config.Threshold
 	s.lastTick = now
-	w.WakeAt(now.Add(s.config.TickPeriod))
+	world.WakeAt(now.Add(s.config.TickPeriod))
 }
--- a/pkg/carobpause/system_test.go
+++ b/pkg/carobpause/system_test.go
@@ -40,33 +40,33 @@
 		paused bool
 	}{"in time": {tickPeriod, false}, "paused": {threshold + 1, true}} {
 		t.Run(name, func(t *testing.T) {
-			w := world()
+			world := newWorld()
 			pause := carobpause.NewSystem(carobpause.Config{TickPeriod: tickPeriod, Threshold: threshold})
 			step := func(now carobinstant.Instant, in carobinbox.Inbox) {
-				w.BeginTick(in)
-				pause.Run(w, now)
-				carobadmission.NewSystem().Run(w, now)
+				world.BeginTick(in)
+				pause.Run(world, now)
+				carobadmission.NewSystem().Run(world, now)
 			}
 			now := carobinstant.Instant(1)
 			step(now, carobinbox.Inbox{Offers: []caroboffer.Offer{offer(1), offer(2)}})
-			require.Len(t, w.Outbox.Starts, 1)
-			require.True(t, w.Wake().Reached(now.Add(tickPeriod)), "an idle node schedules its next tick")
+			require.Len(t, world.Outbox.Starts, 1)
+			require.True(t, world.Wake().Reached(now.Add(tickPeriod)), "an idle node schedules its next tick")
 
 			now = now.Add(c.gap)
 			step(now, carobinbox.Inbox{
 				Offers: []caroboffer.Offer{offer(3)}, Finishes: []carobfinish.Finish{{Job: offer(1).Job}},
 			})
 			if !c.paused {
-				require.Equal(t, offer(2).Job, w.Outbox.Starts[0].Job)
+				require.Equal(t, offer(2).Job, world.Outbox.Starts[0].Job)
 				return
 			}
-			require.Empty(t, w.Outbox.Starts)
+			require.Empty(t, world.Outbox.Starts)
 			require.Equal(t, []carobrefusal.Refusal{
 				{Job: offer(2).Job, Kind: carobkind.Withdrawn}, {Job: offer(3).Job, Kind: carobkind.Withdrawn},
-			}, w.Outbox.Refusals)
+			}, world.Outbox.Refusals)
 
 			step(now+1, carobinbox.Inbox{Offers: []caroboffer.Offer{offer(4)}})
-			require.Len(t, w.Outbox.Starts, 1, "a job that is offered after the pause starts")
+			require.Len(t, world.Outbox.Starts, 1, "a job that is offered after the pause starts")
 		})
 	}
 }
@@ -78,15 +78,15 @@
 	return caroboffer.Offer{Job: id, Target: target, Incarnation: 7, TimeLeft: time.Minute}
 }
 
-// world returns the tables of a node whose target has one slot.
-func world() *carobworld.World {
-	w := carobworld.NewWorld(carobworld.Config{
+// newWorld returns the tables of a node whose target has one slot.
+func newWorld() *carobworld.World {
+	world := carobworld.NewWorld(carobworld.Config{
 		Self: carobmember.Member{Node: "here", Incarnation: 7}, Limits: caroblimits.NewLimits(),
 	})
-	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
-	w.AdmissionStates.Put(target, carobadmissionstate.AdmissionState{Limit: 1})
+	world.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
+	world.AdmissionStates.Put(target, carobadmissionstate.AdmissionState{Limit: 1})
 	rv := carobrevision.Revision{}
 	rv.Change.Profile = carobprofile.NewProfile("p")
-	w.Profiles.Put("p", rv)
-	return w
+	world.Profiles.Put("p", rv)
+	return world
 }
--- a/pkg/carobreconciliation/system.go
+++ b/pkg/carobreconciliation/system.go
@@ -53,14 +53,14 @@
 
 // Run compares the peer table with the checksums in the heartbeats of this tick, and
 // handles its digests.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	for i := range w.Inbox.Messages {
-		ms := &w.Inbox.Messages[i]
-		if ms.Heartbeat != nil && len(ms.Heartbeat.Checksums) == carobpeerheartbeat.Partitions {
-			s.compare(w, now, ms)
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	for i := range world.Inbox.Messages {
+		message := &world.Inbox.Messages[i]
+		if message.Heartbeat != nil && len(message.Heartbeat.Checksums) == carobpeerheartbeat.Partitions {
+			s.compare(world, now, message)
 		}
-		if ms.Digest != nil {
-			s.answer(w, now, ms)
+		if message.Digest != nil {
+			s.answer(world, now, message)
 		}
 	}
 }
@@ -68,22 +68,22 @@
 // compare sends digests of some of the partitions whose checksums differ, chosen at
 // random, as far as the throttle permits. If at most half of the partitions differ while
 // gossip is pending, it compares only once per interval.
-func (s *System) compare(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message) {
-	different := differing(w.Checksums(), ms.Heartbeat.Checksums)
+func (s *System) compare(world *carobworld.World, now carobinstant.Instant, message *carobmessage.Message) {
+	different := differing(world.Checksums(), message.Heartbeat.Checksums)
 	if len(different) == 0 {
 		return
 	}
-	if w.PendingGossip.Len() > 0 && len(different) <= carobpeerheartbeat.Partitions/2 && s.nextCompare != carobinstant.Never && !s.nextCompare.Reached(now) {
+	if world.PendingGossip.Len() > 0 && len(different) <= carobpeerheartbeat.Partitions/2 && s.nextCompare != carobinstant.Never && !s.nextCompare.Reached(now) {
 		return
 	}
 	s.nextCompare = now.Add(compareInterval)
-	w.Random.Shuffle(len(different), func(i, j int) { different[i], different[j] = different[j], different[i] })
+	world.Random.Shuffle(len(different), func(i, j int) { different[i], different[j] = different[j], different[i] })
 	for _, partition := range different[:min(maxPartitions, len(different))] {
-		rows := versions(w, partition)
+		rows := versions(world, partition)
 		if !s.throttle.Allow(now, rowSize*len(rows)) {
 			return
 		}
-		w.SendMessage(carobmessage.Message{To: ms.ReplyTo, Digest: &carobdigest.Digest{Partition: partition, Versions: rows}})
+		world.SendMessage(carobmessage.Message{To: message.ReplyTo, Digest: &carobdigest.Digest{Partition: partition, Versions: rows}})
 	}
 }
 
@@ -100,14 +100,14 @@
 
 // versions returns the version of each description in a partition of the peer table, this
 // node's own included.
-func versions(w *carobworld.World, partition int) []carobmemberversion.Version {
+func versions(world *carobworld.World, partition int) []carobmemberversion.Version {
 	var rows []carobmemberversion.Version
-	if carobworld.PartitionOf(w.Self.Node) == partition {
-		rows = append(rows, w.Self.Version())
+	if carobworld.PartitionOf(world.Self.Node) == partition {
+		rows = append(rows, world.Self.Version())
 	}
-	for id, pr := range w.Peers.All() {
+	for id, peer := range world.Peers.All() {
 		if carobworld.PartitionOf(id) == partition {
-			rows = append(rows, pr.Member.Version())
+			rows = append(rows, peer.Member.Version())
 		}
 	}
 	return rows
@@ -116,15 +116,15 @@
 // answer handles a digest. It sends the descriptions that the sender requests, or those
 // that are newer than in the sender's rows, and requests the ones that the sender has
 // newer.
-func (s *System) answer(w *carobworld.World, now carobinstant.Instant, ms *carobmessage.Message) {
-	if len(ms.Digest.Requested) > 0 {
-		s.send(w, now, ms.ReplyTo, ms.Digest.Requested)
+func (s *System) answer(world *carobworld.World, now carobinstant.Instant, message *carobmessage.Message) {
+	if len(message.Digest.Requested) > 0 {
+		s.send(world, now, message.ReplyTo, message.Digest.Requested)
 		return
 	}
-	missing, requested := compareVersions(versions(w, ms.Digest.Partition), ms.Digest.Versions)
-	s.send(w, now, ms.ReplyTo, missing)
+	missing, requested := compareVersions(versions(world, message.Digest.Partition), message.Digest.Versions)
+	s.send(world, now, message.ReplyTo, missing)
 	if len(requested) > 0 {
-		w.SendMessage(carobmessage.Message{To: ms.ReplyTo, Digest: &carobdigest.Digest{Partition: ms.Digest.Partition, Requested: requested}})
+		world.SendMessage(carobmessage.Message{To: message.ReplyTo, Digest: &carobdigest.Digest{Partition: message.Digest.Partition, Requested: requested}})
 	}
 }
 
@@ -133,22 +133,22 @@
 // lacks. A node that is down and that one side has dropped is not added again.
 func compareVersions(own, others []carobmemberversion.Version) (missing, requested []carobnodeid.ID) {
 	theirs := make(map[carobnodeid.ID]carobmemberversion.Version, len(others))
-	for _, vs := range others {
-		theirs[vs.Node] = vs
+	for _, version := range others {
+		theirs[version.Node] = version
 	}
-	for _, vs := range own {
-		their, ok := theirs[vs.Node]
-		delete(theirs, vs.Node)
+	for _, version := range own {
+		their, ok := theirs[version.Node]
+		delete(theirs, version.Node)
 		switch {
-		case !ok && !vs.Liveness.Down() || ok && vs.Newer(their):
-			missing = append(missing, vs.Node)
-		case ok && their.Newer(vs):
-			requested = append(requested, vs.Node)
+		case !ok && !version.Liveness.Down() || ok && version.Newer(their):
+			missing = append(missing, version.Node)
+		case ok && their.Newer(version):
+			requested = append(requested, version.Node)
 		}
 	}
-	for _, vs := range others {
-		if _, ok := theirs[vs.Node]; ok && !vs.Liveness.Down() {
-			requested = append(requested, vs.Node)
+	for _, version := range others {
+		if _, ok := theirs[version.Node]; ok && !version.Liveness.Down() {
+			requested = append(requested, version.Node)
 		}
 	}
 	return missing, requested
@@ -156,24 +156,24 @@
 
 // send sends the descriptions of some nodes, in as many messages as necessary, until the
 // throttle refuses one.
-func (s *System) send(w *carobworld.World, now carobinstant.Instant, to carobaddress.Address, nodes []carobnodeid.ID) {
+func (s *System) send(world *carobworld.World, now carobinstant.Instant, to carobaddress.Address, nodes []carobnodeid.ID) {
 	var members []carobmember.Member
 	size := 0
 	flush := func() bool {
 		if len(members) == 0 || !s.throttle.Allow(now, size) {
 			return false
 		}
-		w.SendMessage(carobmessage.Message{To: to, Gossip: &carobgossip.Gossip{Members: members, Requested: true}})
+		world.SendMessage(carobmessage.Message{To: to, Gossip: &carobgossip.Gossip{Members: members, Requested: true}})
 		members, size = nil, 0
 		return true
 	}
 	for _, id := range nodes {
-		mb, ok := description(w, id)
+		member, ok := description(world, id)
 		if !ok {
 			continue
 		}
-		members = append(members, mb)
-		size += mb.EncodedSize()
+		members = append(members, member)
+		size += member.EncodedSize()
 		if len(members) == carobgossip.MaxMembers && !flush() {
 			return
 		}
@@ -183,12 +183,12 @@
 
 // description returns the description of a node that this node has. It reports false if
 // there is none.
-func description(w *carobworld.World, id carobnodeid.ID) (carobmember.Member, bool) {
-	if id == w.Self.Node {
-		return w.Describe(), true
+func description(world *carobworld.World, id carobnodeid.ID) (carobmember.Member, bool) {
+	if id == world.Self.Node {
+		return world.Describe(), true
 	}
-	if pr := w.Peers.Get(id); pr != nil {
-		return pr.Member, true
+	if peer := world.Peers.Get(id); peer != nil {
+		return peer.Member, true
 	}
 	return carobmember.Member{}, false
 }
--- a/pkg/carobregistry/system.go
+++ b/pkg/carobregistry/system.go
@@ -37,24 +37,24 @@
 
 // Run handles the tick's announcements, marks targets without recent announcements as
 // leaving, and removes the admission states of removed targets once they have no jobs.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	for _, an := range w.Inbox.Announcements {
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	for _, announcement := range world.Inbox.Announcements {
 		switch {
-		case isOutdated(w, an):
-			auditChange(w, an.Target, "late announcement", string(an.Readiness))
-		case an.Withdrawn:
-			handleWithdrawal(w, an)
+		case isOutdated(world, announcement):
+			auditChange(world, announcement.Target, "late announcement", string(announcement.Readiness))
+		case announcement.Withdrawn:
+			handleWithdrawal(world, announcement)
 		default:
-			handleAnnouncement(w, now, an)
+			handleAnnouncement(world, now, announcement)
 		}
 	}
-	for id, as := range w.AdmissionStates.All() {
-		tg := w.Targets.Get(id)
+	for id, state := range world.AdmissionStates.All() {
+		target := world.Targets.Get(id)
 		switch {
-		case tg != nil && w.Owns(tg):
-			s.checkTimeout(w, now, tg)
-		case as.Running == 0 && as.Queued == 0:
-			w.AdmissionStates.Delete(id)
+		case target != nil && world.Owns(target):
+			s.checkTimeout(world, now, target)
+		case state.Running == 0 && state.Queued == 0:
+			world.AdmissionStates.Delete(id)
 		}
 	}
 }
@@ -62,28 +62,28 @@
 // isOutdated reports whether an announcement must be ignored. A withdrawal is outdated
 // if a later incarnation of the target is known; any other announcement if it is not
 // newer than the last one from its address, or if its incarnation has withdrawn.
-func isOutdated(w *carobworld.World, an carobannouncement.Announcement) bool {
-	if an.Withdrawn {
-		instance := newestInstance(w, an.Target)
-		return instance != nil && an.Incarnation > 0 && an.Incarnation < instance.Incarnation
+func isOutdated(world *carobworld.World, announcement carobannouncement.Announcement) bool {
+	if announcement.Withdrawn {
+		instance := newestInstance(world, announcement.Target)
+		return instance != nil && announcement.Incarnation > 0 && announcement.Incarnation < instance.Incarnation
 	}
-	instance := w.Instances.Get(an.Address)
-	return instance != nil && instance.Outdated(an.Incarnation, an.Sequence)
+	instance := world.Instances.Get(announcement.Address)
+	return instance != nil && instance.Outdated(announcement.Incarnation, announcement.Sequence)
 }
 
 // handleWithdrawal removes a target that has withdrawn itself, and records that later
 // announcements of the same incarnation are to be ignored.
-func handleWithdrawal(w *carobworld.World, an carobannouncement.Announcement) {
-	if instance := newestInstance(w, an.Target); instance != nil {
-		instance.Withdrawn, an.Target = true, instance.Target
+func handleWithdrawal(world *carobworld.World, announcement carobannouncement.Announcement) {
+	if instance := newestInstance(world, announcement.Target); instance != nil {
+		instance.Withdrawn, announcement.Target = true, instance.Target
 	}
-	removeTarget(w, an)
+	removeTarget(world, announcement)
 }
 
 // newestInstance returns the record of a target's newest incarnation, or nil. The service
 // of id may be empty, because a target may withdraw without naming its service.
-func newestInstance(w *carobworld.World, id carobtargetid.ID) *carobinstance.Instance {
-	for _, instance := range w.Instances.All() {
+func newestInstance(world *carobworld.World, id carobtargetid.ID) *carobinstance.Instance {
+	for _, instance := range world.Instances.All() {
 		if instance.Target.Name == id.Name && (id.Service == "" || instance.Target.Service == id.Service) {
 			return instance
 		}
@@ -94,86 +94,86 @@
 // recordInstance records the target, incarnation and sequence of an announcement for its
 // address. It removes another target that had the address before. A target that has
 // restarted has lost its connections and its memory, so its admission state counts as new.
-func recordInstance(w *carobworld.World, now carobinstant.Instant, an carobannouncement.Announcement) {
-	instance := w.Instances.Get(an.Address)
-	if instance != nil && instance.Target != an.Target && an.Incarnation > 0 {
-		removeTarget(w, carobannouncement.Announcement{Target: instance.Target})
-	}
-	if instance != nil && instance.Target == an.Target && instance.Incarnation != an.Incarnation {
-		auditChange(w, an.Target, "earlier incarnation", "new incarnation")
-		if as := w.AdmissionStates.Get(an.Target); as != nil {
-			as.AddedAt = now
+func recordInstance(world *carobworld.World, now carobinstant.Instant, announcement carobannouncement.Announcement) {
+	instance := world.Instances.Get(announcement.Address)
+	if instance != nil && instance.Target != announcement.Target && announcement.Incarnation > 0 {
+		removeTarget(world, carobannouncement.Announcement{Target: instance.Target})
+	}
+	if instance != nil && instance.Target == announcement.Target && instance.Incarnation != announcement.Incarnation {
+		auditChange(world, announcement.Target, "earlier incarnation", "new incarnation")
+		if state := world.AdmissionStates.Get(announcement.Target); state != nil {
+			state.AddedAt = now
 		}
 	}
-	w.Instances.Put(an.Address, carobinstance.Instance{Target: an.Target, Incarnation: an.Incarnation, Sequence: an.Sequence})
+	world.Instances.Put(announcement.Address, carobinstance.Instance{Target: announcement.Target, Incarnation: announcement.Incarnation, Sequence: announcement.Sequence})
 }
 
 // handleAnnouncement adds or updates the target of an announcement and its admission state.
-func handleAnnouncement(w *carobworld.World, now carobinstant.Instant, an carobannouncement.Announcement) {
-	recordInstance(w, now, an)
+func handleAnnouncement(world *carobworld.World, now carobinstant.Instant, announcement carobannouncement.Announcement) {
+	recordInstance(world, now, announcement)
 	next := carobtarget.Target{
-		ID: an.Target, Node: w.Self.Node, Address: an.Address, Profile: an.Profile,
-		Slots: an.Slots, Connections: an.Connections, Readiness: an.Readiness, AnnouncedAt: now,
+		ID: announcement.Target, Node: world.Self.Node, Address: announcement.Address, Profile: announcement.Profile,
+		Slots: announcement.Slots, Connections: announcement.Connections, Readiness: announcement.Readiness, AnnouncedAt: now,
 	}
 	before, changed := "none", true
-	if old := w.Targets.Get(an.Target); old != nil {
+	if old := world.Targets.Get(announcement.Target); old != nil {
 		next.AnnouncedAt = old.AnnouncedAt
 		before, changed = string(old.Readiness), *old != next
 	}
 	next.AnnouncedAt = now
-	if w.Targets.Put(an.Target, next) == nil {
+	if world.Targets.Put(announcement.Target, next) == nil {
 		return
 	}
-	as := w.AdmissionStates.Get(an.Target)
-	if as == nil {
-		as = w.AdmissionStates.Put(an.Target, carobadmissionstate.AdmissionState{AddedAt: now})
+	state := world.AdmissionStates.Get(announcement.Target)
+	if state == nil {
+		state = world.AdmissionStates.Put(announcement.Target, carobadmissionstate.AdmissionState{AddedAt: now})
 	}
-	as.Slots, as.Limit = an.Slots, an.Slots
+	state.Slots, state.Limit = announcement.Slots, announcement.Slots
 	if !changed {
 		return
 	}
-	auditChange(w, an.Target, before, string(an.Readiness))
-	markTargetsChanged(w)
+	auditChange(world, announcement.Target, before, string(announcement.Readiness))
+	markTargetsChanged(world)
 }
 
 // removeTarget removes the target of an announcement if it is this node's own. Its
 // admission state stays until its jobs have ended.
-func removeTarget(w *carobworld.World, an carobannouncement.Announcement) {
-	tg := w.Targets.Get(an.Target)
-	if tg == nil || !w.Owns(tg) {
+func removeTarget(world *carobworld.World, announcement carobannouncement.Announcement) {
+	target := world.Targets.Get(announcement.Target)
+	if target == nil || !world.Owns(target) {
 		return
 	}
-	auditChange(w, an.Target, string(tg.Readiness), "withdrawn")
-	w.Targets.Delete(an.Target)
-	markTargetsChanged(w)
+	auditChange(world, announcement.Target, string(target.Readiness), "withdrawn")
+	world.Targets.Delete(announcement.Target)
+	markTargetsChanged(world)
 }
 
 // checkTimeout marks a target without recent announcements as leaving, and removes it
 // after removalDelay.
-func (s *System) checkTimeout(w *carobworld.World, now carobinstant.Instant, tg *carobtarget.Target) {
-	due := tg.AnnouncedAt.Add(s.announcementTimeout)
+func (s *System) checkTimeout(world *carobworld.World, now carobinstant.Instant, target *carobtarget.Target) {
+	due := target.AnnouncedAt.Add(s.announcementTimeout)
 	if !due.Reached(now) {
-		w.WakeAt(due)
+		world.WakeAt(due)
 		return
 	}
-	if tg.Readiness != carobreadiness.Leaving {
-		auditChange(w, tg.ID, string(tg.Readiness), "silent")
-		tg.Readiness = carobreadiness.Leaving
-		markTargetsChanged(w)
+	if target.Readiness != carobreadiness.Leaving {
+		auditChange(world, target.ID, string(target.Readiness), "silent")
+		target.Readiness = carobreadiness.Leaving
+		markTargetsChanged(world)
 	}
-	if tg.AnnouncedAt.Add(removalDelay).Reached(now) {
-		removeTarget(w, carobannouncement.Announcement{Target: tg.ID})
+	if target.AnnouncedAt.Add(removalDelay).Reached(now) {
+		removeTarget(world, carobannouncement.Announcement{Target: target.ID})
 	}
 }
 
 // auditChange adds a change of one of the node's own targets to the audit trail.
-func auditChange(w *carobworld.World, target carobtargetid.ID, from, to string) {
-	w.Audit("target", string(w.Self.Node), target.String(), from, to)
+func auditChange(world *carobworld.World, target carobtargetid.ID, from, to string) {
+	world.Audit("target", string(world.Self.Node), target.String(), from, to)
 }
 
 // markTargetsChanged schedules the regrouping of targets and increments the update sequence
 // of this node's description of itself, so that the change is gossiped to other nodes.
-func markTargetsChanged(w *carobworld.World) {
-	w.TargetsChanged = true
-	w.Self.Sequence++
+func markTargetsChanged(world *carobworld.World) {
+	world.TargetsChanged = true
+	world.Self.Sequence++
 }
--- a/pkg/carobregistry/system_test.go
+++ b/pkg/carobregistry/system_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-func (r *rig) step(ans ...carobannouncement.Announcement) {
+func (r *rig) step(announcements ...carobannouncement.Announcement) {
 	r.now = r.now.Add(time.Millisecond)
-	r.world.BeginTick(carobinbox.Inbox{Announcements: ans})
+	r.world.BeginTick(carobinbox.Inbox{Announcements: announcements})
 	r.system.Run(r.world, r.now)
 }
 
@@ -115,8 +115,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig()
-			for _, an := range c.announcements {
-				r.step(an)
+			for _, announced := range c.announcements {
+				r.step(announced)
 			}
 			for name, readiness := range c.want {
 				require.Equal(t, readiness, r.readiness(name), "target %s", name)
--- a/pkg/carobroutesync/system.go
+++ b/pkg/carobroutesync/system.go
@@ -40,48 +40,48 @@
 
 // Run applies newer tables, answers requests, and requests a newer table if a peer has
 // one.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	for _, table := range w.Inbox.RouteTables {
-		if apply(w, table, "store") {
-			announce(w)
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	for _, table := range world.Inbox.RouteTables {
+		if apply(world, table, "store") {
+			announce(world)
 		}
 	}
-	for i := range w.Inbox.Messages {
-		ms := &w.Inbox.Messages[i]
-		if ms.RouteTable != nil && apply(w, ms.RouteTable, string(ms.From)) {
+	for i := range world.Inbox.Messages {
+		message := &world.Inbox.Messages[i]
+		if message.RouteTable != nil && apply(world, message.RouteTable, string(message.From)) {
 			s.requestDeadline = carobinstant.Never
 		}
-		if ms.RouteFetch != nil && w.RouteTable != nil && w.RouteTable.Version > ms.RouteFetch.Version {
-			w.SendMessage(carobmessage.Message{To: ms.ReplyTo, RouteTable: w.RouteTable})
+		if message.RouteFetch != nil && world.RouteTable != nil && world.RouteTable.Version > message.RouteFetch.Version {
+			world.SendMessage(carobmessage.Message{To: message.ReplyTo, RouteTable: world.RouteTable})
 		}
-		recordVersion(w, ms)
+		recordVersion(world, message)
 	}
-	s.requestNewer(w, now)
+	s.requestNewer(world, now)
 }
 
 // apply applies a table and reports true if it is newer than the one in force.
-func apply(w *carobworld.World, table *carobroutetable.RouteTable, from string) bool {
-	if table.Version <= w.RoutesVersion() {
+func apply(world *carobworld.World, table *carobroutetable.RouteTable, from string) bool {
+	if table.Version <= world.RoutesVersion() {
 		return false
 	}
-	w.AuditRoutes(from, table)
-	w.RouteTable = table
+	world.AuditRoutes(from, table)
+	world.RouteTable = table
 	return true
 }
 
 // recordVersion records which version of the route table a peer has.
-func recordVersion(w *carobworld.World, ms *carobmessage.Message) {
-	if pr := w.Peers.Get(ms.From); pr != nil && ms.Incarnation == pr.Member.Incarnation {
-		pr.RoutesVersion = max(pr.RoutesVersion, ms.RoutesVersion)
+func recordVersion(world *carobworld.World, message *carobmessage.Message) {
+	if peer := world.Peers.Get(message.From); peer != nil && message.Incarnation == peer.Member.Incarnation {
+		peer.RoutesVersion = max(peer.RoutesVersion, message.RoutesVersion)
 	}
 }
 
 // announce sends the version of a new table to the nodes of this data centre that have an
 // older one.
-func announce(w *carobworld.World) {
-	for _, pr := range w.Peers.All() {
-		if pr.Member.Centre == w.Self.Centre && !pr.Member.Liveness.Down() && pr.RoutesVersion < w.RouteTable.Version {
-			w.SendMessage(carobmessage.Message{To: pr.Member.PeerAddress})
+func announce(world *carobworld.World) {
+	for _, peer := range world.Peers.All() {
+		if peer.Member.Centre == world.Self.Centre && !peer.Member.Liveness.Down() && peer.RoutesVersion < world.RouteTable.Version {
+			world.SendMessage(carobmessage.Message{To: peer.Member.PeerAddress})
 		}
 	}
 }
@@ -89,11 +89,11 @@
 // requestNewer requests a newer table from a peer that has one, preferably of this data
 // centre. Only one request is pending at a time. A node without any table does not wait
 // for its data centre.
-func (s *System) requestNewer(w *carobworld.World, now carobinstant.Instant) {
-	have := w.RoutesVersion()
-	ahead := func(pr *carobpeer.Peer) bool { return pr.RoutesVersion > have && !pr.Member.Liveness.Down() }
-	near := w.SamplePeers(1, func(pr *carobpeer.Peer) bool { return ahead(pr) && pr.Member.Centre == w.Self.Centre })
-	far := w.SamplePeers(1, ahead)
+func (s *System) requestNewer(world *carobworld.World, now carobinstant.Instant) {
+	have := world.RoutesVersion()
+	ahead := func(peer *carobpeer.Peer) bool { return peer.RoutesVersion > have && !peer.Member.Liveness.Down() }
+	near := world.SamplePeers(1, func(peer *carobpeer.Peer) bool { return ahead(peer) && peer.Member.Centre == world.Self.Centre })
+	far := world.SamplePeers(1, ahead)
 	if len(far) == 0 {
 		s.behindSince = carobinstant.Never
 		return
@@ -103,18 +103,18 @@
 	}
 	switch wait := s.behindSince.Add(localHeadStart); {
 	case s.requestDeadline != carobinstant.Never && !s.requestDeadline.Reached(now):
-		w.WakeAt(s.requestDeadline)
+		world.WakeAt(s.requestDeadline)
 	case len(near) > 0:
-		s.request(w, now, near[0])
-	case wait.Reached(now) || w.RouteTable == nil:
-		s.request(w, now, far[0])
+		s.request(world, now, near[0])
+	case wait.Reached(now) || world.RouteTable == nil:
+		s.request(world, now, far[0])
 	default:
-		w.WakeAt(wait)
+		world.WakeAt(wait)
 	}
 }
 
-func (s *System) request(w *carobworld.World, now carobinstant.Instant, pr *carobpeer.Peer) {
+func (s *System) request(world *carobworld.World, now carobinstant.Instant, peer *carobpeer.Peer) {
 	s.requestDeadline = now.Add(answerTimeout)
-	w.WakeAt(s.requestDeadline)
-	w.SendMessage(carobmessage.Message{To: pr.Member.PeerAddress, RouteFetch: &carobroutefetch.Fetch{Version: w.RoutesVersion()}})
+	world.WakeAt(s.requestDeadline)
+	world.SendMessage(carobmessage.Message{To: peer.Member.PeerAddress, RouteFetch: &carobroutefetch.Fetch{Version: world.RoutesVersion()}})
 }
--- a/pkg/carobroutesync/system_test.go
+++ b/pkg/carobroutesync/system_test.go
@@ -37,15 +37,15 @@
 
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	w := carobworld.NewWorld(carobworld.Config{
+	world := carobworld.NewWorld(carobworld.Config{
 		Self: carobmember.Member{Node: "self", Incarnation: 1, Centre: near, PeerAddress: "127.0.0.1:1"}, Limits: caroblimits.NewLimits(),
 	})
 	for node, centre := range map[carobnodeid.ID]carobcentre.Centre{"near": near, "far": far} {
-		w.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{
+		world.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{
 			Node: node, Incarnation: 1, Centre: centre, PeerAddress: carobaddress.Address(node),
 		}})
 	}
-	return &rig{t: t, world: w, system: carobroutesync.NewSystem(), now: carobinstant.Instant(time.Hour)}
+	return &rig{t: t, world: world, system: carobroutesync.NewSystem(), now: carobinstant.Instant(time.Hour)}
 }
 
 func (r *rig) step(d time.Duration, in carobinbox.Inbox) []carobmessage.Message {
--- a/pkg/carobshutdown/system.go
+++ b/pkg/carobshutdown/system.go
@@ -35,8 +35,8 @@
 
 // Run orders the node to stop once there have been no calls, jobs and offers for QuietPeriod,
 // or for SettleTimeout if there are pending settlements.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	if !w.Stopping || w.Calls.Len() > 0 || w.Jobs.Len() > 0 || len(w.Inbox.Offers) > 0 {
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	if !world.Stopping || world.Calls.Len() > 0 || world.Jobs.Len() > 0 || len(world.Inbox.Offers) > 0 {
 		s.idleSince = carobinstant.Never
 		return
 	}
@@ -44,10 +44,10 @@
 		s.idleSince = now
 	}
 	due := s.idleSince.Add(s.config.QuietPeriod)
-	if w.PendingSettlements.Len() > 0 {
+	if world.PendingSettlements.Len() > 0 {
 		due = s.idleSince.Add(s.config.SettleTimeout)
 	}
-	if w.Outbox.Stopped = due.Reached(now); !w.Outbox.Stopped {
-		w.WakeAt(due)
+	if world.Outbox.Stopped = due.Reached(now); !world.Outbox.Stopped {
+		world.WakeAt(due)
 	}
 }
--- a/pkg/carobshutdown/system_test.go
+++ b/pkg/carobshutdown/system_test.go
@@ -32,42 +32,44 @@
 func TestNodeStopsWhenNothingIsInFlight(t *testing.T) {
 	call := carobcallid.ID{Node: "here", Sequence: 1}
 	cases := map[string]struct {
-		add, remove func(w *carobworld.World)
+		add, remove func(world *carobworld.World)
 	}{
 		"call": {
-			func(w *carobworld.World) { w.Calls.Put(call, carobcall.Call{}) },
-			func(w *carobworld.World) { w.Calls.Delete(call) },
+			func(world *carobworld.World) { world.Calls.Put(call, carobcall.Call{}) },
+			func(world *carobworld.World) { world.Calls.Delete(call) },
 		},
 		"job": {
-			func(w *carobworld.World) { w.Jobs.Put(carobjobid.ID{Call: call}, carobjob.Job{}) },
-			func(w *carobworld.World) { w.Jobs.Delete(carobjobid.ID{Call: call}) },
+			func(world *carobworld.World) { world.Jobs.Put(carobjobid.ID{Call: call}, carobjob.Job{}) },
+			func(world *carobworld.World) { world.Jobs.Delete(carobjobid.ID{Call: call}) },
 		},
 		"pending settlement": {
-			func(w *carobworld.World) { w.PendingSettlements.Put(call, carobpendingsettlement.PendingSettlement{}) },
-			func(w *carobworld.World) { w.PendingSettlements.Delete(call) },
+			func(world *carobworld.World) {
+				world.PendingSettlements.Put(call, carobpendingsettlement.PendingSettlement{})
+			},
+			func(world *carobworld.World) { world.PendingSettlements.Delete(call) },
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()})
+			world := carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()})
 			s := carobshutdown.NewSystem(carobshutdown.Config{SettleTimeout: settleTimeout})
 			now := carobinstant.Instant(1)
 			step := func(in carobinbox.Inbox) bool {
 				now++
-				w.BeginTick(in)
-				s.Run(w, now)
-				return w.Outbox.Stopped
+				world.BeginTick(in)
+				s.Run(world, now)
+				return world.Outbox.Stopped
 			}
 			require.False(t, step(carobinbox.Inbox{}))
-			c.add(w)
+			c.add(world)
 			require.False(t, step(carobinbox.Inbox{Stop: true}))
 			require.False(t, step(carobinbox.Inbox{}))
-			if w.PendingSettlements.Len() > 0 {
-				now = w.Wake()
+			if world.PendingSettlements.Len() > 0 {
+				now = world.Wake()
 				require.True(t, step(carobinbox.Inbox{}), "the home may be unreachable")
 				return
 			}
-			c.remove(w)
+			c.remove(world)
 			require.True(t, step(carobinbox.Inbox{}))
 		})
 	}
--- a/pkg/carobtracing/system.go
+++ b/pkg/carobtracing/system.go
@@ -45,30 +45,30 @@
 
 // NewSystem returns the system.
 func NewSystem(c Config) *System {
-	const stream = 2
-	return &System{noTracePropagation: c.NoTracePropagation, random: rand.New(rand.NewPCG(c.Seed, stream))} //nolint:gosec // span IDs are not secret
+	const randomStream = 2
+	return &System{noTracePropagation: c.NoTracePropagation, random: rand.New(rand.NewPCG(c.Seed, randomStream))} //nolint:gosec // span IDs are not secret
 }
 
 // Run opens the hops of calls and offers that arrived in the tick, propagates trace
 // contexts to outgoing attempts and starts, and records the hops that ended.
-func (s *System) Run(w *carobworld.World, now carobinstant.Instant) {
-	s.openHops(w, now)
-	propagate(w, s.noTracePropagation)
-	closeCalls(w, now)
-	closeJobs(w, now)
+func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
+	s.openHops(world, now)
+	propagate(world, s.noTracePropagation)
+	closeCalls(world, now)
+	closeJobs(world, now)
 }
 
 // openHops adds a row for each call and each offer that arrived.
-func (s *System) openHops(w *carobworld.World, now carobinstant.Instant) {
-	for i := range w.Inbox.Arrivals {
-		ar := &w.Inbox.Arrivals[i]
-		w.OpenCallHops.Put(ar.Call, s.newOpenHop(ar.Traceparent, now))
+func (s *System) openHops(world *carobworld.World, now carobinstant.Instant) {
+	for i := range world.Inbox.Arrivals {
+		arrival := &world.Inbox.Arrivals[i]
+		world.OpenCallHops.Put(arrival.Call, s.newOpenHop(arrival.Traceparent, now))
 	}
-	for i := range w.Inbox.Offers {
-		of := &w.Inbox.Offers[i]
-		open := s.newOpenHop(of.Traceparent, now)
-		open.Targets = []carobtargetid.ID{of.Target}
-		w.OpenJobHops.Put(of.Job, open)
+	for i := range world.Inbox.Offers {
+		offer := &world.Inbox.Offers[i]
+		open := s.newOpenHop(offer.Traceparent, now)
+		open.Targets = []carobtargetid.ID{offer.Target}
+		world.OpenJobHops.Put(offer.Job, open)
 	}
 }
 
@@ -84,87 +84,87 @@
 
 // propagate records the targets of the attempts that are sent and, unless propagation is
 // disabled, adds the trace context to outgoing attempts and starts.
-func propagate(w *carobworld.World, noTracePropagation bool) {
-	for i := range w.Outbox.Sends {
-		sd := &w.Outbox.Sends[i]
-		if open := w.OpenCallHops.Get(sd.Job.Call); open != nil {
-			open.Targets = append(open.Targets, sd.Target)
+func propagate(world *carobworld.World, noTracePropagation bool) {
+	for i := range world.Outbox.Sends {
+		send := &world.Outbox.Sends[i]
+		if open := world.OpenCallHops.Get(send.Job.Call); open != nil {
+			open.Targets = append(open.Targets, send.Target)
 			if !noTracePropagation {
-				sd.Traceparent = open.Context.String()
+				send.Traceparent = open.Context.String()
 			}
 		}
 	}
-	for i := range w.Outbox.Starts {
-		st := &w.Outbox.Starts[i]
-		if open := w.OpenJobHops.Get(st.Job); open != nil && !noTracePropagation {
-			st.Traceparent = open.Context.String()
+	for i := range world.Outbox.Starts {
+		start := &world.Outbox.Starts[i]
+		if open := world.OpenJobHops.Get(start.Job); open != nil && !noTracePropagation {
+			start.Traceparent = open.Context.String()
 		}
 	}
 }
 
 // closeCalls records the calls that ended in this tick.
-func closeCalls(w *carobworld.World, now carobinstant.Instant) {
-	for _, cn := range w.Outbox.Conclusions {
-		if cn.Kind != carobkind.None {
-			closeCall(w, now, cn.Call, 0, cn.Kind)
+func closeCalls(world *carobworld.World, now carobinstant.Instant) {
+	for _, conclusion := range world.Outbox.Conclusions {
+		if conclusion.Kind != carobkind.None {
+			closeCall(world, now, conclusion.Call, 0, conclusion.Kind)
 		}
 	}
-	for _, dl := range w.Inbox.Deliveries {
-		closeCall(w, now, dl.Job.Call, dl.Job.Attempt, dl.Kind)
+	for _, delivery := range world.Inbox.Deliveries {
+		closeCall(world, now, delivery.Job.Call, delivery.Job.Attempt, delivery.Kind)
 	}
 }
 
 // closeCall records the hop of a call that has ended. An attempt of 0 means the last one
 // sent. It does nothing if the call's hop has been recorded already.
-func closeCall(w *carobworld.World, now carobinstant.Instant, call carobcallid.ID, attempt int, kind carobkind.Kind) {
-	open := w.OpenCallHops.Get(call)
+func closeCall(world *carobworld.World, now carobinstant.Instant, call carobcallid.ID, attempt int, kind carobkind.Kind) {
+	open := world.OpenCallHops.Get(call)
 	if open == nil {
 		return
 	}
 	if attempt == 0 {
 		attempt = len(open.Targets)
 	}
-	hp := newHop(w, now, open)
-	hp.Role, hp.Call, hp.Attempt, hp.Kind = entry, call, attempt, kind
+	hop := newHop(world, now, open)
+	hop.Role, hop.Call, hop.Attempt, hop.Kind = entry, call, attempt, kind
 	if 0 < attempt && attempt <= len(open.Targets) {
-		hp.Target = open.Targets[attempt-1]
+		hop.Target = open.Targets[attempt-1]
 	}
-	w.Outbox.Hops = append(w.Outbox.Hops, hp)
-	w.OpenCallHops.Delete(call)
+	world.Outbox.Hops = append(world.Outbox.Hops, hop)
+	world.OpenCallHops.Delete(call)
 }
 
 // closeJobs records the jobs that were refused or finished in this tick.
-func closeJobs(w *carobworld.World, now carobinstant.Instant) {
-	for _, rf := range w.Outbox.Refusals {
-		closeJob(w, now, rf.Job, rf.Kind)
+func closeJobs(world *carobworld.World, now carobinstant.Instant) {
+	for _, refusal := range world.Outbox.Refusals {
+		closeJob(world, now, refusal.Job, refusal.Kind)
 	}
-	for _, fn := range w.Inbox.Finishes {
-		closeJob(w, now, fn.Job, fn.Kind)
+	for _, finish := range world.Inbox.Finishes {
+		closeJob(world, now, finish.Job, finish.Kind)
 	}
 }
 
 // closeJob records the hop of a job that has ended. It does nothing if the job's hop has
 // been recorded already.
-func closeJob(w *carobworld.World, now carobinstant.Instant, job carobjobid.ID, kind carobkind.Kind) {
-	open := w.OpenJobHops.Get(job)
+func closeJob(world *carobworld.World, now carobinstant.Instant, job carobjobid.ID, kind carobkind.Kind) {
+	open := world.OpenJobHops.Get(job)
 	if open == nil {
 		return
 	}
-	hp := newHop(w, now, open)
-	hp.Role, hp.Call, hp.Attempt, hp.Target, hp.Kind = target, job.Call, job.Attempt, open.Targets[0], kind
-	w.Outbox.Hops = append(w.Outbox.Hops, hp)
-	w.OpenJobHops.Delete(job)
+	hop := newHop(world, now, open)
+	hop.Role, hop.Call, hop.Attempt, hop.Target, hop.Kind = target, job.Call, job.Attempt, open.Targets[0], kind
+	world.Outbox.Hops = append(world.Outbox.Hops, hop)
+	world.OpenJobHops.Delete(job)
 }
 
 // newHop returns the record of a hop that ends now, without its role, call, attempt,
 // target and kind.
-func newHop(w *carobworld.World, now carobinstant.Instant, open *carobopenhop.OpenHop) carobhop.Hop {
-	hp := carobhop.Hop{
-		Node: w.Self.Node, Traceparent: open.Context.String(),
+func newHop(world *carobworld.World, now carobinstant.Instant, open *carobopenhop.OpenHop) carobhop.Hop {
+	hop := carobhop.Hop{
+		Node: world.Self.Node, Traceparent: open.Context.String(),
 		StartedAt: time.Unix(0, int64(open.StartedAt)).UTC(), Duration: carobduration.Duration(now.Sub(open.StartedAt)),
 	}
 	if open.Parent != (carobspancontext.SpanContext{}) {
-		hp.Parent = hex.EncodeToString(open.Parent.SpanID[:])
+		hop.Parent = hex.EncodeToString(open.Parent.SpanID[:])
 	}
-	return hp
+	return hop
 }
--- a/pkg/carobworld/members.go
+++ b/pkg/carobworld/members.go
@@ -11,15 +11,15 @@
 // Describe returns this node's description of itself as it is gossiped to other nodes:
 // with the targets that the node admits jobs to, up to the maximum for one VM.
 func (w *World) Describe() carobmember.Member {
-	mb := w.Self
-	mb.Leaving = w.Stopping
-	mb.Targets = nil
+	member := w.Self
+	member.Leaving = w.Stopping
+	member.Targets = nil
 	for id := range w.AdmissionStates.All() {
-		if tg := w.Targets.Get(id); tg != nil && w.Owns(tg) && len(mb.Targets) < carobmember.MaxTargets {
-			mb.Targets = append(mb.Targets, *tg)
+		if target := w.Targets.Get(id); target != nil && w.Owns(target) && len(member.Targets) < carobmember.MaxTargets {
+			member.Targets = append(member.Targets, *target)
 		}
 	}
-	return mb
+	return member
 }
 
 // PartitionOf returns the partition of the peer table that a node belongs to. It depends on the
@@ -34,9 +34,9 @@
 func (w *World) Checksums() []uint64 {
 	checksums := make([]uint64, carobpeerheartbeat.Partitions)
 	checksums[PartitionOf(w.Self.Node)] = w.Self.Version().Checksum()
-	for id, pr := range w.Peers.All() {
-		if !pr.Member.Liveness.Down() {
-			checksums[PartitionOf(id)] ^= pr.Member.Version().Checksum()
+	for id, peer := range w.Peers.All() {
+		if !peer.Member.Liveness.Down() {
+			checksums[PartitionOf(id)] ^= peer.Member.Version().Checksum()
 		}
 	}
 	return checksums
@@ -44,18 +44,18 @@
 
 // SamplePeers returns up to n peers for which eligible returns true, sampled uniformly at
 // random.
-func (w *World) SamplePeers(n int, eligible func(pr *carobpeer.Peer) bool) []*carobpeer.Peer {
+func (w *World) SamplePeers(n int, eligible func(peer *carobpeer.Peer) bool) []*carobpeer.Peer {
 	var sample []*carobpeer.Peer
 	seen := 0
-	for _, pr := range w.Peers.All() {
-		if !eligible(pr) {
+	for _, peer := range w.Peers.All() {
+		if !eligible(peer) {
 			continue
 		}
 		seen++
 		if len(sample) < n {
-			sample = append(sample, pr)
+			sample = append(sample, peer)
 		} else if i := w.Random.IntN(seen); i < n {
-			sample[i] = pr
+			sample[i] = peer
 		}
 	}
 	return sample
@@ -64,8 +64,8 @@
 // DropTargets removes all targets of a node from the target table.
 func (w *World) DropTargets(node carobnodeid.ID) {
 	w.TargetsChanged = true
-	for id, tg := range w.Targets.All() {
-		if tg.Node == node {
+	for id, target := range w.Targets.All() {
+		if target.Node == node {
 			w.Targets.Delete(id)
 		}
 	}
--- a/pkg/carobworld/world.go
+++ b/pkg/carobworld/world.go
@@ -263,25 +263,25 @@
 // service is known, or if the profile that its targets name is not known or comes from a
 // log that this node has yet to read. Profiles from the settings are in force at once.
 func (w *World) ProfileOf(service carobservice.Service) *carobprofile.Profile {
-	gp := w.Groups.Get(service)
-	if gp == nil {
+	group := w.Groups.Get(service)
+	if group == nil {
 		return nil
 	}
-	rv := w.Profiles.Get(gp.Profile)
-	if rv == nil || w.AwaitingLog && rv.Offset != caroboffset.BeforeFirst {
+	revision := w.Profiles.Get(group.Profile)
+	if revision == nil || w.AwaitingLog && revision.Offset != caroboffset.BeforeFirst {
 		return nil
 	}
-	return &rv.Change.Profile
+	return &revision.Change.Profile
 }
 
 // RetryBudgetOf returns a service's budget of retries and hedges. If the table is full, a
 // service without a row gets an empty budget, which allows none.
 func (w *World) RetryBudgetOf(service carobservice.Service) *carobretrybudget.RetryBudget {
-	if bg := w.RetryBudgets.Get(service); bg != nil {
-		return bg
+	if budget := w.RetryBudgets.Get(service); budget != nil {
+		return budget
 	}
-	if bg := w.RetryBudgets.Put(service, carobretrybudget.RetryBudget{Tokens: w.maxRetryTokens()}); bg != nil {
-		return bg
+	if budget := w.RetryBudgets.Put(service, carobretrybudget.RetryBudget{Tokens: w.maxRetryTokens()}); budget != nil {
+		return budget
 	}
 	return &carobretrybudget.RetryBudget{}
 }
@@ -299,16 +299,16 @@
 
 // TakeSnapshot returns a snapshot of the profiles in force.
 func (w *World) TakeSnapshot() carobsnapshot.Snapshot {
-	sn := carobsnapshot.Snapshot{LastOffset: w.ProfilesRead, Revisions: make([]carobrevision.Revision, 0, w.Profiles.Len())}
-	for _, rv := range w.Profiles.All() {
-		sn.Revisions = append(sn.Revisions, *rv)
+	snapshot := carobsnapshot.Snapshot{LastOffset: w.ProfilesRead, Revisions: make([]carobrevision.Revision, 0, w.Profiles.Len())}
+	for _, revision := range w.Profiles.All() {
+		snapshot.Revisions = append(snapshot.Revisions, *revision)
 	}
-	return sn
+	return snapshot
 }
 
 // Owns reports whether the target is on this node's VM.
-func (w *World) Owns(tg *carobtarget.Target) bool {
-	return tg.Node == w.Self.Node
+func (w *World) Owns(target *carobtarget.Target) bool {
+	return target.Node == w.Self.Node
 }
 
 // RoutesVersion returns the version of the route table in force; None if there is no
@@ -327,15 +327,15 @@
 }
 
 // SendMessage enqueues a control message and fills in this node as its sender.
-func (w *World) SendMessage(ms carobmessage.Message) {
-	ms.From, ms.Incarnation, ms.ReplyTo = w.Self.Node, w.Self.Incarnation, w.Self.PeerAddress
-	ms.RoutesVersion = w.RoutesVersion()
-	w.Outbox.Messages = append(w.Outbox.Messages, ms)
+func (w *World) SendMessage(message carobmessage.Message) {
+	message.From, message.Incarnation, message.ReplyTo = w.Self.Node, w.Self.Incarnation, w.Self.PeerAddress
+	message.RoutesVersion = w.RoutesVersion()
+	w.Outbox.Messages = append(w.Outbox.Messages, message)
 }
 
 // RecordDecision records a decision for later lookup by operators.
-func (w *World) RecordDecision(dc carobdecision.Decision) {
-	w.Outbox.Decisions = append(w.Outbox.Decisions, dc)
+func (w *World) RecordDecision(decision carobdecision.Decision) {
+	w.Outbox.Decisions = append(w.Outbox.Decisions, decision)
 }
 
 // Audit records a change in the audit trail: the component of the system that saw it, who made
