--- a/pkg/carobadmission/system.go
+++ b/pkg/carobadmission/system.go
@@ -72,7 +72,8 @@
 }
 
 // handleOffer refuses an offer, starts its job, or enqueues it. If the queue is then
-// too long, its least urgent job is shed. Offers of a known job are ignored.
+// longer than the profile's queue limit plus the free slots, its least urgent job is
+// shed. Offers of a known job are ignored.
 func handleOffer(world *carobworld.World, now carobinstant.Instant, offer caroboffer.Offer) {
 	if isDuplicate(world, offer.Job) {
 		return
--- a/pkg/carobcore/core.go
+++ b/pkg/carobcore/core.go
@@ -55,8 +55,8 @@
 	// Profiles are in force from the start without having been published in the log. May
 	// be empty.
 	Profiles []carobprofile.Profile
-	// AnnouncementTimeout is how long a target may go without an announcement before it expires; 0
-	// selects the default of 3 s.
+	// AnnouncementTimeout is how long a target may go without an announcement before it is
+	// marked as leaving; 0 selects the default of 3 s.
 	AnnouncementTimeout time.Duration
 	// NoTracePropagation disables the propagation of trace context.
 	NoTracePropagation bool
@@ -72,7 +72,7 @@
 const (
 	// maxTickInterval is the longest time between two ticks.
 	maxTickInterval = 200 * time.Millisecond
-	// pauseThreshold is the time between two ticks from which on the node counts as paused.
+	// pauseThreshold is the time between two ticks above which the node counts as paused.
 	pauseThreshold = time.Second
 	// claimReadBackTimeout is how long a batch of claims may take to be read back
 	// before it is appended again. It is longer than an append to the log may take.
@@ -93,7 +93,7 @@
 	// and the bytes of the answers stored with them.
 	maxClaimKeys  = 50_000
 	maxClaimBytes = 4 << 20
-	// announcementTimeout is how long a target may go without an announcement before it expires.
+	// announcementTimeout is the default of Config.AnnouncementTimeout.
 	announcementTimeout = 3 * time.Second
 )
 
--- a/pkg/carobdetection/monitorset.go
+++ b/pkg/carobdetection/monitorset.go
@@ -68,7 +68,7 @@
 }
 
 // ringSuccessors returns the nearest nodes that follow this one on the hash ring of node
-// ids.
+// IDs.
 func ringSuccessors(world *carobworld.World) []carobnodeid.ID {
 	type successor struct {
 		node     carobnodeid.ID
--- a/pkg/carobdetection/system.go
+++ b/pkg/carobdetection/system.go
@@ -39,7 +39,7 @@
 	downFanout = 3
 	// restartWindow is how long a node that left is expected to restart at its address.
 	restartWindow = 20 * time.Second
-	// pauseThreshold is the time between two ticks from which on this node counts as
+	// pauseThreshold is the time between two ticks above which this node counts as
 	// paused. The answers of others went unread meanwhile, so a missing answer does not
 	// show that a node is down.
 	pauseThreshold = 2 * time.Second
@@ -79,7 +79,7 @@
 	world.WakeAt(s.nextHeartbeat)
 }
 
-// resetAfterPause discards pending heartbeats and restarts the suspicion time-outs after
+// resetAfterPause discards pending heartbeats and restarts the suspicion timeouts after
 // this node was paused, so that a pause of this node does not make others unreachable.
 func (s *System) resetAfterPause(world *carobworld.World, now carobinstant.Instant) {
 	paused := s.lastTick != carobinstant.Never && now.Sub(s.lastTick) > pauseThreshold
@@ -107,9 +107,9 @@
 	}
 }
 
-// recordContact records that a peer is alive. If this node has the peer as suspect or down,
-// or with a newer incarnation, it sends the peer that description, so that the peer can
-// refute it.
+// recordContact records that a peer is alive. If the peer sent a heartbeat, and this node has
+// it as suspect or down, or with a newer incarnation, this node sends the peer that
+// description, so that the peer can refute it.
 func recordContact(world *carobworld.World, now carobinstant.Instant, message *carobmessage.Message, peer *carobpeer.Peer) {
 	if message.Incarnation == peer.Member.Incarnation {
 		peer.LastContactAt = now
@@ -146,7 +146,7 @@
 }
 
 // expireHeartbeats handles the heartbeats that timed out: it first requests other nodes to
-// relay them, and after a second time-out suspects the node.
+// relay them, and after a second timeout suspects the node.
 func (s *System) expireHeartbeats(world *carobworld.World, now carobinstant.Instant) {
 	for number, pending := range world.PendingHeartbeats.All() {
 		due := pending.SentAt.Add(answerTimeout)
--- a/pkg/carobejection/system.go
+++ b/pkg/carobejection/system.go
@@ -132,7 +132,7 @@
 	return failures / (successes + failures)
 }
 
-// countUnavailable returns how many targets of the service are ejected or under
+// countUnavailable returns how many targets of the service are ejected or on
 // trial.
 func countUnavailable(world *carobworld.World, group *carobgroup.Group) int {
 	count := 0
--- a/pkg/carobelection/system.go
+++ b/pkg/carobelection/system.go
@@ -1,7 +1,7 @@
 // Package carobelection selects the nodes that read the operator's records from the
 // store, where each read has a cost.
 //
-// In each data centre one node reads: the one with the lowest id among those that are
+// In each data centre one node reads: the one with the lowest ID among those that are
 // alive, not leaving, and can read the store. All nodes derive this from their peer
 // tables, without a vote. A node that cannot read the store announces this in its
 // description, and the next one takes over; two readers at once do no harm.
@@ -71,7 +71,7 @@
 
 // takesPrecedence reports whether no other live node of this data centre comes before this
 // one. A node that can read the store comes before one that cannot; among equals the lower
-// id does.
+// ID does.
 func takesPrecedence(world *carobworld.World) bool {
 	return len(world.SamplePeers(1, func(peer *carobpeer.Peer) bool {
 		member := &peer.Member
--- a/pkg/carobelection/system_test.go
+++ b/pkg/carobelection/system_test.go
@@ -37,14 +37,14 @@
 		reads      bool
 	}{
 		{"alone", nil, false, false, true},
-		{"another has a lower id", []carobmember.Member{member("a", "x", nil)}, false, false, false},
-		{"another has a higher id", []carobmember.Member{member("z", "x", nil)}, false, false, true},
-		{"another data centre has a lower id", []carobmember.Member{member("a", "y", nil)}, false, false, true},
-		{"the lowest id cannot read the store", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, false, false, true},
-		{"the lowest id is leaving", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Leaving = true })}, false, false, true},
-		{"the lowest id is suspected", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Liveness = carobliveness.Suspect })}, false, false, true},
+		{"another has a lower ID", []carobmember.Member{member("a", "x", nil)}, false, false, false},
+		{"another has a higher ID", []carobmember.Member{member("z", "x", nil)}, false, false, true},
+		{"another data centre has a lower ID", []carobmember.Member{member("a", "y", nil)}, false, false, true},
+		{"the lowest ID cannot read the store", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, false, false, true},
+		{"the lowest ID is leaving", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Leaving = true })}, false, false, true},
+		{"the lowest ID is suspected", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Liveness = carobliveness.Suspect })}, false, false, true},
 		{"cannot read the store, another can", []carobmember.Member{member("z", "x", nil)}, true, false, false},
-		{"none can read the store, the lowest id keeps reading", []carobmember.Member{member("z", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, true, false, true},
+		{"none can read the store, the lowest ID keeps reading", []carobmember.Member{member("z", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, true, false, true},
 		{"has no route table", []carobmember.Member{member("a", "x", nil)}, false, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/pkg/carobhealthcheck/healthcheck.go
+++ b/pkg/carobhealthcheck/healthcheck.go
@@ -7,8 +7,8 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// HealthCheck orders the traffic side to run a health check, which returns the target's load
-// and the slowness of its VM.
+// HealthCheck orders the traffic goroutines to run a health check, which returns the
+// target's load and the slowness of its VM.
 type HealthCheck struct {
 	Target  carobtargetid.ID
 	Address carobaddress.Address
--- a/pkg/carobhedging/system.go
+++ b/pkg/carobhedging/system.go
@@ -1,4 +1,4 @@
-// Package carobhedging requests hedges: second attempts at calls that take long,
+// Package carobhedging requests hedges: second attempts of calls that take long,
 // sent to another target.
 package carobhedging
 
@@ -31,7 +31,7 @@
 	minSamples = 50
 )
 
-// System requests a second attempt at an idempotent call when the first one
+// System requests a second attempt of an idempotent call when the first one
 // takes longer than a quantile of the recent latencies. It has to run after
 // carobrouting, since it schedules the hedges of the attempts that carobrouting
 // has just sent. The hedges that it requests are sent in the next tick.
--- a/pkg/carobhedging/system_test.go
+++ b/pkg/carobhedging/system_test.go
@@ -21,7 +21,7 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// newHedgeableCall runs a tick that sends the first attempt at a call to a
+// newHedgeableCall runs a tick that sends the first attempt of a call to a
 // service that answers within 10 ms.
 func newHedgeableCall(t *testing.T, change func(call *carobcall.Call)) (*System, *carobworld.World, *carobcall.Call) {
 	t.Helper()
--- a/pkg/carobmembership/system.go
+++ b/pkg/carobmembership/system.go
@@ -35,7 +35,7 @@
 
 // System merges descriptions of nodes into the tables.
 type System struct {
-	// duplicate is the highest incarnation of a different node with this node's id that was
+	// duplicate is the highest incarnation of a different node with this node's ID that was
 	// recorded in the audit trail; 0 if there was none.
 	duplicate carobincarnation.Incarnation
 	// nextSweep is when expired rows are next dropped.
@@ -99,7 +99,7 @@
 }
 
 // mergeSelf handles a description of this node that came from another one. It refutes a
-// suspicion, and records in the audit trail if another node uses the same id.
+// suspicion, and records in the audit trail if another node uses the same ID.
 func (s *System) mergeSelf(world *carobworld.World, member carobmember.Member) {
 	if member.Incarnation == world.Self.Incarnation {
 		if member.Liveness != carobliveness.Alive && member.Sequence >= world.Self.Sequence && !world.LeaveAnnounced {
@@ -131,7 +131,7 @@
 }
 
 // addTarget adds a target of another node to the target table, unless this node has a
-// target of the same id itself.
+// target of the same ID itself.
 func addTarget(world *carobworld.World, member carobmember.Member, target carobtarget.Target) {
 	target.Node = member.Node
 	if member.Leaving {
--- a/pkg/carobmemberversion/memberversion.go
+++ b/pkg/carobmemberversion/memberversion.go
@@ -47,7 +47,7 @@
 	fnvPrime  = 1099511628211
 )
 
-// Hash returns a hash of the node's id. It is the same on all nodes.
+// Hash returns a hash of the node's ID. It is the same on all nodes.
 func Hash(node carobnodeid.ID) uint64 {
 	sum := uint64(fnvOffset)
 	for i := range len(node) {
@@ -56,7 +56,7 @@
 	return sum ^ sum>>32
 }
 
-// Check returns an error of kind Invalid if the node's id or the liveness state is not
+// Check returns an error of kind Invalid if the node's ID or the liveness state is not
 // valid.
 func (v Version) Check() error {
 	if err := v.Node.Check(); err != nil {
--- a/pkg/carobrefusal/refusal.go
+++ b/pkg/carobrefusal/refusal.go
@@ -6,7 +6,7 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// Refusal orders the traffic side to refuse a job. The job has not started and never
+// Refusal orders the traffic goroutines to refuse a job. The job has not started and never
 // will.
 type Refusal struct {
 	Job carobjobid.ID
--- a/pkg/carobregistry/system.go
+++ b/pkg/carobregistry/system.go
@@ -92,15 +92,16 @@
 }
 
 // recordInstance records the target, incarnation and sequence of an announcement for its
-// address. It removes another target that had the address before. A target that has
-// restarted has lost its connections and its memory, so its admission state counts as new.
+// address. If the announcement has an incarnation, another target that had the address
+// before is removed. A target that has restarted has lost its connections and its memory,
+// so its admission state counts as new.
 func recordInstance(world *carobworld.World, now carobinstant.Instant, announcement carobannouncement.Announcement) {
 	instance := world.Instances.Get(announcement.Address)
 	if instance != nil && instance.Target != announcement.Target && announcement.Incarnation > 0 {
 		removeTarget(world, carobannouncement.Announcement{Target: instance.Target})
 	}
 	if instance != nil && instance.Target == announcement.Target && instance.Incarnation != announcement.Incarnation {
-		auditChange(world, announcement.Target, "earlier incarnation", "new incarnation")
+		auditChange(world, announcement.Target, "earlier life", "new life")
 		if state := world.AdmissionStates.Get(announcement.Target); state != nil {
 			state.AddedAt = now
 		}
--- a/pkg/carobroute/route.go
+++ b/pkg/carobroute/route.go
@@ -26,7 +26,7 @@
 	// Attempts is the maximum number of targets that a call may run on, at least 1.
 	Attempts int `json:"tries"`
 	// Timeout limits the time until a call's final response. If it is 0, the
-	// caller's time-out applies, or the profile's deadline if the caller sets none.
+	// caller's timeout applies, or the profile's deadline if the caller sets none.
 	Timeout carobduration.Duration `json:"timeout"`
 	// SLO is the latency that callers expect; 0 if none is set.
 	SLO carobduration.Duration `json:"slo"`
--- a/pkg/carobrouting/replies.go
+++ b/pkg/carobrouting/replies.go
@@ -34,7 +34,7 @@
 }
 
 // supersededByAnswer reports whether the attempt was cancelled because another
-// attempt at the call was answered first.
+// attempt of the call was answered first.
 func supersededByAnswer(world *carobworld.World, reply carobreply.Reply) bool {
 	call := world.Calls.Get(reply.Job.Call)
 	return reply.Kind == carobkind.Cancelled && call != nil && call.Stage == carobstage.Delivering
--- a/pkg/carobrouting/system.go
+++ b/pkg/carobrouting/system.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// addCandidate lists a target unless it is not ready, leaving, ejected or under
+// addCandidate lists a target unless it is not ready, leaving, ejected or on
 // trial with an open attempt.
 func (s *System) addCandidate(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, id carobtargetid.ID) {
 	target := world.Targets.Get(id)
@@ -179,8 +179,7 @@
 	return centreCost + byteCost*float64(size)
 }
 
-// isUnavailable reports whether a target is ejected, or under trial with an
-// open attempt.
+// isUnavailable reports whether a target is ejected, or on trial with an open attempt.
 func isUnavailable(load *carobload.Load) bool {
 	return load.EjectionEnd != carobinstant.Never || load.OnTrial && load.OpenAttempts > 0
 }
@@ -199,7 +198,7 @@
 	added.latency = report.Latency.Duration()
 }
 
-// tried reports whether an attempt at the call was already sent to the target.
+// tried reports whether an attempt of the call was already sent to the target.
 func tried(call *carobcall.Call, id carobtargetid.ID) bool {
 	for i := range call.Attempts {
 		if call.Attempts[i].Target == id {
--- a/pkg/carobstart/start.go
+++ b/pkg/carobstart/start.go
@@ -9,7 +9,7 @@
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 )
 
-// Start orders the traffic side to send a job to its target.
+// Start orders the traffic goroutines to send a job to its target.
 type Start struct {
 	Job carobjobid.ID
 	// Address is the target's address.
--- a/pkg/carobtracing/system_test.go
+++ b/pkg/carobtracing/system_test.go
@@ -115,7 +115,7 @@
 	require.Zero(t, near.world.OpenCallHops.Len()+far.world.OpenJobHops.Len(), "no row is left")
 }
 
-// Guards against two records of one call. The traffic side may report the end of a call
+// Guards against two records of one call. The traffic goroutines may report the end of a call
 // more than once: by a conclusion, and by deliveries in the same or a later tick.
 func TestCallIsRecordedOnce(t *testing.T) {
 	near := newNode()
--- a/pkg/carobworld/members.go
+++ b/pkg/carobworld/members.go
@@ -23,13 +23,13 @@
 }
 
 // PartitionOf returns the partition of the peer table that a node belongs to. It depends on the
-// node's id alone, so all nodes agree on it.
+// node's ID alone, so all nodes agree on it.
 func PartitionOf(node carobnodeid.ID) int {
 	return int(carobmemberversion.Hash(node) % carobpeerheartbeat.Partitions)
 }
 
 // Checksums returns a checksum of each partition of the peer table, this node's own description
-// included. Nodes that are down don't count, because other nodes may already have dropped
+// included. Nodes that are down are not counted, because other nodes may already have dropped
 // their rows.
 func (w *World) Checksums() []uint64 {
 	checksums := make([]uint64, carobpeerheartbeat.Partitions)
