--- a/pkg/carobfencing/system_test.go
+++ b/pkg/carobfencing/system_test.go
@@ -47,13 +47,13 @@
 func newRig(jobs int) *rig {
 	limits := caroblimits.NewLimits()
 	limits.Jobs, limits.Peers = jobs, 1
-	w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "here", Incarnation: nodeIncarnation}, Limits: limits})
-	w.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
-	w.AdmissionStates.Put(target, carobadmissionstate.AdmissionState{Limit: 1})
+	world := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "here", Incarnation: nodeIncarnation}, Limits: limits})
+	world.Targets.Put(target, carobtarget.Target{ID: target, Node: "here", Profile: "p", Slots: 1, Readiness: carobreadiness.Ready})
+	world.AdmissionStates.Put(target, carobadmissionstate.AdmissionState{Limit: 1})
 	rv := carobrevision.Revision{}
 	rv.Change.Profile = carobprofile.NewProfile("p")
-	w.Profiles.Put("p", rv)
-	return &rig{world: w, now: 1}
+	world.Profiles.Put("p", rv)
+	return &rig{world: world, now: 1}
 }
 
 func (r *rig) step(in carobinbox.Inbox) {
@@ -156,7 +156,7 @@
 
 // Guards against a withdrawn job that still counts as queued, in the admission state or in the
 // published report.
-func TestFenceOfQueuedJobFreesItsPlace(t *testing.T) {
+func TestFenceOfQueuedJobFreesItsQueuePlace(t *testing.T) {
 	r := newRig(10)
 	r.offer(job(1))
 	r.offer(job(2))
@@ -204,7 +204,7 @@
 		require.Equal(t, carobjobstate.Done, r.fence(job(12)))
 		require.Equal(t, carobjobstate.Never, r.fence(job(99)))
 		r.offer(job(8))
-		require.Equal(t, 1, r.started(), "a first offer below the Ended watermark is no duplicate")
+		require.Equal(t, 1, r.started(), "a first offer below EndedSequence is no duplicate")
 	})
 	t.Run("tombstones", func(t *testing.T) {
 		r := newRig(limit)
--- a/pkg/carobhedging/system.go
+++ b/pkg/carobhedging/system.go
@@ -1,5 +1,5 @@
-// Package carobhedging requests hedges: second attempts, at another target, at
-// calls that take long.
+// Package carobhedging requests hedges: second attempts of calls that take long,
+// sent to another target.
 package carobhedging
 
 import (
@@ -31,13 +31,12 @@
 	minSamples = 50
 )
 
-// System requests a second attempt at an idempotent call when the first one
+// System requests a second attempt of an idempotent call when the first one
 // takes longer than a quantile of the recent latencies. It has to run after
 // carobrouting, since it schedules the hedges of the attempts that carobrouting
 // has just sent. The hedges that it requests are sent in the next tick.
 type System struct {
-	// pending has the calls that may be hedged, by the time of the next
-	// request.
+	// pending has the calls that may be hedged, by the time of the next request.
 	pending *carobschedule.Schedule[carobcallid.ID]
 }
 
--- a/pkg/carobstorereading/system_test.go
+++ b/pkg/carobstorereading/system_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/carobknot/carobknot/pkg/carobcentre"
+	"github.com/carobknot/carobknot/pkg/carobstorereading"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
 	"github.com/carobknot/carobknot/pkg/carobliveness"
@@ -14,7 +15,6 @@
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
-	"github.com/carobknot/carobknot/pkg/carobstorereading"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
@@ -37,38 +37,38 @@
 		reads      bool
 	}{
 		{"alone", nil, false, false, true},
-		{"another has a lower id", []carobmember.Member{member("a", "x", nil)}, false, false, false},
-		{"another has a higher id", []carobmember.Member{member("z", "x", nil)}, false, false, true},
-		{"another data centre has a lower id", []carobmember.Member{member("a", "y", nil)}, false, false, true},
-		{"the lowest id cannot read the store", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, false, false, true},
-		{"the lowest id is leaving", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Leaving = true })}, false, false, true},
-		{"the lowest id is suspected", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Liveness = carobliveness.Suspect })}, false, false, true},
+		{"another has a lower ID", []carobmember.Member{member("a", "x", nil)}, false, false, false},
+		{"another has a higher ID", []carobmember.Member{member("z", "x", nil)}, false, false, true},
+		{"another data centre has a lower ID", []carobmember.Member{member("a", "y", nil)}, false, false, true},
+		{"the lowest ID cannot read the store", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, false, false, true},
+		{"the lowest ID is leaving", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Leaving = true })}, false, false, true},
+		{"the lowest ID is suspected", []carobmember.Member{member("a", "x", func(m *carobmember.Member) { m.Liveness = carobliveness.Suspect })}, false, false, true},
 		{"cannot read the store, another can", []carobmember.Member{member("z", "x", nil)}, true, false, false},
-		{"none can read the store, the lowest id goes on", []carobmember.Member{member("z", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, true, false, true},
+		{"none can read the store, the lowest ID keeps reading", []carobmember.Member{member("z", "x", func(m *carobmember.Member) { m.StoreUnreadable = true })}, true, false, true},
 		{"has no route table", []carobmember.Member{member("a", "x", nil)}, false, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := carobworld.NewWorld(carobworld.Config{
+			world := carobworld.NewWorld(carobworld.Config{
 				Self: carobmember.Member{Node: "m", Centre: "x"}, Limits: caroblimits.NewLimits(),
 			})
 			if !c.noRoutes {
 				rs, err := carobroutetable.NewRouteTable(1, nil)
 				require.NoError(t, err)
-				w.RouteTable = rs
+				world.RouteTable = rs
 			}
 			for _, mb := range c.others {
-				w.Peers.Put(mb.Node, carobpeer.Peer{Member: mb})
+				world.Peers.Put(mb.Node, carobpeer.Peer{Member: mb})
 			}
 			in := carobinbox.Inbox{}
 			if c.unreadable {
 				in.StoreUnreadable = []bool{true}
 			}
-			sequence := w.Self.Sequence
-			w.BeginTick(in)
-			carobstorereading.NewSystem().Run(w, 1)
-			require.Equal(t, c.reads, w.Outbox.ReadingStore)
-			require.Equal(t, c.reads, w.Outbox.LongPollTimeout > 0)
-			require.Equal(t, c.unreadable, w.Self.Sequence != sequence, "other nodes learn whether it can read the store")
+			sequence := world.Self.Sequence
+			world.BeginTick(in)
+			carobstorereading.NewSystem().Run(world, 1)
+			require.Equal(t, c.reads, world.Outbox.ReadingStore)
+			require.Equal(t, c.reads, world.Outbox.LongPollTimeout > 0)
+			require.Equal(t, c.unreadable, world.Self.Sequence != sequence, "other nodes learn whether it can read the store")
 		})
 	}
 }
@@ -76,19 +76,19 @@
 // Each read has a cost, so the rate of reads over all readers must not depend on the
 // number of data centres: each read is held open in proportion to that number.
 func TestMoreReadersHoldTheirReadsForLonger(t *testing.T) {
-	hold := func(centres ...carobcentre.Centre) time.Duration {
-		w := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "a", Centre: "x"}, Limits: caroblimits.NewLimits()})
+	longPollTimeout := func(centres ...carobcentre.Centre) time.Duration {
+		world := carobworld.NewWorld(carobworld.Config{Self: carobmember.Member{Node: "a", Centre: "x"}, Limits: caroblimits.NewLimits()})
 		for i, centre := range centres {
 			node := carobnodeid.ID("b" + string(rune('a'+i)))
-			w.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Centre: centre}})
+			world.Peers.Put(node, carobpeer.Peer{Member: carobmember.Member{Node: node, Centre: centre}})
 		}
-		w.BeginTick(carobinbox.Inbox{})
-		carobstorereading.NewSystem().Run(w, 1)
-		return w.Outbox.LongPollTimeout
+		world.BeginTick(carobinbox.Inbox{})
+		carobstorereading.NewSystem().Run(world, 1)
+		return world.Outbox.LongPollTimeout
 	}
-	alone := hold()
+	alone := longPollTimeout()
 	require.Positive(t, alone)
 	require.LessOrEqual(t, alone, time.Second)
-	require.Equal(t, alone, hold("x", "x"))
-	require.Equal(t, 3*alone, hold("x", "y", "z", "y"))
+	require.Equal(t, alone, longPollTimeout("x", "x"))
+	require.Equal(t, 3*alone, longPollTimeout("x", "y", "z", "y"))
 }
--- a/pkg/carobworld/world.go
+++ b/pkg/carobworld/world.go
@@ -84,7 +84,7 @@
 
 	// Targets has all known targets, including the node's own.
 	Targets *carobtable.Table[carobtargetid.ID, carobtarget.Target]
-	// Instances has the newest incarnation of a target at each address on the VM.
+	// Instances has the newest instance of a target at each address on the VM.
 	Instances *carobtable.Table[carobaddress.Address, carobinstance.Instance]
 	// TargetsChanged is true while Groups is out of date with respect to Targets.
 	TargetsChanged bool
@@ -97,8 +97,8 @@
 	PeerChanges uint64
 	// PendingGossip has the peers whose newest description this node still has to gossip.
 	PendingGossip *carobtable.Table[carobnodeid.ID, struct{}]
-	// LoggedAddresses has the addresses that the log records for nodes that are not known as peers.
-	// A node may no longer be at its address.
+	// LoggedAddresses has the addresses that the log records for nodes that are not known as
+	// peers. A node may no longer be at its address.
 	LoggedAddresses *carobtable.Table[carobnodeid.ID, carobaddress.Address]
 	// PendingHeartbeats has the heartbeats that have not been answered, by their number.
 	PendingHeartbeats *carobtable.Table[uint64, carobpendingheartbeat.PendingHeartbeat]
@@ -176,7 +176,7 @@
 	// OpenJobHops has the hops of the jobs at the node's own targets.
 	OpenJobHops *carobtable.Table[carobjobid.ID, carobopenhop.OpenHop]
 
-	// The tick at hand.
+	// The current tick.
 
 	Inbox  carobinbox.Inbox
 	Outbox caroboutbox.Outbox
@@ -191,14 +191,14 @@
 	maxChangesAfterGap = 1024
 )
 
-// maxUnansweredHeartbeats is the maximum number of unanswered heartbeats.
-const maxUnansweredHeartbeats = 64
+// maxPendingHeartbeats is the maximum number of rows of PendingHeartbeats.
+const maxPendingHeartbeats = 64
 
 // NewWorld returns a World with empty tables. Zero RetryLimits are replaced by the defaults.
 func NewWorld(c Config) *World {
 	const (
 		randomStream = 1
-		// probeBuckets is the number of things whose probing cost is limited.
+		// probeBuckets is the number of rows of ProbeBuckets: one each for bytes and processor time.
 		probeBuckets = 2
 	)
 	if c.RetryLimits == (carobretrylimits.RetryLimits{}) {
@@ -223,7 +223,7 @@
 		AdmissionStates:   carobtable.NewTable[carobtargetid.ID, carobadmissionstate.AdmissionState](carobtable.Config{Limit: c.Limits.Targets}),
 		PendingGossip:     carobtable.NewTable[carobnodeid.ID, struct{}](carobtable.Config{Limit: c.Limits.Peers}),
 		LoggedAddresses:   carobtable.NewTable[carobnodeid.ID, carobaddress.Address](carobtable.Config{Limit: c.Limits.Peers}),
-		PendingHeartbeats: carobtable.NewTable[uint64, carobpendingheartbeat.PendingHeartbeat](carobtable.Config{Limit: maxUnansweredHeartbeats}),
+		PendingHeartbeats: carobtable.NewTable[uint64, carobpendingheartbeat.PendingHeartbeat](carobtable.Config{Limit: maxPendingHeartbeats}),
 		Peers:             carobtable.NewTable[carobnodeid.ID, carobpeer.Peer](carobtable.Config{Limit: c.Limits.Peers}),
 		OpenCallHops:      carobtable.NewTable[carobcallid.ID, carobopenhop.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Calls}),
 		OpenJobHops:       carobtable.NewTable[carobjobid.ID, carobopenhop.OpenHop](carobtable.Config{Limit: 2 * c.Limits.Jobs}),
@@ -263,25 +263,25 @@
 // service is known, or if the profile that its targets name is not known or comes from a
 // log that this node has yet to read. Profiles from the settings are in force at once.
 func (w *World) ProfileOf(service carobservice.Service) *carobprofile.Profile {
-	gp := w.Groups.Get(service)
-	if gp == nil {
+	group := w.Groups.Get(service)
+	if group == nil {
 		return nil
 	}
-	rv := w.Profiles.Get(gp.Profile)
-	if rv == nil || w.AwaitingLog && rv.Offset != caroboffset.BeforeFirst {
+	revision := w.Profiles.Get(group.Profile)
+	if revision == nil || w.AwaitingLog && revision.Offset != caroboffset.BeforeFirst {
 		return nil
 	}
-	return &rv.Change.Profile
+	return &revision.Change.Profile
 }
 
 // RetryBudgetOf returns a service's budget of retries and hedges. If the table is full, a
 // service without a row gets an empty budget, which allows none.
 func (w *World) RetryBudgetOf(service carobservice.Service) *carobretrybudget.RetryBudget {
-	if bg := w.RetryBudgets.Get(service); bg != nil {
-		return bg
+	if budget := w.RetryBudgets.Get(service); budget != nil {
+		return budget
 	}
-	if bg := w.RetryBudgets.Put(service, carobretrybudget.RetryBudget{Tokens: w.maxRetryTokens()}); bg != nil {
-		return bg
+	if budget := w.RetryBudgets.Put(service, carobretrybudget.RetryBudget{Tokens: w.maxRetryTokens()}); budget != nil {
+		return budget
 	}
 	return &carobretrybudget.RetryBudget{}
 }
@@ -299,16 +299,16 @@
 
 // TakeSnapshot returns a snapshot of the profiles in force.
 func (w *World) TakeSnapshot() carobsnapshot.Snapshot {
-	sn := carobsnapshot.Snapshot{LastOffset: w.ProfilesRead, Revisions: make([]carobrevision.Revision, 0, w.Profiles.Len())}
-	for _, rv := range w.Profiles.All() {
-		sn.Revisions = append(sn.Revisions, *rv)
+	snapshot := carobsnapshot.Snapshot{LastOffset: w.ProfilesRead, Revisions: make([]carobrevision.Revision, 0, w.Profiles.Len())}
+	for _, revision := range w.Profiles.All() {
+		snapshot.Revisions = append(snapshot.Revisions, *revision)
 	}
-	return sn
+	return snapshot
 }
 
 // Owns reports whether the target is on this node's VM.
-func (w *World) Owns(tg *carobtarget.Target) bool {
-	return tg.Node == w.Self.Node
+func (w *World) Owns(target *carobtarget.Target) bool {
+	return target.Node == w.Self.Node
 }
 
 // RoutesVersion returns the version of the route table in force; None if there is no
@@ -321,21 +321,21 @@
 }
 
 // AuditRoutes records in the audit trail that a newer route table came from a source.
-func (w *World) AuditRoutes(from string, rs *carobroutetable.RouteTable) {
+func (w *World) AuditRoutes(from string, table *carobroutetable.RouteTable) {
 	w.Audit("routes", from, "route table",
-		strconv.FormatUint(uint64(w.RoutesVersion()), 10), strconv.FormatUint(uint64(rs.Version), 10))
+		strconv.FormatUint(uint64(w.RoutesVersion()), 10), strconv.FormatUint(uint64(table.Version), 10))
 }
 
 // SendMessage enqueues a control message and fills in this node as its sender.
-func (w *World) SendMessage(ms carobmessage.Message) {
-	ms.From, ms.Incarnation, ms.ReplyTo = w.Self.Node, w.Self.Incarnation, w.Self.PeerAddress
-	ms.RoutesVersion = w.RoutesVersion()
-	w.Outbox.Messages = append(w.Outbox.Messages, ms)
+func (w *World) SendMessage(message carobmessage.Message) {
+	message.From, message.Incarnation, message.ReplyTo = w.Self.Node, w.Self.Incarnation, w.Self.PeerAddress
+	message.RoutesVersion = w.RoutesVersion()
+	w.Outbox.Messages = append(w.Outbox.Messages, message)
 }
 
 // RecordDecision records a decision for later lookup by operators.
-func (w *World) RecordDecision(dc carobdecision.Decision) {
-	w.Outbox.Decisions = append(w.Outbox.Decisions, dc)
+func (w *World) RecordDecision(decision carobdecision.Decision) {
+	w.Outbox.Decisions = append(w.Outbox.Decisions, decision)
 }
 
 // Audit records a change in the audit trail: the component of the system that saw it, who made
