--- a/pkg/carobappendresult/appendresult.go
+++ b/pkg/carobappendresult/appendresult.go
@@ -6,12 +6,12 @@
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
 
-// AppendResult is the result of an append request.
+// AppendResult is the result of one append.
 type AppendResult struct {
 	Stream carobstream.Stream
 	// Number is the number of the append request.
 	Number uint64
-	// Kind is None if the record was appended, LogUnavailable if it certainly was not, and
-	// AppendUncertain if neither is certain.
+	// Kind is None if the record was appended, LogUnavailable if it certainly was
+	// not, and AppendUncertain if neither is certain.
 	Kind carobkind.Kind
 }
--- a/pkg/carobclaim/claim.go
+++ b/pkg/carobclaim/claim.go
@@ -1,4 +1,5 @@
-// Package carobclaim holds the message and record that claims an idempotency key.
+// Package carobclaim holds the claims of idempotency keys, as messages and records
+// contain them.
 package carobclaim
 
 import (
--- a/pkg/carobclaimbatch/batch.go
+++ b/pkg/carobclaimbatch/batch.go
@@ -10,18 +10,19 @@
 )
 
 // Batch is one record: either the takeover of a shard by a home, or claims and
-// settlements. A retried append can put the same batch into the log twice; the
-// second copy has no effect.
+// settlements. A retried append can put the same batch into the log twice. A second
+// copy of claims and settlements has no effect; that of a takeover starts another
+// epoch.
 type Batch struct {
 	// Node, Incarnation and Number identify the batch: the home that wrote it, and
 	// the number of the batch among those of this incarnation.
 	Node        carobnodeid.ID               `json:"node"`
 	Incarnation carobincarnation.Incarnation `json:"incarnation"`
 	Number      uint64                       `json:"number"`
-	// Takeover is true if the writer takes the shard over. The offset of this record is
-	// then the new epoch.
+	// Takeover is true if the writer takes the shard over. The offset of this
+	// record is then the new epoch.
 	Takeover bool `json:"take,omitempty"`
-	// Epoch is the epoch that the claims belong to. They are void in any other.
+	// Epoch is the epoch that the claims belong to. They are ignored in any other.
 	Epoch       caroboffset.Offset           `json:"epoch"`
 	Claims      []carobclaim.Claim           `json:"claims,omitempty"`
 	Settlements []carobsettlement.Settlement `json:"settlements,omitempty"`
--- a/pkg/carobclaiming/cluster_test.go
+++ b/pkg/carobclaiming/cluster_test.go
@@ -39,9 +39,9 @@
 )
 
 const (
-	callTimeout = 5 * time.Second
-	resendDelay = 2500 * time.Millisecond
-	tick        = time.Millisecond
+	callTimeout     = 5 * time.Second
+	readBackTimeout = 2500 * time.Millisecond
+	tick            = time.Millisecond
 )
 
 // node is one node with the systems of the entry and of the home.
@@ -50,7 +50,7 @@
 	claims *carobclaiming.System
 	entry  *carobentry.System
 	inbox  carobinbox.Inbox
-	// follows holds, for each followed stream, the index of the next record.
+	// subscriptions holds, for each subscribed stream, the index of the next record.
 	subscriptions map[carobstream.Stream]int
 	// frozen is true while the node runs no ticks.
 	frozen bool
@@ -65,9 +65,9 @@
 	nodes map[carobaddress.Address]*node
 	names []string
 	log   map[carobstream.Stream][]carobrecord.Record
-	// logDown makes appends and reads fail, loseResponses makes successful appends
-	// end as AppendUncertain, and holdAppends collects appends in heldAppends instead of
-	// carrying them out.
+	// logDown makes appends and reads fail, loseResponses makes successful
+	// appends end with an uncertain result, and holdAppends collects appends in
+	// heldAppends instead of carrying them out.
 	logDown, loseResponses, holdAppends bool
 	heldAppends                         []carobappendrequest.AppendRequest
 	// appends counts the records that were appended.
@@ -105,7 +105,7 @@
 		world: world, entry: carobentry.NewSystem(), subscriptions: map[carobstream.Stream]int{},
 		conclusions: map[carobcallid.ID]carobconclusion.Conclusion{},
 		claims: carobclaiming.NewSystem(carobclaiming.Config{
-			AppendInterval: 25 * time.Millisecond, SettlementInterval: 100 * time.Millisecond, ReadBackTimeout: resendDelay, RetryDelay: 200 * time.Millisecond, MaxKeys: 1000, MaxStoredBytes: 1 << 20,
+			AppendInterval: 25 * time.Millisecond, SettlementInterval: 100 * time.Millisecond, ReadBackTimeout: readBackTimeout, RetryDelay: 200 * time.Millisecond, MaxKeys: 1000, MaxStoredBytes: 1 << 20,
 		}),
 	}
 }
--- a/pkg/carobclaiming/system.go
+++ b/pkg/carobclaiming/system.go
@@ -42,16 +42,17 @@
 type Config struct {
 	// AppendInterval is the minimum interval between two appends to a stream.
 	AppendInterval time.Duration
-	// SettlementInterval is the minimum interval before a batch of settlements alone.
-	// Settlements that are queued when claims are appended go into the same batch.
+	// SettlementInterval is the minimum interval between the last append and a
+	// batch of settlements alone. Settlements that are queued when claims are
+	// appended go into the same batch.
 	SettlementInterval time.Duration
 	// ReadBackTimeout is the time after which a batch that has not been read back is
-	// appended again. It also limits the pause between takeovers.
+	// appended again. It is also the maximum backoff between takeovers.
 	ReadBackTimeout time.Duration
 	// RetryDelay is the delay before a retry of an append that certainly failed.
 	RetryDelay time.Duration
-	// MaxKeys and MaxStoredBytes limit each shard: the number of claimed keys, and the bytes of
-	// stored answers.
+	// MaxKeys and MaxStoredBytes limit each shard: the number of claimed keys, and
+	// the total size of the stored answers in bytes.
 	MaxKeys, MaxStoredBytes int
 }
 
@@ -150,8 +151,9 @@
 	return bestNode, address
 }
 
-// updateHomes starts following the streams of shards that this node has become
-// the home of, and drops the shards that it is no longer the home of.
+// updateHomes subscribes to the streams of the shards that this node has become
+// the home of. It unsubscribes from those of the shards that this node is no
+// longer the home of, and deletes their rows.
 func (s *System) updateHomes(world *carobworld.World, now carobinstant.Instant) {
 	for shard := range carobshard.Shard(carobshard.Count) {
 		node, _ := homeOf(world, shard)
@@ -227,8 +229,8 @@
 	}
 }
 
-// append sends the next batch to the log, or the batch in flight again if
-// its resend is due.
+// append sends the next batch to the log, or resends the batch in flight if that
+// is due.
 func (s *System) append(world *carobworld.World, now carobinstant.Instant, shard carobshard.Shard, home *carobhome.Home) {
 	if home.InFlight == nil {
 		if home.InFlight = s.nextBatch(world, now, home); home.InFlight == nil {
@@ -253,7 +255,9 @@
 
 // nextBatch returns the batch to append now, or nil. The first batch of a home
 // waits until its stream has been read to the end, or for one settlement interval
-// at most, so that it names the newest epoch.
+// at most, so that it names the newest epoch. The claims of a batch that names an
+// outdated epoch are ignored when the batch is folded: a claim whose key is free
+// gets no reply, and its entry node has to send it again.
 func (s *System) nextBatch(world *carobworld.World, now carobinstant.Instant, home *carobhome.Home) *carobclaimbatch.Batch {
 	if due := home.HomeSince.Add(s.config.SettlementInterval); !home.CaughtUp && !due.Reached(now) {
 		world.WakeAt(due)
@@ -281,11 +285,11 @@
 }
 
 // nextTakeoverBackoff returns the minimum time between this takeover and the next.
-// It doubles, up to the time-out for reading a batch back, while another node
-// keeps taking the shard back, and is as short as the append interval again when
-// this node has taken over nothing for twice that time-out. It starts short
-// because nodes that start together agree within milliseconds on the home, and
-// claims must not wait long for the last of their takeovers.
+// It doubles, up to ReadBackTimeout, while another node keeps taking the shard
+// back, and is as short as AppendInterval again when this node has not taken the
+// shard over for twice ReadBackTimeout. It starts short because nodes that start
+// together agree within milliseconds on the home, and claims must not wait long
+// for the last of their takeovers.
 func (s *System) nextTakeoverBackoff(now carobinstant.Instant, home *carobhome.Home) time.Duration {
 	if home.TakeoverAt == carobinstant.Never || now.Sub(home.TakeoverAt) > 2*s.config.ReadBackTimeout {
 		return s.config.AppendInterval
@@ -358,7 +362,9 @@
 }
 
 // replyToClaim sends the result of a claim to its entry node. It sends nothing
-// while the result is open, or if the call that holds the key has ended.
+// while the result is open, as for a free key whose claim was in a batch of an
+// outdated epoch, or if the claiming call itself held the key and is already
+// settled.
 func replyToClaim(world *carobworld.World, home *carobhome.Home, replyTo carobaddress.Address, claim carobclaim.Claim) {
 	holding := home.State.Holding(claim.Key)
 	result := carobclaimreply.Reply{Call: claim.Call}
@@ -389,7 +395,7 @@
 	return peer != nil && call.Incarnation < peer.Member.Incarnation
 }
 
-// confirmSettlement tells the entry node to stop resending a settlement.
+// confirmSettlement notifies the entry node that a settlement needs no resending.
 func confirmSettlement(world *carobworld.World, replyTo carobaddress.Address, settlement carobsettlement.Settlement) {
 	world.SendMessage(carobmessage.Message{To: replyTo, Settled: &settlement.Claim.Call})
 }
--- a/pkg/carobclaiming/system_test.go
+++ b/pkg/carobclaiming/system_test.go
@@ -106,7 +106,7 @@
 	cluster.advance(shortWait)
 	require.True(t, cluster.mayRun(id))
 	appends := cluster.appends
-	cluster.advance(resendDelay)
+	cluster.advance(readBackTimeout)
 	require.Equal(t, appends, cluster.appends, "a batch that was read back is not appended again")
 }
 
@@ -117,7 +117,7 @@
 	cluster.advance(shortWait)
 	cluster.holdAppends = true
 	id := cluster.startCall("a", "k", 1)
-	cluster.advance(resendDelay + shortWait)
+	cluster.advance(readBackTimeout + shortWait)
 	require.False(t, cluster.mayRun(id))
 	require.Len(t, cluster.heldAppends, 2)
 	cluster.holdAppends = false
@@ -238,7 +238,7 @@
 }
 
 // Guards against a node that becomes the home, gets a late record from an earlier
-// subscription to the stream, and takes it for the first record of the stream: it
+// subscription to the stream, and folds it as the first record of the stream: it
 // would miss the claims before that record and grant their keys again.
 func TestLateRecordsOfAnEarlierSubscriptionAreSkipped(t *testing.T) {
 	cluster := newCluster(t, "a", "b")
--- a/pkg/carobclaimresult/claimresult.go
+++ b/pkg/carobclaimresult/claimresult.go
@@ -21,10 +21,10 @@
 
 // UnmarshalText decodes a result. It returns an Invalid error if the text is none
 // of the constants.
-func (g *ClaimResult) UnmarshalText(text []byte) error {
+func (r *ClaimResult) UnmarshalText(text []byte) error {
 	switch result := ClaimResult(text); result {
 	case Granted, Held, Repeated, Unknown, Unclaimed:
-		*g = result
+		*r = result
 		return nil
 	default:
 		return carobkind.New(carobkind.Invalid, "grant: unknown value %.40q", text)
--- a/pkg/carobclaimstate/claimstate.go
+++ b/pkg/carobclaimstate/claimstate.go
@@ -1,10 +1,10 @@
-// Package carobclaimstate folds the stream of claims of a shard into its state: which
-// node may write claims, and which call holds which key.
+// Package carobclaimstate folds the stream of claims of a shard into its state:
+// which node may write claims, and which call holds which key.
 //
 // Only the order of the log matters. The epoch is the offset of the newest
 // takeover record, so it only grows, even if the log no longer keeps older
 // takeovers. The claims of a batch with an older epoch that follows the takeover
-// are void, whichever node wrote them.
+// are ignored, whichever node wrote them.
 package carobclaimstate
 
 import (
@@ -36,7 +36,7 @@
 	node        carobnodeid.ID
 	incarnation carobincarnation.Incarnation
 	// number is the number of the newest batch of the epoch. Batches up to it are
-	// copies.
+	// copies of batches that were folded before.
 	number   uint64
 	holdings map[carobkey.Key]*carobholding.Holding
 	// claimOrder lists the keys by the offsets of their claims, oldest first.
@@ -52,7 +52,7 @@
 	overflow caroboffset.Offset
 }
 
-// NewClaimState returns the claims of an empty stream.
+// NewClaimState returns the state of a shard whose stream is empty.
 func NewClaimState(c Config) *ClaimState {
 	return &ClaimState{
 		config: c, epoch: caroboffset.BeforeFirst, overflow: caroboffset.BeforeFirst,
@@ -158,8 +158,8 @@
 	}
 }
 
-// DropBefore removes the keys whose claims the log no longer keeps. first is the oldest
-// offset that it still keeps.
+// DropBefore removes the keys whose claims the log no longer keeps. first is the
+// lowest offset that the log still keeps.
 func (c *ClaimState) DropBefore(first caroboffset.Offset) {
 	if c.overflow < first {
 		c.overflow = caroboffset.BeforeFirst
--- a/pkg/carobclaimstate/claimstate_test.go
+++ b/pkg/carobclaimstate/claimstate_test.go
@@ -44,7 +44,7 @@
 		// from is the offset of the first record.
 		from    caroboffset.Offset
 		records []carobclaimbatch.Batch
-		// holder is the sequence of the call that holds the key; 0 if none does.
+		// holder is the sequence number of the call that holds the key; 0 if none does.
 		holder uint64
 		ended  bool
 	}{
@@ -96,7 +96,7 @@
 }
 
 // Guards against granting a key twice when a claim exceeded the limit of held
-// keys: its key is not in the table, so it would look free. No new key may be
+// keys: its key is not in the table, so it would count as free. No new key may be
 // claimed until the log has dropped that claim.
 func TestFullTableRejectsKeysUntilTheLogDropsTheExcessClaim(t *testing.T) {
 	shard := carobclaimstate.NewClaimState(carobclaimstate.Config{MaxKeys: 2, MaxStoredBytes: 10})
@@ -122,9 +122,9 @@
 	for i, key := range []string{"k", "l", "m"} {
 		newClaim := claim(key, uint64(i))
 		shard.Fold(1, batch("a", 0, uint64(i+2), newClaim))
-		settlements := settle(newClaim, carobkind.None)
-		settlements.Settlements[0].StoredAnswer = &carobstoredanswer.StoredAnswer{Body: []byte("12345")}
-		shard.Fold(2, settlements)
+		settlementBatch := settle(newClaim, carobkind.None)
+		settlementBatch.Settlements[0].StoredAnswer = &carobstoredanswer.StoredAnswer{Body: []byte("12345")}
+		shard.Fold(2, settlementBatch)
 	}
 	require.Nil(t, shard.Holding(claim("k", 0).Key).StoredAnswer)
 	require.True(t, shard.Holding(claim("k", 0).Key).Settled, "the key stays held")
--- a/pkg/carobholding/holding.go
+++ b/pkg/carobholding/holding.go
@@ -1,4 +1,4 @@
-// Package carobholding holds the state of claimed idempotency keys.
+// Package carobholding defines the state of claimed idempotency keys.
 package carobholding
 
 import (
--- a/pkg/carobhome/home.go
+++ b/pkg/carobhome/home.go
@@ -20,22 +20,24 @@
 	State *carobclaimstate.ClaimState
 	// HomeSince is when this node became the home in its own view.
 	HomeSince carobinstant.Instant
-	// CaughtUp is true once the stream has been read up to the end that a read found.
+	// CaughtUp is true once all records that one read of the stream returned have
+	// been folded.
 	CaughtUp bool
 	// NextOffset is the offset of the next record to fold. It only grows.
 	NextOffset caroboffset.Offset
 	// InFlight is the batch that was sent to the log and has not been read back, or
 	// nil.
 	InFlight *carobclaimbatch.Batch
-	// SentAt is when a batch was last sent to the log, and TakeoverAt when a takeover was
-	// last created; both are Never before the first.
+	// SentAt is when a batch was last sent to the log, and TakeoverAt when a
+	// takeover was last created; both are Never before the first.
 	SentAt, TakeoverAt carobinstant.Instant
-	// TakeoverBackoff is the minimum time between TakeoverAt and the next takeover.
+	// TakeoverBackoff is the minimum time between the last takeover and the next.
 	TakeoverBackoff time.Duration
-	// ResendAt is when InFlight is sent again.
+	// ResendAt is when the batch in flight is sent again.
 	ResendAt carobinstant.Instant
-	// QueuedClaims and QueuedSettlements are queued for the next batch.
-	QueuedClaims      []carobclaim.Claim
+	// QueuedClaims holds the claims for the next batch.
+	QueuedClaims []carobclaim.Claim
+	// QueuedSettlements holds the settlements for the next batch.
 	QueuedSettlements []carobsettlement.Settlement
 	// ReplyTo maps the calls that are queued or in flight to the addresses of their
 	// entry nodes, which get the replies.
--- a/pkg/carobpendingsettlement/pendingsettlement.go
+++ b/pkg/carobpendingsettlement/pendingsettlement.go
@@ -1,5 +1,5 @@
-// Package carobpendingsettlement holds the rows of the settlements that the homes of their
-// keys have not confirmed yet.
+// Package carobpendingsettlement holds the rows of the settlements that the homes
+// of their keys have not confirmed yet.
 package carobpendingsettlement
 
 import (
@@ -9,8 +9,8 @@
 	"github.com/carobknot/carobknot/pkg/carobsettlement"
 )
 
-// PendingSettlement is a settlement that the entry node sends to the home again until the
-// home confirms that it is in the log.
+// PendingSettlement is a settlement that the entry node resends until the home of
+// the key confirms that the log contains it.
 type PendingSettlement struct {
 	Settlement carobsettlement.Settlement
 	// ResendAt is when the settlement is sent again.
