--- a/pkg/carobaudit/audit.go
+++ b/pkg/carobaudit/audit.go
@@ -13,7 +13,7 @@
 	What      string `json:"what"`
 	From      string `json:"from"`
 	To        string `json:"to"`
-	// LocalOnly is true if the entry is written only to the node's own log, since the
-	// platform's log already contains the change.
+	// LocalOnly is true if the entry is written only to the node's own log lines,
+	// because the platform's log already contains the change.
 	LocalOnly bool `json:"-"`
 }
--- a/pkg/carobcatchup/system.go
+++ b/pkg/carobcatchup/system.go
@@ -1,7 +1,7 @@
 // Package carobcatchup transfers profile records between nodes, so that a change
 // that one node has read reaches all nodes even if the log fails afterwards.
 //
-// The probes of a node carry the offset up to which it has read. A node that has
+// The heartbeats of a node carry the offset up to which it has read. A node that has
 // read less fetches the records that it lacks, by offset, and receives them in
 // order and without gaps, or a snapshot that covers them.
 package carobcatchup
@@ -18,8 +18,8 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// fetchTimeout is how long a fetch may stay unanswered before the next one is sent,
-// to whichever node is next found to have read more.
+// fetchTimeout is how long a fetch may stay unanswered before the next fetch is
+// sent, to the node whose next message shows that it has read more.
 const fetchTimeout = 300 * time.Millisecond
 
 // System fetches records from other nodes and answers their fetches.
@@ -51,7 +51,8 @@
 }
 
 // fetch requests the next records from the sender of a message, if the sender has
-// read further than this node and no fetch is outstanding.
+// read further than this node and no fetch is outstanding. read is the offset up to
+// which the sender has read.
 func (s *System) fetch(world *carobworld.World, now carobinstant.Instant, message *carobmessage.Message, read caroboffset.Offset) {
 	if read <= world.ProfilesRead {
 		return
--- a/pkg/carobchangeresult/result.go
+++ b/pkg/carobchangeresult/result.go
@@ -15,7 +15,7 @@
 	// Applied is true if the change came into force.
 	Applied bool
 	// Previous is the revision that was in force when the change was folded; its
-	// offset is BeforeFirst if there was none. If the change did not come into force, this
-	// revision stays in force.
+	// offset is BeforeFirst if there was none. If the change did not come into
+	// force, this revision stays in force.
 	Previous carobrevision.Revision
 }
--- a/pkg/carobcompaction/system.go
+++ b/pkg/carobcompaction/system.go
@@ -1,7 +1,7 @@
 // Package carobcompaction appends snapshots of the profiles to the log, so that
 // the profiles outlive the records of their changes.
 //
-// The log keeps records for a limited time that this system does not know. It
+// The log keeps records for a limited time, which it does not report. This system
 // therefore appends a snapshot at a fixed period, which has to be shorter than
 // that time, and earlier if many records follow the last snapshot. Any node may
 // append it: each node first waits for a random delay, and appends nothing if it
--- a/pkg/carobfold/system.go
+++ b/pkg/carobfold/system.go
@@ -7,7 +7,7 @@
 // Records arrive from the log and from other nodes, in any order and more than
 // once. Records after a gap are buffered until the gap is closed, either by the
 // missing records or by a snapshot that covers it. A snapshot that covers no more
-// than what was already folded is ignored, so that one that was taken before a
+// than what was already folded is ignored, so that a snapshot taken before a
 // change and appended after it does not revert the change.
 package carobfold
 
@@ -73,9 +73,9 @@
 	s.checkCaughtUp(world, now)
 }
 
-// checkCaughtUp marks the node as behind the log until it has read the log to its
-// end or startTimeout has passed. It prevents a starting node from using profiles
-// that the previous node on the VM may already have seen replaced.
+// checkCaughtUp sets AwaitingLog until the node has read the log to its end or
+// startTimeout has passed. This prevents a starting node from using profiles that
+// its predecessor on the VM may already have seen replaced.
 func (s *System) checkCaughtUp(world *carobworld.World, now carobinstant.Instant) {
 	if s.waitEnd == carobinstant.Never {
 		s.waitEnd = now.Add(startTimeout)
@@ -130,14 +130,14 @@
 // snapshotOf returns the snapshot in a record, or nil if the record has none or an
 // invalid one, such as one that covers the offset of its own record or a later one.
 func snapshotOf(record carobrecord.Record) *carobsnapshot.Snapshot {
-	var entry snapshotRecord
-	if json.Unmarshal(record.Data, &entry) != nil || entry.Snapshot == nil {
+	var decoded snapshotRecord
+	if json.Unmarshal(record.Data, &decoded) != nil || decoded.Snapshot == nil {
 		return nil
 	}
-	if entry.Snapshot.Check() != nil || entry.Snapshot.LastOffset >= record.Offset {
+	if decoded.Snapshot.Check() != nil || decoded.Snapshot.LastOffset >= record.Offset {
 		return nil
 	}
-	return entry.Snapshot
+	return decoded.Snapshot
 }
 
 // adoptSnapshot replaces the folded state by a snapshot, if it covers records that
--- a/pkg/carobfold/system_test.go
+++ b/pkg/carobfold/system_test.go
@@ -213,9 +213,9 @@
 func firstReadable(t *rapid.T, log []carobrecord.Record) int {
 	starts := []int{0}
 	for _, record := range log {
-		var entry struct{ Snapshot *carobsnapshot.Snapshot }
-		if json.Unmarshal(record.Data, &entry) == nil && entry.Snapshot != nil {
-			starts = append(starts, int(entry.Snapshot.LastOffset)+1)
+		var decoded struct{ Snapshot *carobsnapshot.Snapshot }
+		if json.Unmarshal(record.Data, &decoded) == nil && decoded.Snapshot != nil {
+			starts = append(starts, int(decoded.Snapshot.LastOffset)+1)
 		}
 	}
 	return rapid.SampledFrom(starts).Draw(t, "from")
--- a/pkg/carobkind/kind.go
+++ b/pkg/carobkind/kind.go
@@ -1,4 +1,4 @@
-// Package carobkind holds the closed list of error kinds and the table with the
+// Package carobkind defines the closed list of error kinds and the table with the
 // HTTP status, outcome, retry delay and log level of each kind. Processes send
 // each other the kind of an error, not its text.
 package carobkind
@@ -30,8 +30,8 @@
 	HeaderTooLarge Kind = "header-too-large"
 	// RequestTimeout means that the caller took too long to send its call.
 	RequestTimeout Kind = "slow"
-	// NotResendable means that no target ran the call, and that its body was streamed and
-	// cannot be sent again.
+	// NotResendable means that no target ran the call, and that its body was
+	// streamed and cannot be sent again.
 	NotResendable Kind = "spent"
 	// NotReady means that the node has no profile or no view of the targets yet.
 	NotReady Kind = "not-ready"
@@ -46,8 +46,8 @@
 	NoTarget Kind = "no-target"
 	// Busy means that all slots and queues are full.
 	Busy Kind = "busy"
-	// NotStartedInTime means that the call could not be started before its deadline. See
-	// Expired for a deadline that passes later.
+	// NotStartedInTime means that the call could not be started before its deadline.
+	// See Expired for a deadline that passes later.
 	NotStartedInTime Kind = "late"
 	// Leaving means that the target or the node is shutting down.
 	Leaving Kind = "leaving"
@@ -59,9 +59,11 @@
 	Unreachable Kind = "unreachable"
 	// Expired means that the deadline passed while the call may have been running.
 	Expired Kind = "expired"
-	// ConnectionLost means that the connection broke while the call may have been running.
+	// ConnectionLost means that the connection broke while the call may have been
+	// running.
 	ConnectionLost Kind = "cut"
-	// Cancelled means that the caller closed its connection.
+	// Cancelled means that the caller closed its connection, or that the entry node
+	// cancelled an attempt.
 	Cancelled Kind = "cancelled"
 	// Repeated means that a call with this key has run, and that its answer is not
 	// stored.
@@ -83,7 +85,7 @@
 	Internal Kind = "internal"
 )
 
-// properties holds the status, outcome, retry delay and log level of a kind.
+// properties holds the HTTP status, outcome, retry delay and log level of a kind.
 type properties struct {
 	status  int
 	outcome caroboutcome.Outcome
@@ -144,8 +146,8 @@
 	return k.properties().outcome
 }
 
-// RetryAfter returns the delay after which a new call may succeed, or 0 if a new call
-// would not help.
+// RetryAfter returns the delay after which a new call may succeed, or 0 if a new
+// call would not help.
 func (k Kind) RetryAfter() time.Duration {
 	return k.properties().retry
 }
@@ -182,16 +184,16 @@
 	cause error
 }
 
-func (f *kindError) Error() string {
-	return f.cause.Error()
+func (e *kindError) Error() string {
+	return e.cause.Error()
 }
 
-func (f *kindError) Unwrap() error {
-	return f.cause
+func (e *kindError) Unwrap() error {
+	return e.cause
 }
 
-func (f *kindError) Is(target error) bool {
-	return target == f.kind //nolint:errorlint // a kind is compared, not a chain
+func (e *kindError) Is(target error) bool {
+	return target == e.kind //nolint:errorlint // a kind is compared, not a chain
 }
 
 // New returns an error of a kind with a formatted text.
@@ -212,9 +214,9 @@
 	if err == nil {
 		return None
 	}
-	var f *kindError
-	if errors.As(err, &f) {
-		return f.kind
+	var found *kindError
+	if errors.As(err, &found) {
+		return found.kind
 	}
 	var k Kind
 	if errors.As(err, &k) {
--- a/pkg/caroblimits/limits.go
+++ b/pkg/caroblimits/limits.go
@@ -33,10 +33,10 @@
 	// buffered for another attempt. A body beyond it is streamed; a front end
 	// that needs whole bodies refuses the call instead.
 	BufferedBodySize carobsize.Size `json:"kept"`
-	// HeaderTimeout is the time-out for receiving the header of a call.
+	// HeaderTimeout is the timeout for receiving the header of a call.
 	HeaderTimeout carobduration.Duration `json:"head"`
-	// StallTimeout is the time without progress after which the transfer of a body counts
-	// as cut.
+	// StallTimeout is the time without progress after which the transfer of a body
+	// is aborted.
 	StallTimeout carobduration.Duration `json:"stall"`
 	// IdleTimeout is how long an unused connection of a caller stays open.
 	IdleTimeout carobduration.Duration `json:"idle"`
--- a/pkg/carobname/name.go
+++ b/pkg/carobname/name.go
@@ -13,16 +13,16 @@
 
 // Check returns an Invalid error that names the field if the name is empty, too
 // long or has any other character.
-func (w Name) Check(field string) error {
-	if w == "" {
+func (n Name) Check(field string) error {
+	if n == "" {
 		return carobkind.New(carobkind.Invalid, "%s: name is empty", field)
 	}
-	if len(w) > MaxLength {
+	if len(n) > MaxLength {
 		return carobkind.New(carobkind.Invalid, "%s: name has more than %d bytes", field, MaxLength)
 	}
-	for _, char := range w {
+	for _, char := range n {
 		if !isAllowed(char) {
-			return carobkind.New(carobkind.Invalid, "%s: name %q has a character other than a-z, 0-9, '-' and '.'", field, string(w))
+			return carobkind.New(carobkind.Invalid, "%s: name %q has a character other than a-z, 0-9, '-' and '.'", field, string(n))
 		}
 	}
 	return nil
--- a/pkg/carobprofile/profile.go
+++ b/pkg/carobprofile/profile.go
@@ -19,7 +19,7 @@
 type Profile struct {
 	// Name is the name by which services select the profile.
 	Name carobname.Name `json:"name"`
-	// Base is the revision that this change replaces, or BeforeFirst for a new
+	// Base is the revision that this profile replaces, or BeforeFirst for a new
 	// profile. The change has no effect if another revision is in force.
 	Base caroboffset.Offset `json:"base"`
 	// Policy is the name of the policy that chooses a target.
@@ -32,24 +32,26 @@
 	// Attempts is the number of attempts of a call before it waits for a free slot, at
 	// least 1.
 	Attempts int `json:"tries"`
-	// HedgeQuantile is the quantile of latency after which a call that may run more than
-	// once gets a second, concurrent attempt; 0 disables hedging.
+	// HedgeQuantile is the quantile of latency after which a call that may run more
+	// than once gets a second, concurrent attempt; 0 disables hedging.
 	HedgeQuantile carobshare.Share `json:"hedge"`
 	// QueueLimit is the maximum number of calls queued for each target, at least 0.
 	QueueLimit int `json:"queue"`
 	// Guarantee is the limit on how often a call may run.
 	Guarantee carobguarantee.Guarantee `json:"once"`
-	// ReportAgeLimit is the age of a load report at which the target is probed again; 0
-	// disables it.
+	// ReportAgeLimit is the age of a load report at which the target is probed again;
+	// 0 disables probes.
 	ReportAgeLimit carobduration.Duration `json:"measure"`
-	// EjectErrorRate is how far the error rate of a target must exceed that of the other
-	// targets for it to be ejected for a while; 0 disables ejection.
+	// EjectErrorRate is how far the error rate of a target must exceed that of the
+	// other targets for it to be ejected for a while; 0 disables ejection.
 	EjectErrorRate carobshare.Share `json:"eject"`
-	// LocalLoadLimit is a load, as a share of a target's slots. Calls stay in the entry node's
-	// data centre while one of its targets is loaded below LocalLoadLimit, and may go to any
-	// data centre otherwise; 0 disables the preference.
+	// LocalLoadLimit is a load, as a share of a target's slots. Calls stay in the
+	// entry node's data centre while one of its targets is loaded below
+	// LocalLoadLimit, and may go to any data centre otherwise; 0 disables the
+	// preference.
 	LocalLoadLimit carobshare.Share `json:"near"`
-	// BufferedBodyLimit is the maximum size of a body that is buffered for another attempt.
+	// BufferedBodyLimit is the maximum size of a body that is buffered for another
+	// attempt.
 	BufferedBodyLimit carobsize.Size `json:"keep"`
 	// NotRunOn503 is true if a response with status 503 from a target means that the
 	// call did not run.
@@ -121,19 +123,20 @@
 	return p.checkCounts()
 }
 
-// checkCounts checks the fields that are numbers of things.
+// checkCounts returns an Invalid error that names the first integer field out of
+// bounds.
 func (p Profile) checkCounts() error {
 	for _, field := range []struct {
-		key         string
-		value       int
-		least, most int
+		key             string
+		value           int
+		lowest, highest int
 	}{
 		{"spread", p.SubsetSize, 1, MaxSubsetSize},
 		{"tries", p.Attempts, 1, MaxAttempts},
 		{"queue", p.QueueLimit, 0, MaxQueueLimit},
 	} {
-		if field.value < field.least || field.value > field.most {
-			return carobkind.New(carobkind.Invalid, "%s: %d is not between %d and %d", field.key, field.value, field.least, field.most)
+		if field.value < field.lowest || field.value > field.highest {
+			return carobkind.New(carobkind.Invalid, "%s: %d is not between %d and %d", field.key, field.value, field.lowest, field.highest)
 		}
 	}
 	return nil
--- a/pkg/carobsnapshot/snapshot.go
+++ b/pkg/carobsnapshot/snapshot.go
@@ -10,10 +10,12 @@
 // Snapshot contains the profiles in force after all records up to an offset. A node
 // starts from it if the log no longer keeps those records.
 type Snapshot struct {
-	// LastOffset is the last offset that the snapshot includes. The record of the
-	// snapshot has a higher offset; changes between the two are not included.
+	// LastOffset is the offset of the last record that the snapshot includes. The
+	// record of the snapshot has a higher offset; changes between the two are not
+	// included.
 	LastOffset caroboffset.Offset `json:"through"`
-	// Revisions holds one revision of each profile, with offsets up to LastOffset.
+	// Revisions holds the revision in force of each profile. Their offsets are at
+	// most LastOffset.
 	Revisions []carobrevision.Revision `json:"revisions"`
 }
 
