--- a/pkg/carobattempt/attempt.go
+++ b/pkg/carobattempt/attempt.go
@@ -15,8 +15,8 @@
 	Target carobtargetid.ID
 	// Node is the target's node.
 	Node carobnodeid.ID
-	// Incarnation is that of the target's node when the attempt was sent. Another
-	// incarnation of the node refuses the attempt.
+	// Incarnation is the incarnation of the target's node when the attempt was sent.
+	// Another incarnation of the node refuses the attempt.
 	Incarnation carobincarnation.Incarnation
 	// SentAt is when the attempt was sent.
 	SentAt carobinstant.Instant
@@ -24,7 +24,7 @@
 	Ended bool
 	// Kind is why the attempt failed; None if it is open or was answered.
 	Kind carobkind.Kind
-	// State is the job state from the last fence reply; Pending if there was none.
+	// State is the job state that the last fence found; Pending before that.
 	State carobjobstate.JobState
 	// FenceSentAt is when a fence for the attempt was last sent; Never if none was.
 	FenceSentAt carobinstant.Instant
--- a/pkg/carobcall/call.go
+++ b/pkg/carobcall/call.go
@@ -25,17 +25,18 @@
 	Profile carobprofile.Profile
 	// Route is the route that the call matched; nil if the caller named the service.
 	Route *carobroute.Route
-	// SLODeadline is the instant by which the caller should have its answer, from the SLO of
-	// the route; Never if there is none.
+	// SLODeadline is the instant by which the caller should have its answer, from
+	// the SLO of the route; Never if there is none.
 	SLODeadline carobinstant.Instant
 	// ArrivedAt is the instant of arrival.
 	ArrivedAt carobinstant.Instant
 	// Deadline is the instant at which the call times out.
 	Deadline carobinstant.Instant
-	// ClaimSentAt is when a claim for the call's idempotency key was last sent; Never if
-	// the call needs no key or no claim was sent yet.
+	// ClaimSentAt is when a claim for the call's idempotency key was last sent;
+	// Never if the call needs no key or no claim was sent yet.
 	ClaimSentAt carobinstant.Instant
-	// KeyHeld is set if another call holds the idempotency key.
+	// KeyHeld is set once a claim reply states that another call holds the
+	// idempotency key.
 	KeyHeld bool
 	// GraceEnd is the instant at which a call that is past its deadline is concluded
 	// even if fence replies are missing; Never before the deadline.
@@ -43,8 +44,9 @@
 	// Stage only increases, except that a retry sets it from Attempting or Fencing back
 	// to Waiting.
 	Stage carobstage.Stage
-	// HedgeDue is set if the call should be hedged: the next tick sends a second attempt
-	// beside the open one if a target is free and the retry budget has a token.
+	// HedgeDue is set if the call should be hedged: the next tick sends a second
+	// attempt beside the open one if a target is free and the retry budget has a
+	// token.
 	HedgeDue bool
 	// NoTarget is set if the last tick that tried to place the call found no target.
 	NoTarget bool
@@ -89,8 +91,8 @@
 	return true
 }
 
-// Requirements returns what an attempt that is sent now tells the target's node about the
-// call's priority and SLO.
+// Requirements returns the attributes of the call that go to the target's node with
+// an attempt that is sent at now.
 func (c *Call) Requirements(now carobinstant.Instant) carobrequirements.Requirements {
 	requirements := carobrequirements.Requirements{Request: c.Arrival.Request, Priority: c.Priority(), Guarantee: c.Profile.Guarantee}
 	if c.SLODeadline != carobinstant.Never {
--- a/pkg/carobcallid/id.go
+++ b/pkg/carobcallid/id.go
@@ -15,7 +15,7 @@
 type ID struct {
 	// Node is the entry node of the call.
 	Node carobnodeid.ID
-	// Incarnation is that of the entry node.
+	// Incarnation is the incarnation of the entry node that accepted the call.
 	Incarnation carobincarnation.Incarnation
 	// Sequence is the number of the call within the incarnation.
 	Sequence uint64
--- a/pkg/carobconclusion/conclusion.go
+++ b/pkg/carobconclusion/conclusion.go
@@ -10,19 +10,20 @@
 	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
-// Conclusion orders that the caller of a call gets the answer to an attempt, a stored
-// answer or an error.
+// Conclusion orders that the caller of a call gets the answer to an attempt, a
+// stored answer or an error.
 type Conclusion struct {
 	Call carobcallid.ID
 	// Kind is the error; None if the caller gets an answer.
 	Kind carobkind.Kind
-	// RetryAfter is the time after which the caller may retry; if it is 0, the kind's own
-	// retry time applies.
+	// RetryAfter is the time after which the caller may retry; if it is 0, the
+	// kind's own retry time applies.
 	RetryAfter time.Duration
 	// Attempt is the number of the attempt whose answer the caller gets; 0 if there
 	// is an error or a stored answer.
 	Attempt int
-	// StoredAnswer is the stored answer to an earlier call with the same idempotency key; nil
-	// if the caller gets something else. Kind is None and Attempt is 0 if it is set.
+	// StoredAnswer is the stored answer to an earlier call with the same idempotency
+	// key; nil if the caller gets something else. Kind is None and Attempt is 0 if
+	// it is set.
 	StoredAnswer *carobstoredanswer.StoredAnswer
 }
--- a/pkg/carobduration/duration.go
+++ b/pkg/carobduration/duration.go
@@ -11,30 +11,30 @@
 type Duration time.Duration
 
 // Duration converts the duration to a time.Duration.
-func (s Duration) Duration() time.Duration {
-	return time.Duration(s)
+func (d Duration) Duration() time.Duration {
+	return time.Duration(d)
 }
 
 // String returns the duration with its unit.
-func (s Duration) String() string {
-	return time.Duration(s).String()
+func (d Duration) String() string {
+	return time.Duration(d).String()
 }
 
 // MarshalText encodes the duration with its unit.
-func (s Duration) MarshalText() ([]byte, error) {
-	return []byte(s.String()), nil
+func (d Duration) MarshalText() ([]byte, error) {
+	return []byte(d.String()), nil
 }
 
-// UnmarshalText decodes a duration. It returns an Invalid error if the unit is missing
-// or the duration is negative.
-func (s *Duration) UnmarshalText(text []byte) error {
-	d, err := time.ParseDuration(string(text))
+// UnmarshalText decodes a duration. It returns an Invalid error if the unit is
+// missing or the duration is negative.
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
-		return carobkind.New(carobkind.Invalid, "span %q is not a number with a unit such as \"250ms\"", text)
+		return carobkind.New(carobkind.Invalid, "duration %q is not a number with a unit such as \"250ms\"", text)
 	}
-	if d < 0 {
-		return carobkind.New(carobkind.Invalid, "span %q is negative", text)
+	if parsed < 0 {
+		return carobkind.New(carobkind.Invalid, "duration %q is negative", text)
 	}
-	*s = Duration(d)
+	*d = Duration(parsed)
 	return nil
 }
--- a/pkg/carobentry/claim.go
+++ b/pkg/carobentry/claim.go
@@ -47,8 +47,8 @@
 	world.SendMessage(carobmessage.Message{To: home, Claim: &carobclaim.Claim{Key: call.Key(), Call: call.Arrival.Call}})
 }
 
-// claimFailureKind returns the kind of a call that was not granted its key before its
-// deadline.
+// claimFailureKind returns the kind with which to conclude a call that was not
+// granted its key before its deadline.
 func claimFailureKind(call *carobcall.Call) carobkind.Kind {
 	if call.KeyHeld {
 		return carobkind.KeyUnknown
@@ -88,9 +88,9 @@
 	world.Calls.Delete(call.Arrival.Call)
 }
 
-// addSettlement stores the settlement of a call that may hold its key, until the home
-// of the key acknowledges it, and sends it for the first time. If the table is
-// full, the key stays claimed and later calls with it do not run.
+// addSettlement stores the settlement of a call that may hold its key, until the
+// home of the key acknowledges it, and sends it for the first time. If the table
+// is full, the key stays claimed and later calls with it do not run.
 func addSettlement(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, kind carobkind.Kind, stored *carobstoredanswer.StoredAnswer) {
 	if call.Key() == (carobkey.Key{}) || call.ClaimSentAt == carobinstant.Never {
 		return
--- a/pkg/carobentry/fence.go
+++ b/pkg/carobentry/fence.go
@@ -57,8 +57,8 @@
 
 // sendFence sends a fence for an attempt, unless one was sent less than
 // fenceRetryInterval ago. An attempt at a target of this node is judged at once,
-// without a message. The state is Unknown if the target's node is gone or has
-// another incarnation.
+// without a message. The state is Unknown if the target's node is no longer among
+// the peers or has another incarnation.
 func sendFence(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, number int) {
 	attempt := &call.Attempts[number-1]
 	if due := attempt.FenceSentAt.Add(fenceRetryInterval); attempt.FenceSentAt != carobinstant.Never && !due.Reached(now) {
@@ -122,9 +122,9 @@
 // resolveFenced concludes or retries a call that is being fenced, if the fence
 // replies so far suffice for that or the grace period is over.
 func resolveFenced(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
-	late := call.Deadline.Reached(now)
+	pastDeadline := call.Deadline.Reached(now)
 	switch {
-	case call.NotRun() && late:
+	case call.NotRun() && pastDeadline:
 		conclude(world, now, call, carobkind.NotStartedInTime)
 	case call.NotRun():
 		retryFenced(world, now, call)
@@ -135,8 +135,8 @@
 }
 
 // retryFenced retries a call none of whose attempts ran, if the profile allows
-// another attempt, its body is buffered and the retry budget has a token. Otherwise it
-// concludes the call with the kind of its last failure.
+// another attempt, its body is buffered and the retry budget has a token.
+// Otherwise it concludes the call with the kind of its last failure.
 func retryFenced(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
 	if len(call.Attempts) < call.Profile.Attempts && !call.Arrival.Streamed && world.RetryBudgetOf(call.Arrival.Service).TakeToken() {
 		call.Stage = carobstage.Waiting
@@ -145,8 +145,8 @@
 	conclude(world, now, call, call.LastKind)
 }
 
-// mayHaveRun reports whether an attempt is known to have started, or its node replied
-// that it cannot tell.
+// mayHaveRun reports whether an attempt is known to have started, or it cannot be
+// determined whether it did.
 func mayHaveRun(call *carobcall.Call) bool {
 	for i := range call.Attempts {
 		if attempt := &call.Attempts[i]; !attempt.NotRun() && attempt.State != carobjobstate.Pending {
--- a/pkg/carobentry/fence_test.go
+++ b/pkg/carobentry/fence_test.go
@@ -27,8 +27,8 @@
 	r.requireSent(2)
 }
 
-// Guards against a second run: an attempt that ran, or whose state is unknown, is not
-// retried.
+// Guards against a second run: an attempt that ran, or whose state is unknown, is
+// not retried.
 func TestCallIsNotRetriedUnlessFencedAsNever(t *testing.T) {
 	for _, state := range []carobjobstate.JobState{carobjobstate.Done, carobjobstate.Unknown} {
 		t.Run(string(state), func(t *testing.T) {
@@ -59,8 +59,9 @@
 	require.LessOrEqual(t, r.now.Sub(arrivedAt), callTimeout+maxOverrun+time.Millisecond)
 }
 
-// Guards against a wrong outcome at the deadline: a call is concluded as NotStartedInTime only if
-// a fence reply shows that it never runs, and otherwise as Expired.
+// Guards against a wrong outcome at the deadline: a call is concluded as
+// NotStartedInTime only if a fence reply shows that it never runs, and otherwise
+// as Expired.
 func TestDeadlineFencesOpenAttempts(t *testing.T) {
 	cases := map[string]struct {
 		state carobjobstate.JobState
@@ -111,16 +112,16 @@
 	t.Run("node replaced", func(t *testing.T) {
 		r := newRig(t, carobguarantee.OncePerCall)
 		r.arrive(false)
-		for _, pr := range r.world.Peers.All() {
-			pr.Member.Incarnation++
+		for _, peer := range r.world.Peers.All() {
+			peer.Member.Incarnation++
 		}
 		r.advance(callTimeout)
 		r.requireConcluded(carobkind.Expired)
 	})
 }
 
-// Guards against the outcome "not run" when only some of the attempts are known never
-// to run.
+// Guards against the outcome "not run" when only some of the attempts are known
+// never to run.
 func TestOneUnknownAttemptMakesOutcomeUnknown(t *testing.T) {
 	r := newRig(t, carobguarantee.Idempotent)
 	r.arrive(false)
@@ -136,6 +137,8 @@
 	r.requireConcluded(carobkind.ConnectionLost)
 }
 
+// Guards against an unknown outcome of a call whose attempts are all known never to
+// run.
 func TestCallIsWithdrawnIfNoAttemptRan(t *testing.T) {
 	r := newRig(t, carobguarantee.Idempotent)
 	r.arrive(false)
@@ -147,8 +150,8 @@
 	r.requireConcluded(carobkind.Withdrawn)
 }
 
-// Guards against retrying a call with a truncated body: a streamed body is not buffered,
-// and part of it may already be consumed.
+// Guards against retrying a call with a truncated body: a streamed body is not
+// buffered, and part of it may already be consumed.
 func TestStreamedBodyIsNotSentAgain(t *testing.T) {
 	r := newRig(t, carobguarantee.OncePerCall)
 	r.arrive(true)
@@ -175,8 +178,8 @@
 	r.requireOpen()
 }
 
-// Guards against withdrawing a running attempt, and against charging the retry budget
-// for moving a queued one.
+// Guards against withdrawing a running attempt, and against charging the retry
+// budget for moving a queued one.
 func TestWithdraw(t *testing.T) {
 	t.Run("queued", func(t *testing.T) {
 		r := newRig(t, carobguarantee.OncePerCall)
--- a/pkg/carobentry/log.go
+++ b/pkg/carobentry/log.go
@@ -11,7 +11,8 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// logEnd records in the event log how a call ended.
+// logEnd records how a call ended, for operators. after is the retry time that the
+// caller gets; 0 if the kind's own applies.
 func logEnd(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, text string, kind carobkind.Kind, after time.Duration) {
 	decision := carobdecision.Decision{
 		Component: "entry", Text: text, Request: call.Arrival.Request, Call: call.Arrival.Call, Kind: kind,
--- a/pkg/carobentry/rig_test.go
+++ b/pkg/carobentry/rig_test.go
@@ -79,15 +79,15 @@
 }
 
 // step runs one tick with the given inbox.
-func (r *rig) step(in carobinbox.Inbox) {
+func (r *rig) step(inbox carobinbox.Inbox) {
 	r.now++
-	r.world.BeginTick(in)
+	r.world.BeginTick(inbox)
 	r.entry.Run(r.world, r.now)
 	r.router.Run(r.world, r.now)
 }
 
-// advance moves the clock by d and runs the ticks that are due. It stops early at the
-// first tick that concludes a call.
+// advance moves the clock by d and runs the ticks that are due. It stops early at
+// the first tick that concludes a call.
 func (r *rig) advance(d time.Duration) {
 	end := r.now.Add(d)
 	for wake := r.world.Wake(); wake.Reached(end); wake = r.world.Wake() {
@@ -100,8 +100,8 @@
 	r.now = end
 }
 
-// arrive lets a call to the service arrive, and requires that its first attempt is
-// sent.
+// arrive runs a tick in which a call to the service arrives, and requires that the
+// first attempt of the call is sent.
 func (r *rig) arrive(streamed bool) {
 	r.step(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{
 		{Call: r.call, Service: service, Timeout: callTimeout, Streamed: streamed},
@@ -121,7 +121,8 @@
 
 func (r *rig) job(attempt int) carobjobid.ID { return carobjobid.ID{Call: r.call, Attempt: attempt} }
 
-// requireSent requires that the last tick sent exactly one attempt, with this number.
+// requireSent requires that the last tick sent exactly one attempt, with this
+// number.
 func (r *rig) requireSent(attempt int) {
 	r.t.Helper()
 	require.Len(r.t, r.world.Outbox.Sends, 1)
@@ -132,17 +133,17 @@
 // fence.
 func (r *rig) fencedAttempts() []int {
 	var attempts []int
-	for _, ms := range r.world.Outbox.Messages {
-		if ms.Fence != nil {
-			require.EqualValues(r.t, targetIncarnation, ms.Fence.Incarnation)
-			attempts = append(attempts, ms.Fence.Job.Attempt)
+	for _, message := range r.world.Outbox.Messages {
+		if message.Fence != nil {
+			require.EqualValues(r.t, targetIncarnation, message.Fence.Incarnation)
+			attempts = append(attempts, message.Fence.Job.Attempt)
 		}
 	}
 	return attempts
 }
 
-// requireConcluded requires that the last tick concluded the call with this kind, and
-// that no call is left.
+// requireConcluded requires that the last tick concluded the call with this kind,
+// and that no call is left.
 func (r *rig) requireConcluded(kind carobkind.Kind) {
 	r.t.Helper()
 	require.Equal(r.t, []carobconclusion.Conclusion{{Call: r.call, Kind: kind}}, r.world.Outbox.Conclusions)
--- a/pkg/carobentry/route_test.go
+++ b/pkg/carobentry/route_test.go
@@ -35,7 +35,8 @@
 	r.world.RouteTable = routes
 }
 
-// arriveAt lets a call arrive that names a path instead of a service.
+// arriveAt runs a tick in which a call arrives that names a host and a path instead
+// of a service.
 func (r *rig) arriveAt(path string) {
 	r.step(carobinbox.Inbox{Arrivals: []carobarrival.Arrival{
 		{Call: r.call, Request: "req", Host: "a.example", Path: path, Timeout: callTimeout},
@@ -47,7 +48,8 @@
 	r.step(carobinbox.Inbox{Replies: []carobreply.Reply{{Job: r.job(attempt), Status: status}}})
 }
 
-// Guards against a 404 for an existing route from a node that has no route table yet.
+// Guards against a 404 for an existing route from a node that has no route table
+// yet.
 func TestNoRouteNeedsRouteTable(t *testing.T) {
 	r := newRig(t, carobguarantee.OncePerCall)
 	r.arriveAt("/one/x")
@@ -71,9 +73,9 @@
 	require.Len(t, r.world.Outbox.Conclusions, 1, "the call is concluded soon after the route's timeout")
 }
 
-// Guards against calls of a service without targets spilling over to the other part of
-// the split.
-func TestSplitKeepsShareOfServiceWithoutTargets(t *testing.T) {
+// Guards against sending the calls of a service without targets to the other
+// weighted service of the route.
+func TestWeightedServiceWithoutTargetsKeepsItsShare(t *testing.T) {
 	r := newRig(t, carobguarantee.OncePerCall)
 	r.setRoute(carobguarantee.Idempotent, carobweightedservice.WeightedService{Service: service, Weight: 80}, carobweightedservice.WeightedService{Service: "elsewhere", Weight: 20})
 	const calls = 2000
@@ -87,8 +89,8 @@
 	require.InDelta(t, 0.8, float64(sentHere)/calls, 0.03, "the service without targets keeps its share of the calls")
 }
 
-// Guards against unbounded retries of calls that targets shed: each one costs a token
-// of the retry budget.
+// Guards against unbounded retries of calls that targets shed: each one costs a
+// token of the retry budget.
 func TestShedCallIsRetriedWithinBudget(t *testing.T) {
 	r := newRig(t, carobguarantee.OncePerCall)
 	r.setRoute(carobguarantee.OncePerCall)
@@ -182,8 +184,8 @@
 func TestCallWithoutTargetIsRefusedEarly(t *testing.T) {
 	r := newRig(t, carobguarantee.OncePerCall)
 	r.setRoute(carobguarantee.OncePerCall)
-	for _, tg := range r.world.Targets.All() {
-		tg.Readiness = carobreadiness.Leaving
+	for _, target := range r.world.Targets.All() {
+		target.Readiness = carobreadiness.Leaving
 	}
 	r.arriveAt("/one/x")
 	arrivedAt := r.now
@@ -194,13 +196,13 @@
 	require.Less(t, r.now.Sub(arrivedAt), slo/2)
 }
 
-// Guards against accepting a call that cannot finish before the node ends: it is
+// Guards against accepting a call that cannot finish before the node exits: it is
 // refused with a short retry time, so that another node can serve it.
 func TestEndingNodeRefusesCallsItCannotFinish(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		left  time.Duration
-		taken bool
+		name     string
+		left     time.Duration
+		accepted bool
 	}{
 		{"ends after the route's timeout", 420 * time.Millisecond, true},
 		{"ends before the route's timeout", 380 * time.Millisecond, false},
@@ -210,7 +212,7 @@
 			r.setRoute(carobguarantee.Idempotent)
 			r.step(carobinbox.Inbox{ShutdownDeadline: r.now.Add(c.left)})
 			r.arriveAt("/one/x")
-			if c.taken {
+			if c.accepted {
 				r.requireSent(1)
 				return
 			}
--- a/pkg/carobentry/system.go
+++ b/pkg/carobentry/system.go
@@ -53,7 +53,7 @@
 	return &System{}
 }
 
-// Run handles the arrivals, replies, messages, deliveries and hangups of the
+// Run handles the arrivals, replies, messages, deliveries and disconnects of the
 // inbox, then the timers of all calls and pending settlements.
 func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
 	for _, arrival := range world.Inbox.Arrivals {
@@ -114,7 +114,7 @@
 	}
 	call := newCall(world, now, arrival, route)
 	if world.ShutdownDeadline.Before(call.Deadline) {
-		// The node may stop before the call is answered; another node has the time.
+		// The node may exit before the call is answered. Another node can answer it.
 		refuse(world, now, arrival, carobkind.Leaving, retryAfter(world, &call, carobkind.Leaving))
 		return
 	}
@@ -183,8 +183,8 @@
 	})
 }
 
-// handleReply handles the reply to an attempt. It drops replies for unknown calls and
-// for attempts that have ended.
+// handleReply handles the reply to an attempt. It drops replies for unknown calls
+// and for attempts that have ended.
 func handleReply(world *carobworld.World, now carobinstant.Instant, reply carobreply.Reply) {
 	call := world.Calls.Get(reply.Job.Call)
 	if call == nil || reply.Job.Attempt < 1 || reply.Job.Attempt > len(call.Attempts) {
@@ -262,14 +262,14 @@
 	return call.NotRun() && call.LastKind != carobkind.Shed && call.LastKind != carobkind.Misdirected
 }
 
-// backOff starts a jittered backoff of a call that all tried targets refused as Busy.
-// Most load spikes last a few milliseconds, so a short wait at the entry avoids
-// refusing a caller that has time left. The backoff grows, so that calls above
-// the capacity of the targets cause few refused attempts.
+// backOff starts a jittered backoff of a call that all tried targets refused as
+// Busy. Most load spikes last a few milliseconds, so a short wait at the entry
+// avoids refusing a caller that has time left. The backoff grows, so that calls
+// above the capacity of the targets cause few refused attempts.
 func backOff(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
 	doublings := min(len(call.Attempts)-call.Profile.Attempts, maxBackoffDoublings)
-	pause := initialBackoff << max(0, doublings)
-	call.BackoffEnd = now.Add(pause/2 + time.Duration(world.Random.Int64N(int64(pause))))
+	backoff := initialBackoff << max(0, doublings)
+	call.BackoffEnd = now.Add(backoff/2 + time.Duration(world.Random.Int64N(int64(backoff))))
 	call.Stage = carobstage.Waiting
 }
 
@@ -335,9 +335,9 @@
 	}
 }
 
-// concludeWithoutTarget concludes a call for which there is no target. A call with an SLO
-// does not wait for its deadline, because an earlier error lets the caller retry
-// sooner.
+// concludeWithoutTarget concludes a call for which there is no target. A call
+// with an SLO does not wait for its deadline, because an earlier error lets the
+// caller retry sooner.
 func concludeWithoutTarget(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
 	if call.NotRun() {
 		conclude(world, now, call, carobkind.NoTarget)
@@ -346,9 +346,9 @@
 	conclude(world, now, call, unknownOutcomeKind(call))
 }
 
-// concludeAtShutdown concludes a call because the node ends: as Leaving if it has
-// not run, as ConnectionLost if it may have. The conclusion lets an answer that is queued
-// behind it on the same connection be delivered.
+// concludeAtShutdown concludes a call because the node exits: as Leaving if it has
+// not run, as ConnectionLost if it may have. An answer that is queued behind this
+// call on the same connection can then still be delivered.
 func concludeAtShutdown(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call) {
 	switch {
 	case call.Stage == carobstage.Delivering:
@@ -385,8 +385,8 @@
 	if after == 0 || call.SLODeadline == carobinstant.Never {
 		return 0
 	}
-	step := min(after, call.SLODeadline.Sub(call.ArrivedAt)/sloDivisor)
-	return step/2 + time.Duration(world.Random.Int64N(int64(step)))
+	mean := min(after, call.SLODeadline.Sub(call.ArrivedAt)/sloDivisor)
+	return mean/2 + time.Duration(world.Random.Int64N(int64(mean)))
 }
 
 // cancelOthers cancels all open attempts of a call except the attempt numbered
--- a/pkg/carobguarantee/guarantee.go
+++ b/pkg/carobguarantee/guarantee.go
@@ -3,24 +3,25 @@
 
 import "github.com/carobknot/carobknot/pkg/carobkind"
 
-// Guarantee is the guarantee of a profile or route about the runs of a call.
+// Guarantee is the limit that a profile or route sets on the runs of a call.
 type Guarantee string
 
 // The guarantees.
 const (
-	// Idempotent: the call is idempotent and may run more than once.
+	// Idempotent means that the call is idempotent and may run more than once.
 	Idempotent Guarantee = "no"
-	// OncePerCall: each call runs at most once.
+	// OncePerCall means that each call runs at most once.
 	OncePerCall Guarantee = "call"
-	// OncePerKey: all calls with one idempotency key together run at most once.
+	// OncePerKey means that all calls with one idempotency key together run at most
+	// once.
 	OncePerKey Guarantee = "key"
 )
 
 // UnmarshalText decodes a guarantee. It returns an Invalid error for any other text.
-func (o *Guarantee) UnmarshalText(text []byte) error {
+func (g *Guarantee) UnmarshalText(text []byte) error {
 	switch guarantee := Guarantee(text); guarantee {
 	case Idempotent, OncePerCall, OncePerKey:
-		*o = guarantee
+		*g = guarantee
 		return nil
 	default:
 		return carobkind.New(carobkind.Invalid, "once %q is none of \"no\", \"call\" and \"key\"", text)
--- a/pkg/carobrate/rate.go
+++ b/pkg/carobrate/rate.go
@@ -9,7 +9,8 @@
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
 
-// Rate is a number of bytes per second, encoded such as "2KiB/s".
+// Rate is a number of bytes per second that is encoded with its unit, such as
+// "2KiB/s".
 type Rate float64
 
 const perSecond = "/s"
--- a/pkg/carobrequirements/requirements.go
+++ b/pkg/carobrequirements/requirements.go
@@ -1,5 +1,5 @@
-// Package carobrequirements defines the attributes of a call by which a target's node orders
-// its queue.
+// Package carobrequirements defines the attributes of a call by which a target's
+// node orders its queue.
 package carobrequirements
 
 import (
@@ -9,15 +9,15 @@
 	"github.com/carobknot/carobknot/pkg/carobrequestid"
 )
 
-// Requirements is sent with each attempt. The target's node uses it to decide which queued
-// job to start first and which to shed.
+// Requirements is sent with each attempt. The target's node uses it to decide
+// which queued job to start first and which to shed.
 type Requirements struct {
 	// Request is the caller's ID of the request; empty if it sent none.
 	Request carobrequestid.ID
 	// Priority is the priority of the call; 0 is the highest.
 	Priority int
-	// SLOTimeLeft is the time left until the SLO of the call is missed, negative if it has
-	// been missed; 0 if the call has no SLO.
+	// SLOTimeLeft is the time left until the SLO of the call is missed, negative if
+	// it has been missed; 0 if the call has no SLO.
 	SLOTimeLeft time.Duration
 	// SLO is the SLO of the call, counted from its arrival at the entry node; 0 if
 	// the call has none.
--- a/pkg/carobretrylimits/retrylimits.go
+++ b/pkg/carobretrylimits/retrylimits.go
@@ -3,8 +3,8 @@
 
 import "github.com/carobknot/carobknot/pkg/carobshare"
 
-// RetryLimits limits the retries and hedges that reach the targets of a service, in total
-// over all nodes.
+// RetryLimits limits the retries and hedges that reach the targets of a service,
+// in total over all nodes.
 type RetryLimits struct {
 	// TokensPerCall is the number of tokens that each call adds to the retry budget.
 	TokensPerCall carobshare.Share `json:"share"`
@@ -19,8 +19,8 @@
 	return RetryLimits{TokensPerCall: 0.045, ClusterTokens: 1000, NodeTokens: 3}
 }
 
-// MaxTokens returns the largest number of tokens that a node may hold in a cluster of this
-// many nodes.
+// MaxTokens returns the largest number of tokens that a node may hold in a
+// cluster of this many nodes.
 func (r RetryLimits) MaxTokens(nodes int) float64 {
 	return min(r.NodeTokens, r.ClusterTokens/float64(max(nodes, 1)))
 }
--- a/pkg/carobsend/send.go
+++ b/pkg/carobsend/send.go
@@ -18,13 +18,15 @@
 	Target carobtargetid.ID
 	// PeerAddress is the address of the target's node; empty if that is this node.
 	PeerAddress carobaddress.Address
-	// Incarnation is that of the target's node; another incarnation refuses the job.
+	// Incarnation is the incarnation of the target's node. Another incarnation
+	// refuses the job.
 	Incarnation carobincarnation.Incarnation
 	// TimeLeft is the time left until the deadline of the call.
 	TimeLeft time.Duration
 	// Guarantee is how often the call may run.
 	Guarantee carobguarantee.Guarantee
-	// Requirements holds the priority and the SLO, by which the target's node orders its queue.
+	// Requirements holds the priority and the SLO, by which the target's node orders
+	// its queue.
 	Requirements carobrequirements.Requirements
 	// Traceparent is the W3C traceparent header for the target's node.
 	Traceparent string
--- a/pkg/carobspancontext/spancontext.go
+++ b/pkg/carobspancontext/spancontext.go
@@ -1,5 +1,6 @@
-// Package carobspancontext encodes and decodes the traceparent header of the W3C
-// recommendation "Trace Context", which calls carry from hop to hop.
+// Package carobspancontext encodes and decodes the traceparent header, which calls
+// carry from hop to hop. Its format is defined by the W3C recommendation "Trace
+// Context".
 package carobspancontext
 
 import (
@@ -30,30 +31,30 @@
 
 // NewSpanContext returns the root span of a new trace, sampled.
 func NewSpanContext(random *rand.Rand) SpanContext {
-	parent := SpanContext{Flags: sampledFlag}
-	for parent.TraceID == [16]byte{} {
-		binary.BigEndian.PutUint64(parent.TraceID[:8], random.Uint64())
-		binary.BigEndian.PutUint64(parent.TraceID[8:], random.Uint64())
+	trace := SpanContext{Flags: sampledFlag}
+	for trace.TraceID == [16]byte{} {
+		binary.BigEndian.PutUint64(trace.TraceID[:8], random.Uint64())
+		binary.BigEndian.PutUint64(trace.TraceID[8:], random.Uint64())
 	}
-	return parent.Child(random)
+	return trace.Child(random)
 }
 
 // Child returns a span with a new random ID in the same trace.
-func (p SpanContext) Child(random *rand.Rand) SpanContext {
-	p.SpanID = [8]byte{}
-	for p.SpanID == [8]byte{} {
-		binary.BigEndian.PutUint64(p.SpanID[:], random.Uint64())
+func (c SpanContext) Child(random *rand.Rand) SpanContext {
+	c.SpanID = [8]byte{}
+	for c.SpanID == [8]byte{} {
+		binary.BigEndian.PutUint64(c.SpanID[:], random.Uint64())
 	}
-	return p
+	return c
 }
 
 // String returns the header value in version 00.
-func (p SpanContext) String() string {
+func (c SpanContext) String() string {
 	b := make([]byte, 0, headerLength)
 	b = append(b, version+separator...)
-	b = append(hex.AppendEncode(b, p.TraceID[:]), separator...)
-	b = append(hex.AppendEncode(b, p.SpanID[:]), separator...)
-	return string(hex.AppendEncode(b, []byte{p.Flags}))
+	b = append(hex.AppendEncode(b, c.TraceID[:]), separator...)
+	b = append(hex.AppendEncode(b, c.SpanID[:]), separator...)
+	return string(hex.AppendEncode(b, []byte{c.Flags}))
 }
 
 // Parse decodes a header value and keeps only the sampled flag. It returns false if
@@ -68,13 +69,13 @@
 	if parts[0] == version && len(text) != headerLength {
 		return SpanContext{}, false
 	}
-	var parent SpanContext
+	var decoded SpanContext
 	var flags [1]byte
-	if !decodeHex(parent.TraceID[:], parts[1]) || !decodeHex(parent.SpanID[:], parts[2]) || !decodeHex(flags[:], parts[3]) {
+	if !decodeHex(decoded.TraceID[:], parts[1]) || !decodeHex(decoded.SpanID[:], parts[2]) || !decodeHex(flags[:], parts[3]) {
 		return SpanContext{}, false
 	}
-	parent.Flags = flags[0] & sampledFlag
-	return parent, parent.TraceID != [16]byte{} && parent.SpanID != [8]byte{}
+	decoded.Flags = flags[0] & sampledFlag
+	return decoded, decoded.TraceID != [16]byte{} && decoded.SpanID != [8]byte{}
 }
 
 // decodeHex fills into from lower-case hexadecimal digits, and reports whether the
--- a/pkg/carobstage/stage.go
+++ b/pkg/carobstage/stage.go
@@ -7,16 +7,16 @@
 // The stages, in order. Waiting is the zero value, because most calls need no
 // idempotency key and start there.
 const (
-	// Claiming: the call waits until its idempotency key is granted.
+	// Claiming means that the call waits until its idempotency key is granted.
 	Claiming Stage = iota - 1
-	// Waiting: the call waits until a target is chosen for the next attempt.
+	// Waiting means that the call waits until a target is chosen for the next attempt.
 	Waiting
-	// Attempting: at least one attempt is open.
+	// Attempting means that at least one attempt is open.
 	Attempting
-	// Fencing: fences are sent to find out whether the attempts ran.
+	// Fencing means that fences are sent to find out whether the attempts ran.
 	Fencing
-	// Delivering: an answer is being forwarded to the caller.
+	// Delivering means that an answer is being forwarded to the caller.
 	Delivering
-	// Concluded: the caller has its response.
+	// Concluded means that the caller has its response.
 	Concluded
 )
--- a/pkg/carobstoredanswer/storedanswer.go
+++ b/pkg/carobstoredanswer/storedanswer.go
@@ -1,8 +1,8 @@
-// Package carobstoredanswer defines the answers that are stored for later calls with the same
-// idempotency key.
+// Package carobstoredanswer defines the answers that are stored for later calls
+// with the same idempotency key.
 package carobstoredanswer
 
-// MaxBody is the length in bytes of the longest body that is stored.
+// MaxBody is the maximum length of a stored body, in bytes.
 const MaxBody = 4 << 10
 
 // StoredAnswer is a complete answer of a target.
@@ -11,6 +11,6 @@
 	Status int `json:"status"`
 	// Type is the content type; empty if the answer had none.
 	Type string `json:"type,omitempty"`
-	// Body is at most MaxBody bytes long.
+	// Body is the body, of at most MaxBody bytes.
 	Body []byte `json:"body,omitempty"`
 }
