--- a/pkg/carobclaiming/system.go
+++ b/pkg/carobclaiming/system.go
@@ -395,7 +395,8 @@
 	return peer != nil && call.Incarnation < peer.Member.Incarnation
 }
 
-// confirmSettlement notifies the entry node that a settlement needs no resending.
+// confirmSettlement notifies the entry node, so that it stops resending a
+// settlement.
 func confirmSettlement(world *carobworld.World, replyTo carobaddress.Address, settlement carobsettlement.Settlement) {
 	world.SendMessage(carobmessage.Message{To: replyTo, Settled: &settlement.Claim.Call})
 }
