--- a/test/fuzz/admission_test.go
+++ b/test/fuzz/admission_test.go
@@ -10,98 +10,102 @@
 	"github.com/carobknot/carobknot/pkg/carobstart"
 )
 
-// task is an offer at the node of its target.
-type task struct {
-	offer   caroboffer.Offer
-	body    string
+// targetJob is a job at the node of its target, from the offer to the reply.
+type targetJob struct {
+	offer caroboffer.Offer
+	body  string
+	// respond sends the reply to the entry node.
 	respond func(kind carobkind.Kind, status int, body string)
 	started bool
 	done    bool
 }
 
-// carryJobs carries out what was decided on jobs.
-func (n *node) carryJobs(out *caroboutbox.Outbox) {
-	for _, rp := range out.Reports {
-		n.reports[rp.Target] = rp
+// applyJobEffects carries out the effects of a tick that concern jobs.
+func (n *node) applyJobEffects(out *caroboutbox.Outbox) {
+	for _, report := range out.Reports {
+		n.reports[report.Target] = report
 	}
-	for _, rf := range out.Refusals {
-		if tk := n.tasks[rf.Job]; tk != nil && !tk.started {
-			n.do(localTime, func() { n.answer(tk, rf.Kind, 0, "") })
+	for _, refusal := range out.Refusals {
+		if job := n.jobs[refusal.Job]; job != nil && !job.started {
+			n.after(localDelay, func() { n.replyToEntry(job, refusal.Kind, 0, "") })
 		}
 	}
-	for _, st := range out.Starts {
-		if tk := n.tasks[st.Job]; tk != nil {
-			tk.started = true
-			n.do(n.s.jitter(localTime), func() { n.run(tk, st) })
+	for _, start := range out.Starts {
+		if job := n.jobs[start.Job]; job != nil {
+			job.started = true
+			n.after(n.sim.jitter(localDelay), func() { n.runJob(job, start) })
 		}
 	}
 }
 
-// offer hands a job to the control goroutine of the target's node.
-func (n *node) offer(of caroboffer.Offer, body string, reply replier) {
-	n.accept(of, body, reply)
+// offerLocally offers a job to this node, which is also the entry node.
+func (n *node) offerLocally(offer caroboffer.Offer, body string, reply replyFunc) {
+	n.acceptOffer(offer, body, reply)
 }
 
-// accept returns the task, so that the entry can give it up.
-func (n *node) accept(of caroboffer.Offer, body string, reply replier) *task {
-	tk := &task{offer: of, body: body, respond: func(kind carobkind.Kind, status int, body string) {
+// acceptOffer passes an offer to the control goroutine. It returns the job, so that the
+// entry node can cancel it.
+func (n *node) acceptOffer(offer caroboffer.Offer, body string, reply replyFunc) *targetJob {
+	job := &targetJob{offer: offer, body: body, respond: func(kind carobkind.Kind, status int, body string) {
 		var report *carobreport.Report
-		if rp, ok := n.reports[of.Target]; ok {
+		if rp, ok := n.reports[offer.Target]; ok {
 			report = &rp
 		}
 		reply(kind, status, report, body)
 	}}
-	n.tasks[of.Job] = tk
-	n.post(func(in *carobinbox.Inbox) { in.Offers = append(in.Offers, of) })
-	n.do(of.TimeLeft, func() {
-		if !tk.done {
-			n.finish(tk, carobkind.Cancelled, 0)
-			n.answer(tk, carobkind.ConnectionLost, 0, "")
+	n.jobs[offer.Job] = job
+	n.enqueue(func(in *carobinbox.Inbox) { in.Offers = append(in.Offers, offer) })
+	n.after(offer.TimeLeft, func() {
+		if !job.done {
+			n.finishJob(job, carobkind.Cancelled, 0)
+			n.replyToEntry(job, carobkind.ConnectionLost, 0, "")
 		}
 	})
-	return tk
+	return job
 }
 
-// abandon ends a task whose entry has hung up.
-func (n *node) abandon(tk *task) {
-	n.finish(tk, carobkind.Cancelled, 0)
-	n.answer(tk, carobkind.Cancelled, 0, "")
+// cancelJob ends a job whose entry node has cancelled the attempt.
+func (n *node) cancelJob(job *targetJob) {
+	n.finishJob(job, carobkind.Cancelled, 0)
+	n.replyToEntry(job, carobkind.Cancelled, 0, "")
 }
 
-// run sends a started job to its target.
-func (n *node) run(tk *task, st carobstart.Start) {
-	tg := n.s.targetAt(st.Address)
-	if tk.done {
+// runJob sends a started job to its target.
+func (n *node) runJob(job *targetJob, start carobstart.Start) {
+	target := n.sim.targetAt(start.Address)
+	if job.done {
 		return
 	}
-	if tg.down {
-		n.finish(tk, carobkind.Unreachable, 0)
-		n.answer(tk, carobkind.Unreachable, 0, "")
+	if target.down {
+		n.finishJob(job, carobkind.Unreachable, 0)
+		n.replyToEntry(job, carobkind.Unreachable, 0, "")
 		return
 	}
-	tg.run(st.Job.Call.String(), tk.body, func(status int, body string) {
-		n.do(localTime, func() {
-			n.finish(tk, carobkind.None, status)
-			n.answer(tk, carobkind.None, status, body)
+	target.run(start.Job.Call.String(), job.body, func(status int, body string) {
+		n.after(localDelay, func() {
+			n.finishJob(job, carobkind.None, status)
+			n.replyToEntry(job, carobkind.None, status, body)
 		})
 	})
 }
 
-func (n *node) finish(tk *task, kind carobkind.Kind, status int) {
-	if !tk.done {
-		n.post(func(in *carobinbox.Inbox) {
-			in.Finishes = append(in.Finishes, carobfinish.Finish{Job: tk.offer.Job, Kind: kind, Status: status})
+// finishJob reports the end of a job to the control goroutine, once.
+func (n *node) finishJob(job *targetJob, kind carobkind.Kind, status int) {
+	if !job.done {
+		n.enqueue(func(in *carobinbox.Inbox) {
+			in.Finishes = append(in.Finishes, carobfinish.Finish{Job: job.offer.Job, Kind: kind, Status: status})
 		})
 	}
 }
 
-func (n *node) answer(tk *task, kind carobkind.Kind, status int, body string) {
-	if tk.done {
+// replyToEntry sends the reply of a job to its entry node, once.
+func (n *node) replyToEntry(job *targetJob, kind carobkind.Kind, status int, body string) {
+	if job.done {
 		return
 	}
-	tk.done = true
-	if n.tasks[tk.offer.Job] == tk {
-		delete(n.tasks, tk.offer.Job)
+	job.done = true
+	if n.jobs[job.offer.Job] == job {
+		delete(n.jobs, job.offer.Job)
 	}
-	tk.respond(kind, status, body)
+	job.respond(kind, status, body)
 }
--- a/test/fuzz/claims_test.go
+++ b/test/fuzz/claims_test.go
@@ -13,60 +13,62 @@
 	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 )
 
-// carryClaims does what the claim log does with the effects of a tick.
-func (n *node) carryClaims(out *caroboutbox.Outbox) {
-	for _, fl := range out.Subscriptions {
-		n.follows[fl.Stream]++
-		if fl.Active {
-			n.follow(fl.Stream, 0, n.follows[fl.Stream])
+// applyClaimEffects carries out the effects of a tick that concern the claim streams:
+// subscriptions, and appends that are not retried.
+func (n *node) applyClaimEffects(out *caroboutbox.Outbox) {
+	for _, subscription := range out.Subscriptions {
+		n.subscriptionOrders[subscription.Stream]++
+		if subscription.Active {
+			n.readSubscription(subscription.Stream, 0, n.subscriptionOrders[subscription.Stream])
 		}
 	}
-	for _, cm := range out.AppendRequests {
-		n.commit(cm)
+	for _, request := range out.AppendRequests {
+		n.appendOnce(request)
 	}
 }
 
-// follow reads a stream until another order for it came. What was read before
-// that may still come after it.
-func (n *node) follow(stream carobstream.Stream, next caroboffset.Offset, order int) {
-	lg := n.s.log
-	n.do(n.s.jitter(hopTime)+lg.slow, func() {
-		if n.follows[stream] != order {
+// readSubscription reads a stream until a newer order for the stream is given. Records
+// that were read before the newer order may still arrive after it.
+func (n *node) readSubscription(stream carobstream.Stream, next caroboffset.Offset, order int) {
+	log := n.sim.log
+	n.after(n.sim.jitter(networkDelay)+log.extraDelay, func() {
+		if n.subscriptionOrders[stream] != order {
 			return
 		}
-		if lg.out {
-			n.do(retryPause, func() { n.follow(stream, next, order) })
+		if log.unavailable {
+			n.after(retryDelay, func() { n.readSubscription(stream, next, order) })
 			return
 		}
-		st := lg.of(stream)
-		from := max(next, st.first)
-		records := slices.Clone(st.records[from-st.first:])
+		stored := log.stream(stream)
+		from := max(next, stored.first)
+		records := slices.Clone(stored.records[from-stored.first:])
 		for i := range records {
 			records[i].Stream = stream
 		}
-		mark := carobstreambounds.StreamBounds{Stream: stream, First: st.first, Next: from + caroboffset.Offset(len(records))}
+		bounds := carobstreambounds.StreamBounds{Stream: stream, First: stored.first, Next: from + caroboffset.Offset(len(records))}
 		if len(records) > 0 {
-			n.do(n.s.jitter(hopTime), func() {
-				n.post(func(in *carobinbox.Inbox) {
-					in.Records, in.StreamBounds = append(in.Records, records...), append(in.StreamBounds, mark)
+			n.after(n.sim.jitter(networkDelay), func() {
+				n.enqueue(func(in *carobinbox.Inbox) {
+					in.Records, in.StreamBounds = append(in.Records, records...), append(in.StreamBounds, bounds)
 				})
-				n.follow(stream, mark.Next, order)
+				n.readSubscription(stream, bounds.Next, order)
 			})
 			return
 		}
-		n.do(tailPause, func() { n.follow(stream, mark.Next, order) })
+		n.after(pollInterval, func() { n.readSubscription(stream, bounds.Next, order) })
 	})
 }
 
-// commit appends once and tells how that went.
-func (n *node) commit(cm carobappendrequest.AppendRequest) {
-	n.s.appendLog(cm.Stream, cm.Data, func(sure bool) {
-		cd := carobappendresult.AppendResult{Stream: cm.Stream, Number: cm.Number}
+// appendOnce appends a record without retries and reports the result to the control
+// goroutine.
+func (n *node) appendOnce(request carobappendrequest.AppendRequest) {
+	n.sim.appendLog(request.Stream, request.Data, func(sure bool) {
+		result := carobappendresult.AppendResult{Stream: request.Stream, Number: request.Number}
 		if !sure {
-			cd.Kind = carobkind.AppendUncertain
+			result.Kind = carobkind.AppendUncertain
 		}
-		n.do(0, func() {
-			n.post(func(in *carobinbox.Inbox) { in.AppendResults = append(in.AppendResults, cd) })
+		n.after(0, func() {
+			n.enqueue(func(in *carobinbox.Inbox) { in.AppendResults = append(in.AppendResults, result) })
 		})
 	})
 }
--- a/test/fuzz/decoders_test.go
+++ b/test/fuzz/decoders_test.go
@@ -28,11 +28,11 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Each decoder takes any bytes without a panic, and what it accepts keeps its
-// meaning when it is encoded and decoded again.
+// The tests of this file feed arbitrary bytes to each decoder. It must not panic, and
+// what it accepts must not change when it is encoded and decoded again.
 
-// again checks that a value survives its own JSON.
-func again[T any](t *testing.T, value T) {
+// checkRoundTrip checks that encoding a value as JSON and decoding it yields the same value.
+func checkRoundTrip[T any](t *testing.T, value T) {
 	t.Helper()
 	data, err := json.Marshal(value)
 	require.NoError(t, err, "%+v", value)
@@ -43,7 +43,7 @@
 	require.JSONEq(t, string(data), string(repeated))
 }
 
-const changeText = `{"id":"a1","profile":{"name":"payouts","once":"key","deadline":"2s","hedge":"99%","keep":"64KiB","base":3},"who":"op","when":"2026-01-02T03:04:05Z"}`
+const changeJSON = `{"id":"a1","profile":{"name":"payouts","once":"key","deadline":"2s","hedge":"99%","keep":"64KiB","base":3},"who":"op","when":"2026-01-02T03:04:05Z"}`
 
 func FuzzProfile(f *testing.F) {
 	files, err := filepath.Glob("../../examples/profiles/*.json")
@@ -57,10 +57,10 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var pf carobprofile.Profile
-		if carobdocument.NewDocument(carobdocument.Config{Name: "p", Data: data}).Decode(&pf) == nil {
-			require.NoError(t, pf.Check())
-			again(t, pf)
+		var profile carobprofile.Profile
+		if carobdocument.NewDocument(carobdocument.Config{Name: "p", Data: data}).Decode(&profile) == nil {
+			require.NoError(t, profile.Check())
+			checkRoundTrip(t, profile)
 		}
 	})
 }
@@ -70,9 +70,9 @@
 	f.Add([]byte(`{"name":"A"}`))
 	f.Add([]byte(`{"limits":{"calls":-1}} // comment`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if st, err := carobsettings.Parse("s", data); err == nil {
-			require.NoError(t, st.Name.Check())
-			again(t, st)
+		if settings, err := carobsettings.Parse("s", data); err == nil {
+			require.NoError(t, settings.Name.Check())
+			checkRoundTrip(t, settings)
 		}
 	})
 }
@@ -98,8 +98,8 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		target := carobtargetid.ID{Service: "a", Name: "b"}
-		if rp := carobheader.ParseReport(target, text); rp != nil {
-			require.Equal(t, rp, carobheader.ParseReport(target, carobheader.FormatReport(*rp)))
+		if report := carobheader.ParseReport(target, text); report != nil {
+			require.Equal(t, report, carobheader.ParseReport(target, carobheader.FormatReport(*report)))
 		}
 	})
 }
@@ -108,57 +108,57 @@
 	f.Add([]byte(`{"address":"127.0.0.1:80","profile":"lookups","slots":12,"conns":200,"state":"leaving"}`))
 	f.Add([]byte(`{"address":"","profile":"-"}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var an carobannouncement.Announcement
-		if json.Unmarshal(data, &an) == nil {
-			again(t, an)
+		var announcement carobannouncement.Announcement
+		if json.Unmarshal(data, &announcement) == nil {
+			checkRoundTrip(t, announcement)
 		}
 	})
 }
 
-// Records of the log: changes, snapshots and nodes.
+// FuzzRecord decodes records of the log: changes, snapshots and members.
 func FuzzRecord(f *testing.F) {
-	f.Add([]byte(changeText))
-	f.Add([]byte(`{"through":9,"revisions":[{"change":` + changeText + `,"offset":4}]}`))
+	f.Add([]byte(changeJSON))
+	f.Add([]byte(`{"through":9,"revisions":[{"change":` + changeJSON + `,"offset":4}]}`))
 	f.Add([]byte(`{"node":"n1","incarnation":7,"region":"r","centre":"c","peer":"10.0.0.1:7","targets":[{"id":"a/b","node":"n1","slots":1,"state":"ready"}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var ch carobchange.Change
-		if json.Unmarshal(data, &ch) == nil {
-			require.NoError(t, ch.Check())
-			again(t, ch)
+		var change carobchange.Change
+		if json.Unmarshal(data, &change) == nil {
+			require.NoError(t, change.Check())
+			checkRoundTrip(t, change)
 		}
-		var sn carobsnapshot.Snapshot
-		if json.Unmarshal(data, &sn) == nil && sn.Check() == nil {
-			again(t, sn)
+		var snapshot carobsnapshot.Snapshot
+		if json.Unmarshal(data, &snapshot) == nil && snapshot.Check() == nil {
+			checkRoundTrip(t, snapshot)
 		}
-		var mb carobmember.Member
-		if json.Unmarshal(data, &mb) == nil && mb.Check() == nil {
-			again(t, mb)
+		var member carobmember.Member
+		if json.Unmarshal(data, &member) == nil && member.Check() == nil {
+			checkRoundTrip(t, member)
 		}
 	})
 }
 
-// Messages between nodes, as CBOR.
+// FuzzMessage decodes CBOR messages between nodes.
 func FuzzMessage(f *testing.F) {
 	codec, err := carobcodec.NewCodec()
 	require.NoError(f, err)
 	base := carobmessage.Message{From: "n1", Incarnation: 7, ReplyTo: "10.0.0.1:7"}
-	gossip, supply := base, base
+	gossip, fetchReply := base, base
 	gossip.Gossip = &carobgossip.Gossip{Members: []carobmember.Member{{Node: "n2", Region: "r", Centre: "c", PeerAddress: "10.0.0.2:7", Targets: []carobtarget.Target{
 		{ID: carobtargetid.ID{Service: "a", Name: "b"}, Node: "n2", Profile: "a", Slots: 1, Connections: 1, Readiness: carobreadiness.Ready},
 	}}}}
-	supply.FetchReply = &carobfetchreply.FetchReply{Snapshot: &carobsnapshot.Snapshot{LastOffset: 3}}
-	for _, ms := range []carobmessage.Message{base, gossip, supply, everything()} {
-		data, err := codec.Marshal(ms)
+	fetchReply.FetchReply = &carobfetchreply.FetchReply{Snapshot: &carobsnapshot.Snapshot{LastOffset: 3}}
+	for _, message := range []carobmessage.Message{base, gossip, fetchReply, fullMessage()} {
+		data, err := codec.Marshal(message)
 		require.NoError(f, err)
 		f.Add(data)
 	}
 	f.Add([]byte{0xbf, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var ms, copied carobmessage.Message
-		if codec.Unmarshal(data, &ms) != nil || ms.Check() != nil {
+		var message, copied carobmessage.Message
+		if codec.Unmarshal(data, &message) != nil || message.Check() != nil {
 			return
 		}
-		encoded, err := codec.Marshal(ms)
+		encoded, err := codec.Marshal(message)
 		require.NoError(t, err)
 		require.NoError(t, codec.Unmarshal(encoded, &copied))
 		repeated, err := codec.Marshal(copied)
@@ -167,15 +167,15 @@
 	})
 }
 
-// everything returns a message with a zero value of each kind of content, those
-// that do not exist yet included.
-func everything() carobmessage.Message {
-	ms := carobmessage.Message{From: "n1", ReplyTo: carobaddress.Address("10.0.0.1:7")}
-	v := reflect.ValueOf(&ms).Elem()
-	for i := range v.NumField() {
-		if field := v.Field(i); field.Kind() == reflect.Pointer {
+// fullMessage returns a message with a zero value in every pointer field. It uses
+// reflection so that fields added later are covered too.
+func fullMessage() carobmessage.Message {
+	message := carobmessage.Message{From: "n1", ReplyTo: carobaddress.Address("10.0.0.1:7")}
+	value := reflect.ValueOf(&message).Elem()
+	for i := range value.NumField() {
+		if field := value.Field(i); field.Kind() == reflect.Pointer {
 			field.Set(reflect.New(field.Type().Elem()))
 		}
 	}
-	return ms
+	return message
 }
--- a/test/fuzz/entry_test.go
+++ b/test/fuzz/entry_test.go
@@ -19,56 +19,61 @@
 	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
-// exchange is a call at its entry.
-type exchange struct {
-	arrival  carobarrival.Arrival
-	body     string
+// entryCall is a call at its entry node.
+type entryCall struct {
+	arrival carobarrival.Arrival
+	body    string
+	// attempts is keyed by the number of the attempt, from 1.
 	attempts map[int]*attempt
 }
 
-// attempt is one sending of a call, until its reply.
+// attempt is one sending of a call.
 type attempt struct {
-	peer int
-	over bool
-	body string
+	// place is that of the target's node.
+	place int
+	// ended is true once the entry node has the reply.
+	ended    bool
+	response string
+	// fail ends the attempt with an error.
 	fail func(kind carobkind.Kind)
-	// hangUp tells the other end that nobody wants the answer; nil if it has
-	// nothing yet.
-	hangUp func()
+	// cancel cancels the job at the target's node; nil as long as the offer has not
+	// arrived there.
+	cancel func()
 }
 
-// drop gives an attempt up.
-func (a *attempt) drop() {
-	if !a.over && a.hangUp != nil {
-		a.hangUp()
+// abort cancels an attempt: it closes the connection, and the entry node ends the attempt.
+func (a *attempt) abort() {
+	if !a.ended && a.cancel != nil {
+		a.cancel()
 	}
 	a.fail(carobkind.ConnectionLost)
 }
 
-// carryCalls carries out what was decided on calls.
-func (n *node) carryCalls(out *caroboutbox.Outbox) {
-	for _, sd := range out.Sends {
-		if x := n.calls[sd.Job.Call]; x != nil {
-			n.send(x, sd)
+// applyCallEffects carries out the effects of a tick that concern calls.
+func (n *node) applyCallEffects(out *caroboutbox.Outbox) {
+	for _, send := range out.Sends {
+		if call := n.calls[send.Job.Call]; call != nil {
+			n.sendAttempt(call, send)
 		}
 	}
 	for _, job := range out.Cancels {
-		if x := n.calls[job.Call]; x != nil && x.attempts[job.Attempt] != nil {
-			n.do(localTime, x.attempts[job.Attempt].drop)
+		if call := n.calls[job.Call]; call != nil && call.attempts[job.Attempt] != nil {
+			n.after(localDelay, call.attempts[job.Attempt].abort)
 		}
 	}
-	for _, cn := range out.Conclusions {
-		if x := n.calls[cn.Call]; x != nil {
-			n.conclude(x, cn)
+	for _, conclusion := range out.Conclusions {
+		if call := n.calls[conclusion.Call]; call != nil {
+			n.conclude(call, conclusion)
 			continue
 		}
-		n.s.oracle.again(cn.Call.String())
+		n.sim.oracle.concludedAgain(conclusion.Call.String())
 	}
 }
 
-// call takes a call from a caller.
-func (n *node) call(service int, key string, patience time.Duration) {
-	if n.ending {
+// startCall sends a call to the node as a caller does. A timeout of 0 leaves the deadline
+// to the profile.
+func (n *node) startCall(service int, key string, timeout time.Duration) {
+	if n.exiting {
 		return // the listener is closed
 	}
 	n.sequence++
@@ -77,145 +82,149 @@
 	if key != "" {
 		body = "body of " + key
 	}
-	sv := services[service]
-	x := &exchange{body: body, attempts: map[int]*attempt{}, arrival: carobarrival.Arrival{
-		Call: id, Service: sv.name, Timeout: patience, Key: key,
+	profile := services[service]
+	call := &entryCall{body: body, attempts: map[int]*attempt{}, arrival: carobarrival.Arrival{
+		Call: id, Service: profile.name, Timeout: timeout, Key: key,
 	}}
-	n.s.oracle.came(id.String(), history{service: string(sv.name), once: sv.once, key: key, body: body})
-	n.calls[id] = x
-	n.post(func(in *carobinbox.Inbox) { in.Arrivals = append(in.Arrivals, x.arrival) })
+	n.sim.oracle.callArrived(id.String(), callHistory{service: string(profile.name), guarantee: profile.guarantee, key: key, body: body})
+	n.calls[id] = call
+	n.enqueue(func(in *carobinbox.Inbox) { in.Arrivals = append(in.Arrivals, call.arrival) })
 }
 
-// hangUp has a caller go away.
-func (n *node) hangUp(x *exchange) {
-	if n.calls[x.arrival.Call] != x {
+// disconnect closes the connection of a caller that waits for its response.
+func (n *node) disconnect(call *entryCall) {
+	if n.calls[call.arrival.Call] != call {
 		return
 	}
-	n.s.oracle.told(x.arrival.Call.String(), "gone", "")
-	delete(n.calls, x.arrival.Call)
-	n.post(func(in *carobinbox.Inbox) { in.Disconnects = append(in.Disconnects, x.arrival.Call) })
-	for number := range len(x.attempts) {
-		x.attempts[number+1].drop()
+	n.sim.oracle.callEnded(call.arrival.Call.String(), "gone", "")
+	delete(n.calls, call.arrival.Call)
+	n.enqueue(func(in *carobinbox.Inbox) { in.Disconnects = append(in.Disconnects, call.arrival.Call) })
+	for number := range len(call.attempts) {
+		call.attempts[number+1].abort()
 	}
 }
 
-// conclude tells the caller how its call ended.
-func (n *node) conclude(x *exchange, cn carobconclusion.Conclusion) {
-	call := x.arrival.Call
-	delete(n.calls, call)
-	if cn.Kind != carobkind.None {
-		n.s.kinds[cn.Kind]++
-		n.s.oracle.told(call.String(), string(cn.Kind.Outcome()), "")
+// conclude sends the response or the error to the caller.
+func (n *node) conclude(call *entryCall, conclusion carobconclusion.Conclusion) {
+	id := call.arrival.Call
+	delete(n.calls, id)
+	if conclusion.Kind != carobkind.None {
+		n.sim.kinds[conclusion.Kind]++
+		n.sim.oracle.callEnded(id.String(), string(conclusion.Kind.Outcome()), "")
 		return
 	}
-	if cn.StoredAnswer != nil {
-		n.s.oracle.told(call.String(), "answered", string(cn.StoredAnswer.Body))
+	if conclusion.StoredAnswer != nil {
+		n.sim.oracle.callEnded(id.String(), "answered", string(conclusion.StoredAnswer.Body))
 		return
 	}
-	at := x.attempts[cn.Attempt]
-	if at == nil || at.body == "" {
-		n.s.oracle.complain("call %s is concluded with attempt %d, which has no answer", call, cn.Attempt)
+	attempt := call.attempts[conclusion.Attempt]
+	if attempt == nil || attempt.response == "" {
+		n.sim.oracle.recordViolation("call %s is concluded with the answer of attempt %d, which has none", id, conclusion.Attempt)
 		return
 	}
-	n.s.oracle.told(call.String(), "answered", strings.Clone(at.body))
-	n.post(func(in *carobinbox.Inbox) {
+	n.sim.oracle.callEnded(id.String(), "answered", strings.Clone(attempt.response))
+	n.enqueue(func(in *carobinbox.Inbox) {
 		in.Deliveries = append(in.Deliveries, carobdelivery.Delivery{
-			Job: carobjobid.ID{Call: call, Attempt: cn.Attempt}, StoredAnswer: &carobstoredanswer.StoredAnswer{Body: []byte(at.body)},
+			Job: carobjobid.ID{Call: id, Attempt: conclusion.Attempt}, StoredAnswer: &carobstoredanswer.StoredAnswer{Body: []byte(attempt.response)},
 		})
 	})
 }
 
-// send carries an attempt to the target's node and its reply back.
-func (n *node) send(x *exchange, sd carobsend.Send) {
-	at := &attempt{peer: n.place}
-	x.attempts[sd.Job.Attempt] = at
-	reply := func(kind carobkind.Kind, status int, rp *carobreport.Report, body string) {
-		if at.over {
+// sendAttempt sends an attempt to the target's node and its reply back to the control
+// goroutine.
+func (n *node) sendAttempt(call *entryCall, send carobsend.Send) {
+	sent := &attempt{place: n.place}
+	call.attempts[send.Job.Attempt] = sent
+	reply := func(kind carobkind.Kind, status int, report *carobreport.Report, body string) {
+		if sent.ended {
 			return
 		}
-		at.over, at.body = true, body
-		n.do(0, func() {
-			n.post(func(in *carobinbox.Inbox) {
-				in.Replies = append(in.Replies, carobreply.Reply{Job: sd.Job, Kind: kind, Status: status, Report: rp})
+		sent.ended, sent.response = true, body
+		n.after(0, func() {
+			n.enqueue(func(in *carobinbox.Inbox) {
+				in.Replies = append(in.Replies, carobreply.Reply{Job: send.Job, Kind: kind, Status: status, Report: report})
 			})
 		})
 	}
-	at.fail = func(kind carobkind.Kind) { reply(kind, 0, nil, "") }
-	of := caroboffer.Offer{
-		Job: sd.Job, Target: sd.Target, Incarnation: sd.Incarnation, TimeLeft: sd.TimeLeft, Key: x.arrival.Key,
+	sent.fail = func(kind carobkind.Kind) { reply(kind, 0, nil, "") }
+	offer := caroboffer.Offer{
+		Job: send.Job, Target: send.Target, Incarnation: send.Incarnation, TimeLeft: send.TimeLeft, Key: call.arrival.Key,
 	}
-	if sd.PeerAddress == "" {
-		n.offer(of, x.body, reply)
+	if send.PeerAddress == "" {
+		n.offerLocally(offer, call.body, reply)
 		return
 	}
-	for place := range n.s.nodes {
-		if peerAddress(place) == sd.PeerAddress {
-			at.peer = place
+	for place := range n.sim.nodes {
+		if peerAddress(place) == send.PeerAddress {
+			sent.place = place
 		}
 	}
-	n.open = append(n.open, at)
-	n.dial(at, of, x.body, reply)
+	n.openAttempts = append(n.openAttempts, sent)
+	n.dial(sent, offer, call.body, reply)
 }
 
-type replier func(kind carobkind.Kind, status int, rp *carobreport.Report, body string)
+// replyFunc receives the reply to an attempt: an error kind, or a response of the target;
+// report is nil if the target's node has none.
+type replyFunc func(kind carobkind.Kind, status int, report *carobreport.Report, body string)
 
-// dial sends an offer over a kept connection or a new one.
-func (n *node) dial(at *attempt, of caroboffer.Offer, body string, reply replier) {
-	kept := n.s.chance(0.5)
-	out, back := n.s.links[link{n.place, at.peer}], n.s.links[link{at.peer, n.place}]
+// dial sends an offer over a reused connection or a new one.
+func (n *node) dial(sent *attempt, offer caroboffer.Offer, body string, reply replyFunc) {
+	reused := n.sim.chance(0.5)
+	out, back := n.sim.links[link{n.place, sent.place}], n.sim.links[link{sent.place, n.place}]
 	switch {
-	case out == cut && kept:
-		n.do(n.s.transit(), func() { at.fail(carobkind.ConnectionLost) })
-	case out == cut:
-		n.do(n.s.transit(), func() { at.fail(carobkind.Unreachable) })
-	case (out == silent || back == silent) && !kept:
-		n.do(dialTime, func() { at.fail(carobkind.Unreachable) })
-	case out == silent:
+	case out == linkReset && reused:
+		n.after(n.sim.transitTime(), func() { sent.fail(carobkind.ConnectionLost) })
+	case out == linkReset:
+		n.after(n.sim.transitTime(), func() { sent.fail(carobkind.Unreachable) })
+	case (out == linkBlackhole || back == linkBlackhole) && !reused:
+		n.after(dialTimeout, func() { sent.fail(carobkind.Unreachable) })
+	case out == linkBlackhole:
 	default:
-		n.s.after(n.s.transit(), func() { n.reach(at, kept, of, body, reply) })
+		n.sim.after(n.sim.transitTime(), func() { n.deliverOffer(sent, reused, offer, body, reply) })
 	}
 }
 
-// reach has an offer come to the node of its target.
-func (n *node) reach(at *attempt, kept bool, of caroboffer.Offer, body string, reply replier) {
-	peer, back := n.s.nodes[at.peer], link{at.peer, n.place}
+// deliverOffer delivers an offer to the node of its target.
+func (n *node) deliverOffer(sent *attempt, reused bool, offer caroboffer.Offer, body string, reply replyFunc) {
+	peer, back := n.sim.nodes[sent.place], link{sent.place, n.place}
 	if !peer.alive {
-		at.fail(lostKind(peer, kept))
+		sent.fail(deadNodeKind(peer, reused))
 		return
 	}
-	answer := func(kind carobkind.Kind, status int, rp *carobreport.Report, body string) {
-		n.s.after(n.s.transit(), func() {
-			switch n.s.links[back] {
-			case open:
-				reply(kind, status, rp, body)
-			case cut:
-				at.fail(carobkind.ConnectionLost)
-			case silent:
+	answer := func(kind carobkind.Kind, status int, report *carobreport.Report, body string) {
+		n.sim.after(n.sim.transitTime(), func() {
+			switch n.sim.links[back] {
+			case linkUp:
+				reply(kind, status, report, body)
+			case linkReset:
+				sent.fail(carobkind.ConnectionLost)
+			case linkBlackhole:
 			}
 		})
 	}
 	if peer.frozen {
-		// If the process ends before it wakes, the connection breaks.
-		peer.tasks[of.Job] = &task{offer: of, respond: func(carobkind.Kind, int, string) { at.fail(carobkind.ConnectionLost) }}
+		// If the process is killed before it is thawed, the connection is lost.
+		peer.jobs[offer.Job] = &targetJob{offer: offer, respond: func(carobkind.Kind, int, string) { sent.fail(carobkind.ConnectionLost) }}
 	}
-	peer.do(0, func() {
-		if at.over && n.s.chance(0.5) {
+	peer.after(0, func() {
+		if sent.ended && n.sim.chance(0.5) {
 			return
 		}
-		tk := peer.accept(of, body, answer)
-		at.hangUp = func() {
-			if n.s.links[link{n.place, at.peer}] != silent {
-				n.s.after(n.s.transit(), func() { peer.do(0, func() { peer.abandon(tk) }) })
+		job := peer.acceptOffer(offer, body, answer)
+		sent.cancel = func() {
+			if n.sim.links[link{n.place, sent.place}] != linkBlackhole {
+				n.sim.after(n.sim.transitTime(), func() { peer.after(0, func() { peer.cancelJob(job) }) })
 			}
 		}
 	})
 }
 
-// lostKind is how an attempt ends at a node that is dead. New connections are
-// refused; kept ones were seen to be closed, unless that was a moment ago.
-func lostKind(peer *node, kept bool) carobkind.Kind {
-	const moment = 2 * time.Millisecond
-	if kept && peer.s.elapsed()-peer.died < moment {
+// deadNodeKind returns the error of an attempt to a node that has ended. New connections
+// are refused. A reused connection is known to be closed, unless the node ended less than
+// closeDelay ago.
+func deadNodeKind(peer *node, reused bool) carobkind.Kind {
+	const closeDelay = 2 * time.Millisecond
+	if reused && peer.sim.elapsed()-peer.endedAt < closeDelay {
 		return carobkind.ConnectionLost
 	}
 	return carobkind.Unreachable
--- a/test/fuzz/fuzz_test.go
+++ b/test/fuzz/fuzz_test.go
@@ -1,5 +1,5 @@
-// Package fuzz drives several cores together through calls and faults and asks
-// an oracle whether every promise was kept. It holds test files only.
+// Package fuzz runs several cores in a simulation with random calls and faults, while an
+// oracle checks every guarantee. It contains only test files.
 package fuzz
 
 import (
@@ -19,11 +19,11 @@
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
 
-// long is how long TestLong runs with new seeds; make fuzz sets it.
-var long = flag.Duration("long", 0, "how long TestLong runs")
+// longDuration is how long TestLong runs with new seeds; 0 skips it. make fuzz sets it.
+var longDuration = flag.Duration("long", 0, "how long TestLong runs")
 
 func TestMain(m *testing.M) {
-	// Seeds are fixed, so that every run has the same verdict.
+	// The seed is fixed so that every run has the same result.
 	for name, value := range map[string]string{
 		"rapid.seed": "1", "rapid.checks": "150", "rapid.steps": "50", "rapid.nofailfile": "true", "rapid.shrinktime": "20s",
 	} {
@@ -35,215 +35,224 @@
 	os.Exit(m.Run())
 }
 
-// count sums up the simulations of a test.
-type count struct {
-	cases, steps int
+// summary is the sum of all simulations of a test.
+type summary struct {
+	cases, ticks int
 	tally        tally
 	kinds        map[carobkind.Kind]int
-	// caught says that a promise was found broken. Simulations after it, which
-	// rapid plays again to make sure, do not count.
-	caught bool
+	// violated is true once a simulation violated a guarantee. Later simulations, in
+	// which rapid reproduces and shrinks the failure, are not counted.
+	violated bool
 }
 
-func (c *count) add(s *simulation) {
-	if c.caught {
+func (c *summary) add(sim *simulation) {
+	if c.violated {
 		return
 	}
-	c.caught = s.oracle.broken != ""
+	c.violated = sim.oracle.violation != ""
 	c.cases++
-	c.steps += s.steps
-	for kind, n := range s.kinds {
+	c.ticks += sim.ticks
+	for kind, n := range sim.kinds {
 		if c.kinds == nil {
 			c.kinds = map[carobkind.Kind]int{}
 		}
 		c.kinds[kind] += n
 	}
-	a, b := &c.tally, s.oracle.tally
+	a, b := &c.tally, sim.oracle.tally
 	a.Calls, a.Answered, a.NotRun, a.Unknown, a.Gone = a.Calls+b.Calls, a.Answered+b.Answered, a.NotRun+b.NotRun, a.Unknown+b.Unknown, a.Gone+b.Gone
 	a.Runs, a.Doubled, a.Lost, a.Mixed = a.Runs+b.Runs, a.Doubled+b.Doubled, a.Lost+b.Lost, a.Mixed+b.Mixed
 }
 
-func (c *count) String() string {
-	return fmt.Sprintf("%d cases, %d steps: %+v %v", c.cases, c.steps, c.tally, c.kinds)
+func (c *summary) String() string {
+	return fmt.Sprintf("%d cases, %d ticks: %+v %v", c.cases, c.ticks, c.tally, c.kinds)
 }
 
-const settling = 12 * time.Second
+// settleTime is how long a simulation without faults runs before all calls must have ended.
+const settleTime = 12 * time.Second
 
-// plan says what a simulation goes through.
+// plan configures a simulation. The zero plan runs all actions on the unchanged product.
 type plan struct {
 	mutation mutation
-	// only names the actions; nil stands for all.
-	only []string
-	// resubmit has callers use a key more than once.
-	resubmit bool
-	// patient callers give the profile's deadline.
-	patient bool
-	// checked has targets tell how slow their VMs are, and nodes that stop know when
-	// they end.
-	checked bool
-}
-
-// play runs one simulation through actions that rapid picks, ends all faults
-// and checks that calls are answered again.
-func play(t *rapid.T, p plan, c *count) {
-	s := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 4).Draw(t, "nodes"), p)
-	defer c.add(s)
-	s.advance(time.Second)
+	// onlyActions lists the names of the actions to run; nil runs all.
+	onlyActions []string
+	// reuseKeys makes callers use a key more than once.
+	reuseKeys bool
+	// noCallTimeouts makes callers set no timeout, so that the deadline of the profile
+	// applies.
+	noCallTimeouts bool
+	// healthChecks enables health checks, which report the slowness of VMs, and gives
+	// nodes that shut down a deadline.
+	healthChecks bool
+}
+
+// runSimulation runs actions that rapid draws on one simulation, ends all faults and
+// checks that calls are answered again.
+func runSimulation(t *rapid.T, plan plan, total *summary) {
+	sim := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 4).Draw(t, "nodes"), plan)
+	defer total.add(sim)
+	sim.advance(time.Second)
 	if rapid.Bool().Draw(t, "old log") {
-		// The first record is gone, which has a node append a snapshot.
-		st := s.log.of(carobstream.Profiles)
-		st.expire(len(st.records) - 1)
-		s.advance(3 * time.Second)
+		// The log has expired records, which makes a node append a snapshot.
+		stream := sim.log.stream(carobstream.Profiles)
+		stream.expire(len(stream.records) - 1)
+		sim.advance(3 * time.Second)
 	}
-	all := actions(s)
-	if p.only != nil {
-		picked := map[string]func(*rapid.T){"": all[""]}
-		for _, name := range p.only {
-			picked[name] = all[name]
+	all := actions(sim)
+	if plan.onlyActions != nil {
+		selected := map[string]func(*rapid.T){"": all[""]}
+		for _, name := range plan.onlyActions {
+			selected[name] = all[name]
 		}
-		all = picked
+		all = selected
 	}
 	t.Repeat(all)
-	s.heal()
-	s.advance(settling)
-	s.oracle.settled()
+	sim.endFaults()
+	sim.advance(settleTime)
+	sim.oracle.checkAllEnded()
 	all[""](t)
-	checkLiveness(t, s)
+	checkCallsAnswered(t, sim)
 	all[""](t)
 }
 
-// checkLiveness asks every node for every service.
-func checkLiveness(t *rapid.T, s *simulation) {
-	before := s.oracle.tally
+// checkCallsAnswered sends every node a call of every service and checks that all are
+// answered.
+func checkCallsAnswered(t *rapid.T, sim *simulation) {
+	before := sim.oracle.tally
 	calls := 0
-	for _, n := range s.nodes {
+	for _, n := range sim.nodes {
 		for i := range services {
 			calls++
-			n.call(i, fmt.Sprintf("last-%d", calls), 0)
+			n.startCall(i, fmt.Sprintf("last-%d", calls), 0)
 		}
 	}
-	s.advance(settling)
-	s.oracle.settled()
-	if answered := s.oracle.tally.Answered - before.Answered; answered != calls {
-		for call, h := range s.oracle.calls {
-			t.Logf("%s %+v", call, *h)
+	sim.advance(settleTime)
+	sim.oracle.checkAllEnded()
+	if answered := sim.oracle.tally.Answered - before.Answered; answered != calls {
+		for call, history := range sim.oracle.calls {
+			t.Logf("%s %+v", call, *history)
 		}
-		s.oracle.complain("after the last fault %d of %d calls are answered", answered, calls)
+		sim.oracle.recordViolation("after the end of all faults %d of %d calls are answered", answered, calls)
 	}
 }
 
-// Everything at once.
+// TestFaults runs all actions.
 func TestFaults(t *testing.T) {
-	var c count
-	rapid.Check(t, func(rt *rapid.T) { play(rt, plan{}, &c) })
-	t.Log(c.String())
+	var total summary
+	rapid.Check(t, func(rt *rapid.T) { runSimulation(rt, plan{}, &total) })
+	t.Log(total.String())
 }
 
-// Callers send a key again, at the same entry and at others, through everything.
+// TestKeys runs all actions, while callers use keys again at the same entry node and at
+// others.
 func TestKeys(t *testing.T) {
-	var c count
-	rapid.Check(t, func(rt *rapid.T) { play(rt, plan{resubmit: true}, &c) })
-	t.Log(c.String())
+	var total summary
+	rapid.Check(t, func(rt *rapid.T) { runSimulation(rt, plan{reuseKeys: true}, &total) })
+	t.Log(total.String())
 }
 
-// Nodes shut down gracefully, and nothing else goes wrong: no call may end
-// with its outcome unknown.
+// TestGracefulStops shuts nodes down gracefully without other faults. No call may end with
+// an unknown outcome.
 func TestGracefulStops(t *testing.T) {
-	var c count
+	var total summary
 	rapid.Check(t, func(rt *rapid.T) {
-		play(rt, plan{patient: true, only: []string{"wait a little", "wait", "call", "call often", "stop", "restart stopped", "leave", "return"}}, &c)
+		runSimulation(rt, plan{noCallTimeouts: true, onlyActions: []string{"wait a little", "wait", "call", "call often", "stop", "restart stopped", "leave", "return"}}, &total)
 	})
-	t.Log(c.String())
-	require.Zero(t, c.tally.Unknown, "calls were cut")
+	t.Log(total.String())
+	require.Zero(t, total.tally.Unknown, "calls whose outcome is unknown")
 }
 
-// Jobs wait for VMs that are slow, or move; health checks are lost, late and wrong;
-// nodes that end take nothing that they may have to cut.
+// TestHealthChecks runs all actions with health checks that fail, are late or report a
+// slow VM at random, so that jobs wait or are retried elsewhere. Nodes that shut down must
+// refuse calls that they may not be able to finish before their deadline.
 func TestHealthChecks(t *testing.T) {
-	var c count
-	rapid.Check(t, func(rt *rapid.T) { play(rt, plan{checked: true}, &c) })
-	t.Log(c.String())
+	var total summary
+	rapid.Check(t, func(rt *rapid.T) { runSimulation(rt, plan{healthChecks: true}, &total) })
+	t.Log(total.String())
 }
 
-// New seeds for as long as asked, one rapid check after the other.
+// TestLong runs the tests above with new seeds until the time of -long is over.
 func TestLong(t *testing.T) {
-	if *long == 0 {
-		t.Skip("make fuzz runs this")
+	if *longDuration == 0 {
+		t.Skip("runs with -long only, as make fuzz does")
 	}
-	var c count
-	end := time.Now().Add(*long)                      //nolint:forbidigo // the length of a run, no decision
+	var total summary
+	end := time.Now().Add(*longDuration)              //nolint:forbidigo // limits the duration of the run, not part of a simulation
 	for round := 0; time.Now().Before(end); round++ { //nolint:forbidigo // as above
 		seed := strconv.FormatInt(time.Now().UnixNano(), 10) //nolint:forbidigo // a new seed
 		require.NoError(t, flag.Set("rapid.seed", seed))
-		name, p := "TestFaults", plan{}
+		name, config := "TestFaults", plan{}
 		switch round % 3 {
 		case 1:
-			name, p = "TestKeys", plan{resubmit: true}
+			name, config = "TestKeys", plan{reuseKeys: true}
 		case 2:
-			name, p = "TestHealthChecks", plan{checked: true}
+			name, config = "TestHealthChecks", plan{healthChecks: true}
 		}
 		ok := t.Run("seed="+seed, func(t *testing.T) {
-			rapid.Check(t, func(rt *rapid.T) { play(rt, p, &c) })
+			rapid.Check(t, func(rt *rapid.T) { runSimulation(rt, config, &total) })
 		})
 		if !ok {
-			t.Fatalf("reproduce: go test ./test/fuzz -run '^%s$' -rapid.seed=%s\n%s", name, seed, c.String())
+			t.Fatalf("reproduce: go test ./test/fuzz -run '^%s$' -rapid.seed=%s\n%s", name, seed, total.String())
 		}
 	}
-	fmt.Println("fuzz:", c.String())
+	fmt.Println("fuzz:", total.String())
 }
 
-// Each mutation must be caught. Prints the steps that it took.
+// TestMutations checks that the oracle finds each fault of mutations. It logs the
+// simulations and ticks that this took, and the violation found.
 func TestMutations(t *testing.T) {
 	require.NoError(t, flag.Set("rapid.shrinktime", "0s"))
 	defer func() { require.NoError(t, flag.Set("rapid.shrinktime", "20s")) }()
-	for _, mt := range mutations {
-		t.Run(mt.name, func(t *testing.T) {
-			var c count
-			rc := &recorder{name: t.Name()}
-			rc.run(func() {
-				rapid.Check(rc, func(rt *rapid.T) { play(rt, plan{mutation: mt, only: mt.only, resubmit: mt.resubmit}, &c) })
+	for _, mutation := range mutations {
+		t.Run(mutation.name, func(t *testing.T) {
+			var total summary
+			recorder := &failureRecorder{name: t.Name()}
+			recorder.run(func() {
+				rapid.Check(recorder, func(rt *rapid.T) {
+					runSimulation(rt, plan{mutation: mutation, onlyActions: mutation.onlyActions, reuseKeys: mutation.reuseKeys}, &total)
+				})
 			})
-			require.True(t, rc.failed, "mutation was not caught in %s", c.String())
-			reason, _, _ := strings.Cut(rc.first[strings.Index(rc.first, ":")+2:], "\n")
-			t.Logf("| %s | %d | %d | %s |", mt.name, c.cases, c.steps, reason)
+			require.True(t, recorder.failed, "no violation was found in %s", total.String())
+			reason, _, _ := strings.Cut(recorder.firstFailure[strings.Index(recorder.firstFailure, ":")+2:], "\n")
+			t.Logf("| %s | %d | %d | %s |", mutation.name, total.cases, total.ticks, reason)
 		})
 	}
 }
 
-// recorder is a test that is meant to fail.
-type recorder struct {
-	name   string
-	first  string
-	failed bool
+// failureRecorder is a rapid.TB that records failures instead of failing the test.
+type failureRecorder struct {
+	name         string
+	firstFailure string
+	failed       bool
 }
 
-func (r *recorder) run(do func()) {
+// run runs a check on a goroutine of its own, because Fatalf and Skip end the goroutine.
+func (r *failureRecorder) run(check func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		do()
+		check()
 	}()
 	<-done
 }
 
-func (r *recorder) fail(text string) {
-	if r.first == "" {
-		r.first = text
+func (r *failureRecorder) recordFailure(text string) {
+	if r.firstFailure == "" {
+		r.firstFailure = text
 	}
 	r.failed = true
 }
 
-func (r *recorder) Helper()                        {}
-func (r *recorder) Name() string                   { return r.name }
-func (r *recorder) Logf(string, ...any)            {}
-func (r *recorder) Log(...any)                     {}
-func (r *recorder) Skipf(string, ...any)           { runtime.Goexit() }
-func (r *recorder) Skip(...any)                    { runtime.Goexit() }
-func (r *recorder) SkipNow()                       { runtime.Goexit() }
-func (r *recorder) Errorf(format string, a ...any) { r.fail(fmt.Sprintf(format, a...)) }
-func (r *recorder) Error(a ...any)                 { r.fail(fmt.Sprint(a...)) }
-func (r *recorder) Fatalf(format string, a ...any) { r.Errorf(format, a...); runtime.Goexit() }
-func (r *recorder) Fatal(a ...any)                 { r.Error(a...); runtime.Goexit() }
-func (r *recorder) FailNow()                       { r.failed = true; runtime.Goexit() }
-func (r *recorder) Fail()                          { r.failed = true }
-func (r *recorder) Failed() bool                   { return r.failed }
+func (r *failureRecorder) Helper()                        {}
+func (r *failureRecorder) Name() string                   { return r.name }
+func (r *failureRecorder) Logf(string, ...any)            {}
+func (r *failureRecorder) Log(...any)                     {}
+func (r *failureRecorder) Skipf(string, ...any)           { runtime.Goexit() }
+func (r *failureRecorder) Skip(...any)                    { runtime.Goexit() }
+func (r *failureRecorder) SkipNow()                       { runtime.Goexit() }
+func (r *failureRecorder) Errorf(format string, a ...any) { r.recordFailure(fmt.Sprintf(format, a...)) }
+func (r *failureRecorder) Error(a ...any)                 { r.recordFailure(fmt.Sprint(a...)) }
+func (r *failureRecorder) Fatalf(format string, a ...any) { r.Errorf(format, a...); runtime.Goexit() }
+func (r *failureRecorder) Fatal(a ...any)                 { r.Error(a...); runtime.Goexit() }
+func (r *failureRecorder) FailNow()                       { r.failed = true; runtime.Goexit() }
+func (r *failureRecorder) Fail()                          { r.failed = true }
+func (r *failureRecorder) Failed() bool                   { return r.failed }
--- a/test/fuzz/mutations_test.go
+++ b/test/fuzz/mutations_test.go
@@ -22,207 +22,210 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// mutation is a fault built into a node, by changing what its core hears, holds
-// or decides. The zero mutation is the product as it is.
+// mutation is a fault that is injected into nodes by a change of their input, tables or
+// effects. The zero mutation changes nothing.
 type mutation struct {
 	name string
-	// resubmit says that the fault shows when keys are used again.
-	resubmit bool
-	// only names the actions under which the fault shows; nil stands for all.
-	only []string
-	// hear changes the messages or the tables before a tick.
-	hear func(n *node, in *carobinbox.Inbox)
-	// decide changes the effects or the tables after a tick.
-	decide func(n *node, in *carobinbox.Inbox, out *caroboutbox.Outbox)
+	// reuseKeys is true if the fault shows only when keys are used again.
+	reuseKeys bool
+	// onlyActions lists the actions under which the fault shows soonest; nil runs all.
+	onlyActions []string
+	// changeInput changes the input or the tables before a tick; nil changes nothing.
+	changeInput func(n *node, in *carobinbox.Inbox)
+	// changeEffects changes the effects or the tables after a tick; nil changes nothing.
+	changeEffects func(n *node, in *carobinbox.Inbox, out *caroboutbox.Outbox)
 }
 
-func (m mutation) before(n *node, in *carobinbox.Inbox) {
-	if m.hear != nil {
-		m.hear(n, in)
+func (m mutation) beforeTick(n *node, in *carobinbox.Inbox) {
+	if m.changeInput != nil {
+		m.changeInput(n, in)
 	}
 }
 
-func (m mutation) after(n *node, in *carobinbox.Inbox, out *caroboutbox.Outbox) {
-	if m.decide != nil {
-		m.decide(n, in, out)
+func (m mutation) afterTick(n *node, in *carobinbox.Inbox, out *caroboutbox.Outbox) {
+	if m.changeEffects != nil {
+		m.changeEffects(n, in, out)
 	}
 }
 
-// withReplies changes the fence replies that a node sends.
-func withReplies(change func(n *node, fr *carobfencereply.FenceReply)) func(*node, *carobinbox.Inbox, *caroboutbox.Outbox) {
+// withFenceReplies returns a function for changeEffects that changes each fence reply that
+// a node sends.
+func withFenceReplies(change func(n *node, reply *carobfencereply.FenceReply)) func(*node, *carobinbox.Inbox, *caroboutbox.Outbox) {
 	return func(n *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
-		for _, ms := range out.Messages {
-			if ms.FenceReply != nil {
-				change(n, ms.FenceReply)
+		for _, message := range out.Messages {
+			if message.FenceReply != nil {
+				change(n, message.FenceReply)
 			}
 		}
 	}
 }
 
-// replaced has calls cut by nodes that are replaced at once.
-var replaced = []string{"call", "call often", "wait a little", "replace", "break connections"}
+// replaceActions replace nodes at once while calls are in flight.
+var replaceActions = []string{"call", "call often", "wait a little", "replace", "break connections"}
 
-// rehomed has homes of keys replaced between calls with the same keys.
-var rehomed = []string{"call", "call often", "wait", "wait a little", "replace"}
+// rehomeActions replace the homes of keys between calls with the same keys.
+var rehomeActions = []string{"call", "call often", "wait", "wait a little", "replace"}
 
-// mutations are the faults that the oracle must find.
+// mutations lists the faults that the oracle must find.
 var mutations = []mutation{
-	{name: "take a cut for unreachable", hear: func(_ *node, in *carobinbox.Inbox) {
+	{name: "treat a lost connection as unreachable", changeInput: func(_ *node, in *carobinbox.Inbox) {
 		for i := range in.Replies {
 			if in.Replies[i].Kind == carobkind.ConnectionLost {
 				in.Replies[i].Kind = carobkind.Unreachable
 			}
 		}
 	}},
-	{name: "tell not-run on a cut", decide: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
+	{name: "report not-run for a lost connection", changeEffects: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
 		for i := range out.Conclusions {
 			if out.Conclusions[i].Kind == carobkind.ConnectionLost {
 				out.Conclusions[i].Kind = carobkind.Withdrawn
 			}
 		}
 	}},
-	{name: "tell not-run at the deadline", decide: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
+	{name: "report not-run at the deadline", changeEffects: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
 		for i := range out.Conclusions {
 			if out.Conclusions[i].Kind == carobkind.Expired {
 				out.Conclusions[i].Kind = carobkind.NotStartedInTime
 			}
 		}
 	}},
-	{name: "fence without looking", decide: withReplies(func(_ *node, fr *carobfencereply.FenceReply) { fr.State = carobjobstate.Never })},
-	{name: "take unknown for never", only: replaced, decide: withReplies(func(_ *node, fr *carobfencereply.FenceReply) {
-		if fr.State == carobjobstate.Unknown {
-			fr.State = carobjobstate.Never
+	{name: "answer every fence with never", changeEffects: withFenceReplies(func(_ *node, reply *carobfencereply.FenceReply) { reply.State = carobjobstate.Never })},
+	{name: "answer fences of unknown jobs with never", onlyActions: replaceActions, changeEffects: withFenceReplies(func(_ *node, reply *carobfencereply.FenceReply) {
+		if reply.State == carobjobstate.Unknown {
+			reply.State = carobjobstate.Never
 		}
 	})},
-	{name: "ignore a fence's incarnation", only: replaced, hear: func(n *node, in *carobinbox.Inbox) {
+	{name: "ignore a fence's incarnation", onlyActions: replaceActions, changeInput: func(n *node, in *carobinbox.Inbox) {
 		for i := range in.Messages {
 			if in.Messages[i].Fence != nil {
 				in.Messages[i].Fence.Incarnation = n.self.Incarnation
 			}
 		}
 	}},
-	{name: "forget the tombstones", only: []string{"wait a little", "call", "call often", "disturb messages", "straggle"}, decide: func(n *node, _ *carobinbox.Inbox, _ *caroboutbox.Outbox) {
+	{name: "discard the tombstones", onlyActions: []string{"wait a little", "call", "call often", "disturb messages", "straggle"}, changeEffects: func(n *node, _ *carobinbox.Inbox, _ *caroboutbox.Outbox) {
 		n.core.World().Tombstones = carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()}).Tombstones
 	}},
-	{name: "forget what has ended", decide: func(n *node, _ *carobinbox.Inbox, _ *caroboutbox.Outbox) {
+	{name: "discard the ended jobs", changeEffects: func(n *node, _ *carobinbox.Inbox, _ *caroboutbox.Outbox) {
 		n.core.World().EndedJobs = carobworld.NewWorld(carobworld.Config{Limits: caroblimits.NewLimits()}).EndedJobs
 	}},
-	{name: "grant every claim", resubmit: true, decide: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
-		for _, ms := range out.Messages {
-			if ms.ClaimReply != nil {
-				ms.ClaimReply.Result = carobclaimresult.Granted
+	{name: "grant every claim", reuseKeys: true, changeEffects: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
+		for _, message := range out.Messages {
+			if message.ClaimReply != nil {
+				message.ClaimReply.Result = carobclaimresult.Granted
 			}
 		}
 	}},
-	{name: "forget the claims of earlier homes", resubmit: true, only: rehomed, hear: func(n *node, in *carobinbox.Inbox) {
+	{name: "ignore the claims of earlier homes", reuseKeys: true, onlyActions: rehomeActions, changeInput: func(n *node, in *carobinbox.Inbox) {
 		for i := range in.Records {
-			in.Records[i].Data = unclaimed(n, in.Records[i].Data)
+			in.Records[i].Data = withoutForeignClaims(n, in.Records[i].Data)
 		}
 	}},
-	{name: "spend past the budget", decide: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
-		for _, ms := range out.Messages {
-			if ms.LoadProbe != nil || ms.Report != nil {
-				out.Messages = append(out.Messages, ms, ms)
+	{name: "exceed the probe budget", changeEffects: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
+		for _, message := range out.Messages {
+			if message.LoadProbe != nil || message.Report != nil {
+				out.Messages = append(out.Messages, message, message)
 			}
 		}
 	}},
-	{name: "drop a finish", hear: func(n *node, in *carobinbox.Inbox) {
-		in.Finishes = slices.DeleteFunc(in.Finishes, func(carobfinish.Finish) bool { return n.s.chance(0.2) })
+	{name: "lose the end of jobs", changeInput: func(n *node, in *carobinbox.Inbox) {
+		in.Finishes = slices.DeleteFunc(in.Finishes, func(carobfinish.Finish) bool { return n.sim.chance(0.2) })
 	}},
-	{name: "start twice", decide: func(n *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
-		if n.s.chance(0.2) {
+	{name: "start jobs twice", changeEffects: func(n *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
+		if n.sim.chance(0.2) {
 			out.Starts = append(out.Starts, out.Starts...)
 		}
 	}},
-	{name: "swap two answers", decide: func(n *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
+	{name: "swap answers of two calls", changeEffects: func(n *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
 		for i := range out.Conclusions {
-			for _, x := range ordered(n.calls) {
-				if x.attempts[1] != nil && x.attempts[1].body != "" && x.arrival.Call != out.Conclusions[i].Call && out.Conclusions[i].Attempt == 1 {
-					n.calls[out.Conclusions[i].Call].attempts[1] = x.attempts[1]
+			for _, call := range sortedValues(n.calls) {
+				if call.attempts[1] != nil && call.attempts[1].response != "" && call.arrival.Call != out.Conclusions[i].Call && out.Conclusions[i].Attempt == 1 {
+					n.calls[out.Conclusions[i].Call].attempts[1] = call.attempts[1]
 				}
 			}
 		}
 	}},
-	{name: "conclude twice", decide: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
-		for _, cn := range out.Conclusions {
-			out.Conclusions = append(out.Conclusions, carobconclusion.Conclusion{Call: cn.Call, Kind: carobkind.Expired})
+	{name: "conclude calls twice", changeEffects: func(_ *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
+		for _, conclusion := range out.Conclusions {
+			out.Conclusions = append(out.Conclusions, carobconclusion.Conclusion{Call: conclusion.Call, Kind: carobkind.Expired})
 		}
 	}},
-	{name: "forget a caller", decide: func(n *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
-		if n.s.chance(0.05) {
+	{name: "lose conclusions", changeEffects: func(n *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
+		if n.sim.chance(0.05) {
 			out.Conclusions = nil
 		}
 	}},
-	{name: "start while leaving", hear: func(_ *node, in *carobinbox.Inbox) {
+	{name: "start jobs on a leaving target", changeInput: func(_ *node, in *carobinbox.Inbox) {
 		for i := range in.Announcements {
 			in.Announcements[i].Readiness = carobreadiness.Ready
 		}
 	}},
-	{name: "send to the leaving", only: []string{"wait", "wait a little", "call", "leave"}, hear: func(_ *node, in *carobinbox.Inbox) {
+	{name: "send attempts to leaving targets", onlyActions: []string{"wait", "wait a little", "call", "leave"}, changeInput: func(_ *node, in *carobinbox.Inbox) {
 		for i := range in.Messages {
-			if gs := in.Messages[i].Gossip; gs != nil {
-				for j := range gs.Members {
-					for k := range gs.Members[j].Targets {
-						gs.Members[j].Targets[k].Readiness = carobreadiness.Ready
+			if gossip := in.Messages[i].Gossip; gossip != nil {
+				for j := range gossip.Members {
+					for k := range gossip.Members[j].Targets {
+						gossip.Members[j].Targets[k].Readiness = carobreadiness.Ready
 					}
 				}
 			}
 		}
 	}},
-	{name: "stop at once", decide: func(n *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
+	{name: "stop without draining", changeEffects: func(n *node, _ *carobinbox.Inbox, out *caroboutbox.Outbox) {
 		out.Stopped = out.Stopped || n.core.World().Stopping
 	}},
-	{name: "adopt a lower offset", decide: func(n *node, _ *carobinbox.Inbox, _ *caroboutbox.Outbox) {
-		for name, rv := range n.core.World().Profiles.All() {
-			if n.first == nil {
-				n.first = map[string]carobrevision.Revision{}
+	{name: "return to an older revision", changeEffects: func(n *node, _ *carobinbox.Inbox, _ *caroboutbox.Outbox) {
+		for name, revision := range n.core.World().Profiles.All() {
+			if n.firstRevisions == nil {
+				n.firstRevisions = map[string]carobrevision.Revision{}
 			}
-			if _, ok := n.first[string(name)]; !ok {
-				n.first[string(name)] = *rv
+			if _, ok := n.firstRevisions[string(name)]; !ok {
+				n.firstRevisions[string(name)] = *revision
 			}
-			if n.s.chance(0.01) {
-				*rv = n.first[string(name)]
+			if n.sim.chance(0.01) {
+				*revision = n.firstRevisions[string(name)]
 			}
 		}
 	}},
-	{name: "take the loser's change too", hear: func(n *node, in *carobinbox.Inbox) {
+	{name: "apply conflicting changes too", changeInput: func(n *node, in *carobinbox.Inbox) {
 		for i := range in.Records {
 			if in.Records[i].Stream == carobstream.Profiles {
 				in.Records[i].Data = rebase(n, in.Records[i].Data)
 			}
 		}
 	}},
-	{name: "read profiles once only", hear: func(n *node, in *carobinbox.Inbox) {
+	{name: "read profiles only once", changeInput: func(n *node, in *carobinbox.Inbox) {
 		if n.core.World().ProfilesRead != caroboffset.BeforeFirst {
 			in.Records = nil
 		}
 	}},
 }
 
-// rebase makes the change in a record one of the revision in force.
+// rebase returns a record whose change is based on the revision in force. It returns
+// records without a change as they are.
 func rebase(n *node, data []byte) []byte {
-	var ch carobchange.Change
-	if json.Unmarshal(data, &ch) != nil {
+	var change carobchange.Change
+	if json.Unmarshal(data, &change) != nil {
 		return data
 	}
-	if rv := n.core.World().Profiles.Get(ch.Profile.Name); rv != nil {
-		ch.Profile.Base = rv.Offset
+	if revision := n.core.World().Profiles.Get(change.Profile.Name); revision != nil {
+		change.Profile.Base = revision.Offset
 	}
-	rebased, err := json.Marshal(ch)
+	rebased, err := json.Marshal(change)
 	if err != nil {
 		return data
 	}
 	return rebased
 }
 
-// unclaimed takes the claims of other nodes out of a record of them.
-func unclaimed(n *node, data []byte) []byte {
-	var bt carobclaimbatch.Batch
-	if json.Unmarshal(data, &bt) != nil || len(bt.Claims) == 0 || bt.Node == n.self.Node && bt.Incarnation == n.self.Incarnation {
+// withoutForeignClaims returns a record without its claims and settlements if another node
+// or incarnation appended it.
+func withoutForeignClaims(n *node, data []byte) []byte {
+	var batch carobclaimbatch.Batch
+	if json.Unmarshal(data, &batch) != nil || len(batch.Claims) == 0 || batch.Node == n.self.Node && batch.Incarnation == n.self.Incarnation {
 		return data
 	}
-	bt.Claims, bt.Settlements = nil, nil
-	changed, err := json.Marshal(bt)
+	batch.Claims, batch.Settlements = nil, nil
+	changed, err := json.Marshal(batch)
 	if err != nil {
 		return data
 	}
--- a/test/fuzz/node_test.go
+++ b/test/fuzz/node_test.go
@@ -32,44 +32,51 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// node is one life of a node: its core, and what its traffic goroutines do.
+// node is one incarnation of a node: its core, and the simulated traffic goroutines.
 type node struct {
-	s     *simulation
+	sim *simulation
+	// place is the index of the node's VM.
 	place int
 	self  carobmember.Member
 	core  *carobcore.Core
-	// skew is what the node's clock differs by.
+	// skew is how far the node's clock is ahead of the simulation.
 	skew  time.Duration
 	inbox carobinbox.Inbox
-	// ticking says that a tick is due at once; alarms counts alarms set.
-	ticking          bool
-	alarms           int
-	alive, frozen    bool
-	stopping, ending bool
-	thawed           []func()
-	sequence         uint64
-	calls            map[carobcallid.ID]*exchange
-	tasks            map[carobjobid.ID]*task
-	reports          map[carobtargetid.ID]carobreport.Report
-	// marks and waiting have, by stream, what the last read found and what is to
-	// be appended.
-	marks   map[carobstream.Stream]carobstreambounds.StreamBounds
-	waiting map[carobstream.Stream][]byte
-	// idle counts the ticks in a row that asked for another at once.
-	idle int
-	// follows counts the orders to follow each stream, or to stop that.
-	follows map[carobstream.Stream]int
-	// open are the attempts on their way to other places.
-	open       []*attempt
-	born, died time.Duration
-	// first has the first revision of each profile, for a mutation.
-	first map[string]carobrevision.Revision
-	// logless is when the node last could not read the log.
-	logless time.Duration
+	// tickDue is true while a tick is scheduled for immediately.
+	tickDue bool
+	// wakeCount counts the wake-ups scheduled; only the latest one has an effect.
+	wakeCount     int
+	alive, frozen bool
+	// stopping is true once a graceful shutdown was requested, and exiting once it is
+	// complete.
+	stopping, exiting bool
+	// deferred holds what became due while the node was frozen.
+	deferred []func()
+	sequence uint64
+	calls    map[carobcallid.ID]*entryCall
+	jobs     map[carobjobid.ID]*targetJob
+	// reports holds the newest report of each target.
+	reports map[carobtargetid.ID]carobreport.Report
+	// bounds holds the bounds of each stream at the last read.
+	bounds map[carobstream.Stream]carobstreambounds.StreamBounds
+	// pendingAppends holds the record that is to be appended to each stream.
+	pendingAppends map[carobstream.Stream][]byte
+	// immediateTicks counts the consecutive ticks that requested another one immediately.
+	immediateTicks int
+	// subscriptionOrders counts the orders to subscribe to each stream or unsubscribe.
+	subscriptionOrders map[carobstream.Stream]int
+	// openAttempts holds all attempts sent to other nodes, ended ones included.
+	openAttempts       []*attempt
+	startedAt, endedAt time.Duration
+	// firstRevisions holds the first revision of each profile, for a mutation.
+	firstRevisions map[string]carobrevision.Revision
+	// logUnreadableAt is when the node last could not read the log.
+	logUnreadableAt time.Duration
 }
 
-// ordered returns the rows of a map in one order, so that runs repeat.
-func ordered[K interface {
+// sortedValues returns the values of a map sorted by key, so that runs with one seed are
+// equal.
+func sortedValues[K interface {
 	comparable
 	String() string
 }, V any](rows map[K]V) []V {
@@ -81,262 +88,268 @@
 	return values
 }
 
-func mustDecode(data []byte, into any) {
-	if err := json.Unmarshal(data, into); err != nil {
+func mustDecode(data []byte, value any) {
+	if err := json.Unmarshal(data, value); err != nil {
 		panic(err)
 	}
 }
 
-// boot starts a new life of the node at a place.
-func (s *simulation) boot(place int) {
+// startNode starts a new incarnation of the node at a place. It kills the one that runs.
+func (s *simulation) startNode(place int) {
 	if old := s.nodes[place]; old != nil && old.alive {
 		old.kill()
 	}
-	s.lives++
+	s.incarnations++
 	n := &node{
-		s: s, place: place, alive: true, born: s.elapsed(), logless: s.elapsed(),
-		marks: map[carobstream.Stream]carobstreambounds.StreamBounds{}, follows: map[carobstream.Stream]int{}, waiting: map[carobstream.Stream][]byte{},
+		sim: s, place: place, alive: true, startedAt: s.elapsed(), logUnreadableAt: s.elapsed(),
+		bounds: map[carobstream.Stream]carobstreambounds.StreamBounds{}, subscriptionOrders: map[carobstream.Stream]int{}, pendingAppends: map[carobstream.Stream][]byte{},
 		skew:  time.Duration(s.random.Int64N(int64(time.Hour))),
-		calls: map[carobcallid.ID]*exchange{}, tasks: map[carobjobid.ID]*task{}, reports: map[carobtargetid.ID]carobreport.Report{},
+		calls: map[carobcallid.ID]*entryCall{}, jobs: map[carobjobid.ID]*targetJob{}, reports: map[carobtargetid.ID]carobreport.Report{},
 		self: carobmember.Member{
-			Node: carobnodeid.ID(fmt.Sprintf("n%d", place)), Incarnation: carobincarnation.Incarnation(s.lives),
+			Node: carobnodeid.ID(fmt.Sprintf("n%d", place)), Incarnation: carobincarnation.Incarnation(s.incarnations),
 			Region: "bavaria", Centre: "west", PeerAddress: peerAddress(place),
 		},
 	}
-	measure := carobprobelimits.NewProbeLimits()
-	if s.plan.checked {
-		measure.ChecksPerSecond = checks
+	probeLimits := carobprobelimits.NewProbeLimits()
+	if s.plan.healthChecks {
+		probeLimits.ChecksPerSecond = checksPerSecond
 	}
 	n.core = carobcore.NewCore(carobcore.Config{
-		World: carobworld.Config{Self: n.self, Limits: caroblimits.NewLimits(), ProbeLimits: measure, Seed: s.random.Uint64()},
+		World: carobworld.Config{Self: n.self, Limits: caroblimits.NewLimits(), ProbeLimits: probeLimits, Seed: s.random.Uint64()},
 		Seeds: []carobaddress.Address{peerAddress(0), peerAddress(1)},
 	})
 	s.nodes[place] = n
-	s.parted[link{place, place}] = s.elapsed()
-	n.ring()
+	s.lastFault[link{place, place}] = s.elapsed()
+	n.requestTick()
 	for _, stream := range []carobstream.Stream{carobstream.Profiles, carobstream.Nodes} {
-		n.tail(stream, 0)
+		n.readStream(stream, 0)
 	}
-	n.join()
-	for _, tg := range s.targets {
-		if tg.place == place {
-			tg.announce()
+	n.appendMember()
+	for _, target := range s.targets {
+		if target.place == place {
+			target.announce()
 		}
 	}
 }
 
-// kill ends the life at once. Other ends of its connections notice, if their
-// network lets them.
+// kill ends the process at once. Peers see their connections close, unless the link
+// drops this.
 func (n *node) kill() {
-	n.alive, n.died = false, n.s.elapsed()
-	n.s.parted[link{n.place, n.place}] = n.s.elapsed()
-	for _, x := range ordered(n.calls) {
-		n.s.oracle.told(x.arrival.Call.String(), "gone", "")
+	n.alive, n.endedAt = false, n.sim.elapsed()
+	n.sim.lastFault[link{n.place, n.place}] = n.sim.elapsed()
+	for _, call := range sortedValues(n.calls) {
+		n.sim.oracle.callEnded(call.arrival.Call.String(), "gone", "")
 	}
-	for _, tk := range ordered(n.tasks) {
-		tk.respond(carobkind.ConnectionLost, 0, "")
+	for _, job := range sortedValues(n.jobs) {
+		job.respond(carobkind.ConnectionLost, 0, "")
 	}
 }
 
-// freeze stops the process; thaw lets it go on where it was.
+// freeze suspends the process until thaw.
 func (n *node) freeze() {
 	n.frozen = true
-	n.s.parted[link{n.place, n.place}] = n.s.elapsed()
+	n.sim.lastFault[link{n.place, n.place}] = n.sim.elapsed()
 }
 
+// thaw resumes the process. What became due meanwhile runs in random order.
 func (n *node) thaw() {
-	held := n.thawed
-	n.frozen, n.thawed = false, nil
-	n.s.parted[link{n.place, n.place}] = n.s.elapsed()
-	n.s.random.Shuffle(len(held), func(i, j int) { held[i], held[j] = held[j], held[i] })
-	for _, do := range held {
-		n.do(n.s.jitter(localTime), do)
+	deferred := n.deferred
+	n.frozen, n.deferred = false, nil
+	n.sim.lastFault[link{n.place, n.place}] = n.sim.elapsed()
+	n.sim.random.Shuffle(len(deferred), func(i, j int) { deferred[i], deferred[j] = deferred[j], deferred[i] })
+	for _, run := range deferred {
+		n.after(n.sim.jitter(localDelay), run)
 	}
 }
 
-// sound reports whether the node ran and could read the log since an instant.
-func (n *node) sound(since time.Duration) bool {
-	return n.running(since) && n.logless < since
+// readLogSince reports whether the node has run without a pause since an instant and could
+// read the log all the time.
+func (n *node) readLogSince(since time.Duration) bool {
+	return n.runningSince(since) && n.logUnreadableAt < since
 }
 
-// running reports whether the node ran without a pause since an instant.
-func (n *node) running(since time.Duration) bool {
-	return n.alive && !n.frozen && !n.stopping && n.born <= since && n.s.parted[link{n.place, n.place}] <= since
+// runningSince reports whether the node has run without a pause since an instant.
+func (n *node) runningSince(since time.Duration) bool {
+	return n.alive && !n.frozen && !n.stopping && n.startedAt <= since && n.sim.lastFault[link{n.place, n.place}] <= since
 }
 
-// connected reports whether the node was sound, or reached one that was.
-func (n *node) connected(since time.Duration) bool {
-	if n.sound(since) {
+// reachedLogSince reports whether the node could read the log since an instant, or was
+// connected to a node that could.
+func (n *node) reachedLogSince(since time.Duration) bool {
+	if n.readLogSince(since) {
 		return true
 	}
-	for _, other := range n.s.nodes {
-		if other != n && n.running(since) && other.sound(since) && n.s.joined(n.place, other.place) <= since {
+	for _, other := range n.sim.nodes {
+		if other != n && n.runningSince(since) && other.readLogSince(since) && n.sim.connectedSince(n.place, other.place) <= since {
 			return true
 		}
 	}
 	return false
 }
 
-// do has the process do something after a while, unless it has ended then.
-func (n *node) do(d time.Duration, do func()) {
-	n.s.after(d, func() {
+// after runs a function in the process after a delay, unless the process has ended by
+// then. If the process is frozen then, the function waits for the thaw.
+func (n *node) after(delay time.Duration, run func()) {
+	n.sim.after(delay, func() {
 		switch {
 		case !n.alive:
 		case n.frozen:
-			n.thawed = append(n.thawed, do)
+			n.deferred = append(n.deferred, run)
 		default:
-			do()
+			run()
 		}
 	})
 }
 
-// post puts something into the mailbox.
-func (n *node) post(put func(in *carobinbox.Inbox)) {
+// enqueue changes the input of the next tick and schedules that tick.
+func (n *node) enqueue(put func(in *carobinbox.Inbox)) {
 	put(&n.inbox)
-	n.ring()
+	n.requestTick()
 }
 
-func (n *node) ring() {
-	if !n.ticking {
-		n.ticking = true
-		n.do(time.Duration(n.s.random.Int64N(int64(localTime))), n.tick)
+// requestTick schedules a tick for immediately, unless one is.
+func (n *node) requestTick() {
+	if !n.tickDue {
+		n.tickDue = true
+		n.after(time.Duration(n.sim.random.Int64N(int64(localDelay))), n.tick)
 	}
 }
 
-func (n *node) clock() carobinstant.Instant { return n.s.now.Add(n.skew) }
+// clock returns the time of the node's own clock.
+func (n *node) clock() carobinstant.Instant { return n.sim.now.Add(n.skew) }
 
-// tick is one round of the control goroutine.
+// tick runs one tick of the control goroutine and schedules the next wake-up.
 func (n *node) tick() {
-	n.ticking = false
+	n.tickDue = false
 	in := n.inbox
 	n.inbox = carobinbox.Inbox{}
-	n.s.steps++
-	for _, an := range in.Announcements {
-		n.s.oracle.knows(an.Target.String(), an.Withdrawn || an.Readiness == carobreadiness.Leaving, n.s.elapsed())
+	n.sim.ticks++
+	for _, announcement := range in.Announcements {
+		n.sim.oracle.learnedLeaving(announcement.Target.String(), announcement.Withdrawn || announcement.Readiness == carobreadiness.Leaving, n.sim.elapsed())
 	}
 	in.Announcements = slices.Clone(in.Announcements)
-	n.s.plan.mutation.before(n, &in)
+	n.sim.plan.mutation.beforeTick(n, &in)
 	out := n.core.Tick(n.clock(), in)
-	n.s.plan.mutation.after(n, &in, out)
+	n.sim.plan.mutation.afterTick(n, &in, out)
 	n.observe(out)
-	n.carry(out)
-	n.alarms++
-	alarm := n.alarms
+	n.applyEffects(out)
+	n.wakeCount++
+	count := n.wakeCount
 	if wake := n.core.Wake(); wake != carobinstant.Never {
-		if n.idle++; wake > n.clock() {
-			n.idle = 0
+		if n.immediateTicks++; wake > n.clock() {
+			n.immediateTicks = 0
 		}
-		if n.idle > 20 {
-			n.s.oracle.complain("node %s spins: it asks to wake %s ago", n.self.Node, n.clock().Sub(wake))
+		if n.immediateTicks > 20 {
+			n.sim.oracle.recordViolation("node %s spins: it requests a wake-up %s in the past", n.self.Node, n.clock().Sub(wake))
 		}
-		n.do(max(wake.Sub(n.clock()), localTime), func() {
-			if alarm == n.alarms {
-				n.ring()
+		n.after(max(wake.Sub(n.clock()), localDelay), func() {
+			if count == n.wakeCount {
+				n.requestTick()
 			}
 		})
 	}
 }
 
-// observe shows the oracle what the tick decided.
+// observe reports the decisions of a tick to the oracle.
 func (n *node) observe(out *caroboutbox.Outbox) {
-	o, now := n.s.oracle, n.s.elapsed()
-	for _, st := range out.Starts {
-		o.started(n.s.targetAt(st.Address).id.String(), st.Job.String())
+	oracle, now := n.sim.oracle, n.sim.elapsed()
+	for _, start := range out.Starts {
+		oracle.jobStarted(n.sim.targetAt(start.Address).id.String(), start.Job.String())
 	}
-	for _, sd := range out.Sends {
-		for _, tg := range n.s.targets {
-			if tg.id == sd.Target {
-				o.sent(tg.id.String(), sd.Job.String(), now, n.s.joined(n.place, tg.place))
+	for _, send := range out.Sends {
+		for _, target := range n.sim.targets {
+			if target.id == send.Target {
+				oracle.attemptSent(target.id.String(), send.Job.String(), now, n.sim.connectedSince(n.place, target.place))
 			}
 		}
 	}
-	for name, rv := range n.core.World().Profiles.All() {
+	for name, revision := range n.core.World().Profiles.All() {
 		if n.core.World().AwaitingLog {
 			break
 		}
-		o.holds(string(n.self.Node), string(name), int64(rv.Offset), rv.Change.Profile.Deadline.String())
+		oracle.revisionInForce(string(n.self.Node), string(name), int64(revision.Offset), revision.Change.Profile.Deadline.String())
 	}
-	for _, ms := range out.Messages {
-		if bytes := measuring(n.s, ms); bytes > 0 {
-			o.measured(string(n.self.Node), bytes, now, float64(n.core.World().ProbeLimits.BytesPerSecond))
+	for _, message := range out.Messages {
+		if bytes := probeSize(n.sim, message); bytes > 0 {
+			oracle.probeSent(string(n.self.Node), bytes, now, float64(n.core.World().ProbeLimits.BytesPerSecond))
 		}
 	}
 }
 
-// carry does what the traffic goroutines do with the effects of a tick.
-func (n *node) carry(out *caroboutbox.Outbox) {
-	n.carryJobs(out)
-	n.carryCalls(out)
-	n.carryClaims(out)
-	for _, ck := range out.HealthChecks {
-		n.check(ck)
+// applyEffects carries out the effects of a tick as the traffic goroutines do.
+func (n *node) applyEffects(out *caroboutbox.Outbox) {
+	n.applyJobEffects(out)
+	n.applyCallEffects(out)
+	n.applyClaimEffects(out)
+	for _, check := range out.HealthChecks {
+		n.runHealthCheck(check)
 	}
-	for _, ms := range out.Messages {
-		n.s.carry(n.place, ms)
+	for _, message := range out.Messages {
+		n.sim.sendMessage(n.place, message)
 	}
-	for _, ap := range out.Appends {
-		n.append(ap.Stream, ap.Data)
+	for _, request := range out.Appends {
+		n.append(request.Stream, request.Data)
 	}
-	if out.Stopped && !n.ending {
-		n.ending = true
-		n.do(goodbye, n.exit)
+	if out.Stopped && !n.exiting {
+		n.exiting = true
+		n.after(exitDelay, n.exit)
 	}
 }
 
 // exit ends the process after a graceful shutdown.
 func (n *node) exit() {
 	if len(n.calls) > 0 {
-		n.s.oracle.complain("node %s stops with %d calls open", n.self.Node, len(n.calls))
+		n.sim.oracle.recordViolation("node %s exits with %d calls in flight", n.self.Node, len(n.calls))
 	}
-	for job, tk := range n.tasks {
-		if tk.started {
-			n.s.oracle.complain("node %s stops while job %s runs", n.self.Node, job)
+	for id, job := range n.jobs {
+		if job.started {
+			n.sim.oracle.recordViolation("node %s exits while job %s runs", n.self.Node, id)
 		}
 	}
 	n.kill()
 }
 
-// stop asks for a graceful shutdown.
+// stop requests a graceful shutdown.
 func (n *node) stop() {
 	n.stopping = true
-	n.s.parted[link{n.place, n.place}] = n.s.elapsed()
-	n.post(func(in *carobinbox.Inbox) {
-		if in.Stop = true; n.s.plan.checked {
-			in.ShutdownDeadline = n.clock().Add(ending)
+	n.sim.lastFault[link{n.place, n.place}] = n.sim.elapsed()
+	n.enqueue(func(in *carobinbox.Inbox) {
+		if in.Stop = true; n.sim.plan.healthChecks {
+			in.ShutdownDeadline = n.clock().Add(shutdownTime)
 		}
 	})
 }
 
-// tail follows a stream of the log.
-func (n *node) tail(stream carobstream.Stream, next caroboffset.Offset) {
-	lg := n.s.log
-	if lg.out || lg.slow > retryPause {
-		n.logless = n.s.elapsed()
-		n.do(retryPause, func() { n.tail(stream, next) })
+// readStream polls a stream of the log from an offset on.
+func (n *node) readStream(stream carobstream.Stream, next caroboffset.Offset) {
+	log := n.sim.log
+	if log.unavailable || log.extraDelay > retryDelay {
+		n.logUnreadableAt = n.sim.elapsed()
+		n.after(retryDelay, func() { n.readStream(stream, next) })
 		return
 	}
-	n.do(n.s.jitter(hopTime)+lg.slow, func() {
-		st := lg.of(stream)
-		from := max(next, st.first)
-		end := st.first + caroboffset.Offset(len(st.records))
+	n.after(n.sim.jitter(networkDelay)+log.extraDelay, func() {
+		stored := log.stream(stream)
+		from := max(next, stored.first)
+		end := stored.first + caroboffset.Offset(len(stored.records))
 		records := make([]carobrecord.Record, 0, end-from)
-		for _, rc := range st.records[from-st.first:] {
-			rc.Stream = stream
-			records = append(records, rc)
+		for _, record := range stored.records[from-stored.first:] {
+			record.Stream = stream
+			records = append(records, record)
 		}
-		mark := carobstreambounds.StreamBounds{Stream: stream, First: st.first, Next: end}
-		if mark != n.marks[stream] || len(records) > 0 {
-			n.marks[stream] = mark
-			n.post(func(in *carobinbox.Inbox) {
-				in.Records, in.StreamBounds = append(in.Records, records...), append(in.StreamBounds, mark)
+		bounds := carobstreambounds.StreamBounds{Stream: stream, First: stored.first, Next: end}
+		if bounds != n.bounds[stream] || len(records) > 0 {
+			n.bounds[stream] = bounds
+			n.enqueue(func(in *carobinbox.Inbox) {
+				in.Records, in.StreamBounds = append(in.Records, records...), append(in.StreamBounds, bounds)
 			})
 		}
-		n.do(tailPause, func() { n.tail(stream, end) })
+		n.after(pollInterval, func() { n.readStream(stream, end) })
 	})
 }
 
-// join announces the node in the log.
-func (n *node) join() {
+// appendMember appends the node's description to the log.
+func (n *node) appendMember() {
 	data, err := json.Marshal(n.self)
 	if err != nil {
 		panic(err)
@@ -344,27 +357,28 @@
 	n.append(carobstream.Nodes, data)
 }
 
-// append appends a record until that is certain, unless a newer one for the
-// stream takes its place. So the record may stand in the log more than once.
+// append appends a record and retries until the log confirms it, unless a newer record
+// for the stream replaces it. The log may therefore contain the record more than once.
 func (n *node) append(stream carobstream.Stream, data []byte) {
-	_, busy := n.waiting[stream]
-	n.waiting[stream] = data
+	_, busy := n.pendingAppends[stream]
+	n.pendingAppends[stream] = data
 	if !busy {
 		n.tryAppend(stream)
 	}
 }
 
+// tryAppend sends the pending record of a stream to the log until it is confirmed.
 func (n *node) tryAppend(stream carobstream.Stream) {
-	data := n.waiting[stream]
-	n.s.appendLog(stream, data, func(sure bool) {
-		n.do(0, func() {
+	data := n.pendingAppends[stream]
+	n.sim.appendLog(stream, data, func(sure bool) {
+		n.after(0, func() {
 			switch {
 			case !sure:
-				n.do(retryPause, func() { n.tryAppend(stream) })
-			case string(data) != string(n.waiting[stream]):
+				n.after(retryDelay, func() { n.tryAppend(stream) })
+			case string(data) != string(n.pendingAppends[stream]):
 				n.tryAppend(stream)
 			default:
-				delete(n.waiting, stream)
+				delete(n.pendingAppends, stream)
 			}
 		})
 	})
--- a/test/fuzz/oracle_test.go
+++ b/test/fuzz/oracle_test.go
@@ -6,159 +6,171 @@
 	"time"
 )
 
-// oracle holds what must always be true. It counts what callers, targets and
-// the log saw and shares no code with the product: times are nanoseconds of the
-// simulation, ids are plain text.
+// oracle checks the guarantees against what callers, targets and the log observe. It shares
+// no code with the product: times are virtual time since the start, ids are plain text.
 type oracle struct {
-	// broken is the first promise found broken.
-	broken string
-	calls  map[string]*history
+	// violation describes the first violation of a guarantee; empty if there is none.
+	violation string
+	calls     map[string]*callHistory
 	// keys counts the runs of each idempotency key of a service.
 	keys map[string]int
-	// leaving has since when a target's node knows that the target leaves.
+	// leaving holds when the node of a target learned that the target is leaving.
 	leaving map[string]time.Duration
-	// accepted has the winning changes of each profile, by offset.
-	accepted map[string][]change
-	// force has the newest offset that each node has had in force.
-	force map[string]int64
-	// spent has the recent bytes of measuring of each node.
-	spent map[string][]expense
-	tally tally
-}
-
-// history is what happened to one call.
-type history struct {
-	service, once, key, body string
-	runs                     int
-	refused                  bool
-	outcome                  string
-}
-
-type change struct {
+	// accepted holds the changes of each profile that did not conflict, by offset.
+	accepted map[string][]profileChange
+	// inForce holds the offset of the revision in force, by node and profile.
+	inForce map[string]int64
+	// probeTraffic holds the load probes and reports that each node sent within budgetWindow.
+	probeTraffic map[string][]probeBytes
+	tally        tally
+}
+
+// callHistory records what happened to one call.
+type callHistory struct {
+	service, guarantee, key, body string
+	// runs counts how often targets ran the call.
+	runs int
+	// refused is true if a target answered with status 503.
+	refused bool
+	// outcome is how the call ended for the caller; empty before.
+	outcome string
+}
+
+// profileChange is an accepted change of a profile.
+type profileChange struct {
 	offset   int64
 	deadline string
 }
 
-type expense struct {
+// probeBytes is the size of one load probe or report.
+type probeBytes struct {
 	at    time.Duration
 	bytes int
 }
 
-// tally counts for the report.
+// tally counts calls by outcome, runs of calls, and violations: calls that ran too often
+// (Doubled), never ended (Lost), or got the body of another (Mixed). Gone counts calls
+// whose caller or entry node went away. The summary prints the names of the fields.
 type tally struct {
 	Calls, Answered, NotRun, Unknown, Gone, Runs, Doubled, Lost, Mixed int
 }
 
 const (
-	leavingBound = 3 * time.Second
-	window       = time.Second
+	// maxLeavingDelay is the time within which all nodes stop sending to a leaving
+	// target.
+	maxLeavingDelay = 3 * time.Second
+	// budgetWindow is the time over which the probe budget is checked.
+	budgetWindow = time.Second
 )
 
 func newOracle() *oracle {
 	return &oracle{
-		calls: map[string]*history{}, keys: map[string]int{}, leaving: map[string]time.Duration{},
-		accepted: map[string][]change{}, force: map[string]int64{}, spent: map[string][]expense{},
+		calls: map[string]*callHistory{}, keys: map[string]int{}, leaving: map[string]time.Duration{},
+		accepted: map[string][]profileChange{}, inForce: map[string]int64{}, probeTraffic: map[string][]probeBytes{},
 	}
 }
 
-func (o *oracle) complain(format string, args ...any) {
-	if o.broken == "" {
-		o.broken = fmt.Sprintf(format, args...)
+// recordViolation keeps the first violation of a simulation.
+func (o *oracle) recordViolation(format string, args ...any) {
+	if o.violation == "" {
+		o.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// came notes a new call.
-func (o *oracle) came(call string, h history) {
+// callArrived records a new call.
+func (o *oracle) callArrived(call string, history callHistory) {
 	o.tally.Calls++
-	o.calls[call] = &h
+	o.calls[call] = &history
 }
 
-// ran notes that a target began to run a call.
-func (o *oracle) ran(call, body string) {
-	h := o.calls[call]
-	h.runs++
+// callRan records that a target began to run a call.
+func (o *oracle) callRan(call, body string) {
+	history := o.calls[call]
+	history.runs++
 	o.tally.Runs++
-	if h.body != body {
+	if history.body != body {
 		o.tally.Mixed++
-		o.complain("call %s ran with the body of another: %q", call, body)
+		o.recordViolation("call %s ran with the body of another call: %q", call, body)
 	}
-	if h.outcome == "not-run" {
-		o.complain("call %s was told not-run and runs after all", call)
+	if history.outcome == "not-run" {
+		o.recordViolation("call %s ended as not-run and runs afterwards", call)
 	}
-	if h.once != "no" && h.runs > 1 {
+	if history.guarantee != "no" && history.runs > 1 {
 		o.tally.Doubled++
-		o.complain("call %s of %s runs %d times", call, h.service, h.runs)
+		o.recordViolation("call %s of %s runs %d times", call, history.service, history.runs)
 	}
-	if h.once == "key" && h.key != "" {
-		o.keys[h.service+"/"+h.key]++
-		if n := o.keys[h.service+"/"+h.key]; n > 1 {
+	if history.guarantee == "key" && history.key != "" {
+		o.keys[history.service+"/"+history.key]++
+		if n := o.keys[history.service+"/"+history.key]; n > 1 {
 			o.tally.Doubled++
-			o.complain("key %s of %s runs %d times, now by call %s", h.key, h.service, n, call)
+			o.recordViolation("key %s of %s runs %d times, now by call %s", history.key, history.service, n, call)
 		}
 	}
 }
 
-// told notes what the caller learned: answered, not-run, unknown, or gone if
-// nobody could tell it any more.
-func (o *oracle) told(call, outcome, body string) {
-	h := o.calls[call]
-	if h.outcome != "" {
-		o.complain("call %s was told %s and then %s", call, h.outcome, outcome)
+// callEnded records the outcome that the caller received: answered, not-run or unknown; or
+// gone if the caller or the entry node went away before.
+func (o *oracle) callEnded(call, outcome, body string) {
+	history := o.calls[call]
+	if history.outcome != "" {
+		o.recordViolation("call %s ended as %s and then as %s", call, history.outcome, outcome)
 		return
 	}
-	h.outcome = outcome
+	history.outcome = outcome
 	switch outcome {
 	case "answered":
-		o.answered(call, h, body)
+		o.checkAnswer(call, history, body)
 	case "not-run":
 		o.tally.NotRun++
-		if h.runs > 0 {
-			o.complain("call %s ran and was told not-run", call)
+		if history.runs > 0 {
+			o.recordViolation("call %s ran and ended as not-run", call)
 		}
 	case "unknown":
 		o.tally.Unknown++
 	case "gone":
 		o.tally.Gone++
 	default:
-		o.complain("call %s was told %q", call, outcome)
+		o.recordViolation("call %s ended with the undefined outcome %q", call, outcome)
 	}
 }
 
-func (o *oracle) answered(call string, h *history, body string) {
+func (o *oracle) checkAnswer(call string, history *callHistory, body string) {
 	o.tally.Answered++
-	if body != h.body {
+	if body != history.body {
 		o.tally.Mixed++
-		o.complain("call %s got the answer %q, its own is %q", call, body, h.body)
+		o.recordViolation("call %s was answered with %q instead of %q", call, body, history.body)
 	}
-	if h.runs == 0 && !h.refused && (h.key == "" || o.keys[h.service+"/"+h.key] == 0) {
-		o.complain("call %s was answered and never ran", call)
+	if history.runs == 0 && !history.refused && (history.key == "" || o.keys[history.service+"/"+history.key] == 0) {
+		o.recordViolation("call %s was answered but never ran", call)
 	}
 }
 
-// again notes that a call was concluded of which the caller is told already.
-func (o *oracle) again(call string) {
-	if h := o.calls[call]; h.outcome != "gone" {
-		o.complain("call %s was told %s and is concluded again", call, h.outcome)
+// concludedAgain checks a conclusion of a call that has ended already. This is correct
+// only if the caller went away before.
+func (o *oracle) concludedAgain(call string) {
+	if history := o.calls[call]; history.outcome != "gone" {
+		o.recordViolation("call %s ended as %s and is concluded again", call, history.outcome)
 	}
 }
 
-// replied notes that a target refused a call by itself.
-func (o *oracle) replied(call string) {
+// targetRefused records that a target answered a call with status 503.
+func (o *oracle) targetRefused(call string) {
 	o.calls[call].refused = true
 }
 
-// settled checks that no caller was left without a word.
-func (o *oracle) settled() {
-	for call, h := range o.calls {
-		if h.outcome == "" {
+// checkAllEnded checks that all calls have ended.
+func (o *oracle) checkAllEnded() {
+	for call, history := range o.calls {
+		if history.outcome == "" {
 			o.tally.Lost++
-			o.complain("call %s of %s was never told anything", call, h.service)
+			o.recordViolation("call %s of %s never ended", call, history.service)
 		}
 	}
 }
 
-// knows notes that a target's node has heard whether the target leaves.
-func (o *oracle) knows(target string, leaving bool, now time.Duration) {
+// learnedLeaving records that the node of a target received an announcement of whether the
+// target is leaving.
+func (o *oracle) learnedLeaving(target string, leaving bool, now time.Duration) {
 	if _, known := o.leaving[target]; leaving && !known {
 		o.leaving[target] = now
 	}
@@ -167,70 +179,73 @@
 	}
 }
 
-// started checks a start that a target's node decided.
-func (o *oracle) started(target, job string) {
+// jobStarted checks the start of a job at the target's node.
+func (o *oracle) jobStarted(target, job string) {
 	if _, leaving := o.leaving[target]; leaving {
-		o.complain("job %s starts on leaving target %s", job, target)
+		o.recordViolation("job %s starts on leaving target %s", job, target)
 	}
 }
 
-// sent checks an attempt; joined is since when its ends reach each other.
-func (o *oracle) sent(target, job string, now, joined time.Duration) {
-	since, leaving := o.leaving[target]
-	if leaving && now-max(since, joined) > leavingBound {
-		o.complain("job %s is sent to %s, which has been leaving for %s", job, target, now-since)
+// attemptSent checks an attempt. connectedSince is the time from which on the entry node
+// and the target's node have been connected.
+func (o *oracle) attemptSent(target, job string, now, connectedSince time.Duration) {
+	leavingSince, leaving := o.leaving[target]
+	if leaving && now-max(leavingSince, connectedSince) > maxLeavingDelay {
+		o.recordViolation("job %s is sent to %s, which has been leaving for %s", job, target, now-leavingSince)
 	}
 }
 
-// appended folds a record of the stream of profiles.
-func (o *oracle) appended(offset int64, record []byte) (won bool) {
-	var ch struct {
+// profileAppended applies a record of the stream of profiles, and reports whether it is a
+// change that is accepted.
+func (o *oracle) profileAppended(offset int64, record []byte) (accepted bool) {
+	var change struct {
 		Profile struct {
 			Name, Deadline string
 			Base           int64
 		}
 	}
-	if json.Unmarshal(record, &ch) != nil || ch.Profile.Name == "" {
+	if json.Unmarshal(record, &change) != nil || change.Profile.Name == "" {
 		return false
 	}
 	current := int64(-1)
-	if all := o.accepted[ch.Profile.Name]; len(all) > 0 {
+	if all := o.accepted[change.Profile.Name]; len(all) > 0 {
 		current = all[len(all)-1].offset
 	}
-	if ch.Profile.Base != current {
+	if change.Profile.Base != current {
 		return false
 	}
-	o.accepted[ch.Profile.Name] = append(o.accepted[ch.Profile.Name], change{offset, ch.Profile.Deadline})
+	o.accepted[change.Profile.Name] = append(o.accepted[change.Profile.Name], profileChange{offset, change.Profile.Deadline})
 	return true
 }
 
-// holds checks the revision that a node has in force.
-func (o *oracle) holds(node, profile string, offset int64, deadline string) {
+// revisionInForce checks the revision of a profile that a node has in force.
+func (o *oracle) revisionInForce(node, profile string, offset int64, deadline string) {
 	key := node + "/" + profile
-	if last, ok := o.force[key]; ok && offset < last {
-		o.complain("node %s goes back from revision %d of %s to %d", node, last, profile, offset)
+	if last, ok := o.inForce[key]; ok && offset < last {
+		o.recordViolation("node %s returns from revision %d of %s to revision %d", node, last, profile, offset)
 	}
-	o.force[key] = offset
-	for _, ch := range o.accepted[profile] {
-		if ch.offset == offset && ch.deadline == deadline {
+	o.inForce[key] = offset
+	for _, change := range o.accepted[profile] {
+		if change.offset == offset && change.deadline == deadline {
 			return
 		}
 	}
-	o.complain("node %s has revision %d of %s (%s) in force, which was never accepted", node, offset, profile, deadline)
+	o.recordViolation("node %s has revision %d of %s (%s) in force, which was never accepted", node, offset, profile, deadline)
 }
 
-// measured checks the bytes of measuring in every window.
-func (o *oracle) measured(node string, bytes int, now time.Duration, budget float64) {
-	spent := append(o.spent[node], expense{now, bytes})
-	for now-spent[0].at >= window {
-		spent = spent[1:]
+// probeSent checks the bytes of load probes and reports within budgetWindow; budget is in
+// bytes per second.
+func (o *oracle) probeSent(node string, bytes int, now time.Duration, budget float64) {
+	recent := append(o.probeTraffic[node], probeBytes{now, bytes})
+	for now-recent[0].at >= budgetWindow {
+		recent = recent[1:]
 	}
-	o.spent[node] = spent
+	o.probeTraffic[node] = recent
 	sum := 0
-	for _, ex := range spent {
-		sum += ex.bytes
+	for _, sent := range recent {
+		sum += sent.bytes
 	}
-	if float64(sum) > budget*window.Seconds() {
-		o.complain("node %s spends %d bytes on measuring within %s, its budget is %.0f", node, sum, window, budget)
+	if float64(sum) > budget*budgetWindow.Seconds() {
+		o.recordViolation("node %s sends %d bytes of probes and reports within %s, its budget is %.0f bytes a second", node, sum, budgetWindow, budget)
 	}
 }
--- a/test/fuzz/simulation_test.go
+++ b/test/fuzz/simulation_test.go
@@ -18,346 +18,372 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// simulation is several nodes, their targets, the network and the log, all in
-// virtual time and with one source of chance.
+// simulation simulates several nodes, their targets, the network and the log in virtual
+// time, with one random source. A place is the index of a VM.
 type simulation struct {
-	schedule
+	scheduler
 	random *rand.Rand
 	codec  *carobcodec.Codec
 	oracle *oracle
 	log    *fakeLog
-	// nodes has the node at each place, the newest incarnation.
+	// nodes holds the newest incarnation of the node at each place.
 	nodes   []*node
 	targets []*fakeTarget
 	plan    plan
-	// links has the state of each direction between two places.
-	links map[link]state
-	// parted has when a link, or a place as a link to itself, last had a fault.
-	parted map[link]time.Duration
-	// loss and doubling are shares of control messages.
-	loss, doubling float64
-	// slowness is the most extra time that a message takes.
-	slowness time.Duration
-	// lives counts incarnations; steps counts ticks of cores.
-	lives, steps int
-	// kinds counts the errors that callers were told.
+	// links holds the state of each direction between two places.
+	links map[link]linkState
+	// lastFault is when each direction last changed its state. The node of a place counts
+	// as a link from the place to itself.
+	lastFault map[link]time.Duration
+	// lossRate and duplicateRate are the shares of control messages that are lost and
+	// duplicated.
+	lossRate, duplicateRate float64
+	// maxExtraDelay is the maximum extra delay of a message.
+	maxExtraDelay time.Duration
+	// incarnations counts the nodes started, and ticks the ticks of all cores.
+	incarnations, ticks int
+	// kinds counts the errors that callers received.
 	kinds map[carobkind.Kind]int
-	// keys counts idempotency keys.
-	keys int
+	// keyCount counts the idempotency keys that were used once only.
+	keyCount int
 }
 
+// link is one direction between two places.
 type link struct{ from, to int }
 
-// state is how a direction between two places behaves.
-type state int
+// linkState is the state of a link.
+type linkState int
 
 const (
-	open state = iota
-	// refusing connections, and breaking the open ones.
-	cut
-	// silent: nothing comes through and nobody is told.
-	silent
+	linkUp linkState = iota
+	// linkReset refuses new connections and resets open ones.
+	linkReset
+	// linkBlackhole drops everything without an error.
+	linkBlackhole
 )
 
-// services, with how often their calls may run.
+// services lists the services and the execution guarantee of their profiles, as the setting
+// once has it.
 var services = []struct {
-	name carobservice.Service
-	once string
+	name      carobservice.Service
+	guarantee string
 }{{"lookups", "no"}, {"declarations", "call"}, {"payouts", "key"}}
 
 const (
-	hopTime    = 500 * time.Microsecond
-	localTime  = 50 * time.Microsecond
-	callTime   = 3 * time.Millisecond
-	heartbeat  = time.Second
-	tailPause  = 50 * time.Millisecond
-	retryPause = 200 * time.Millisecond
-	dialTime   = time.Second
-	// goodbye is how long a node that has nothing left still refuses offers.
-	goodbye = time.Second
+	// networkDelay and localDelay are the minimum delays between two places and within
+	// one; the maximum is twice as much.
+	networkDelay = 500 * time.Microsecond
+	localDelay   = 50 * time.Microsecond
+	// callDuration is the minimum time that a target takes for a call.
+	callDuration = 3 * time.Millisecond
+	// announceInterval is the time between two announcements of a target.
+	announceInterval = time.Second
+	// pollInterval is the time between two reads of a stream, and retryDelay the delay
+	// after a failed request to the log.
+	pollInterval = 50 * time.Millisecond
+	retryDelay   = 200 * time.Millisecond
+	// dialTimeout is when a connection attempt without an answer fails.
+	dialTimeout = time.Second
+	// exitDelay is how long a node that has shut down still refuses offers before its
+	// process ends.
+	exitDelay = time.Second
 )
 
-// newSimulation starts nodes with a target of each service on each VM.
-func newSimulation(seed uint64, places int, p plan) *simulation {
+// newSimulation starts a node and a target of each service at each place.
+func newSimulation(seed uint64, places int, plan plan) *simulation {
 	codec, err := carobcodec.NewCodec()
 	if err != nil {
 		panic(err)
 	}
 	s := &simulation{
-		random: rand.New(rand.NewPCG(seed, 1)), codec: codec, oracle: newOracle(), plan: p,
-		kinds: map[carobkind.Kind]int{}, links: map[link]state{}, parted: map[link]time.Duration{}, log: &fakeLog{streams: map[carobstream.Stream]*fakeStream{}},
+		random: rand.New(rand.NewPCG(seed, 1)), codec: codec, oracle: newOracle(), plan: plan,
+		kinds: map[carobkind.Kind]int{}, links: map[link]linkState{}, lastFault: map[link]time.Duration{}, log: &fakeLog{streams: map[carobstream.Stream]*fakeStream{}},
 	}
 	s.now = 1
 	for place := range places {
-		for _, sv := range services {
-			id := carobtargetid.ID{Service: sv.name, Name: carobname.Name(fmt.Sprintf("t%d", place))}
-			tg := &fakeTarget{s: s, id: id, place: place, pace: 1, address: carobaddress.Address(fmt.Sprintf("10.0.1.%d:%d", place, len(s.targets)+1))}
-			s.targets = append(s.targets, tg)
-			tg.beat()
+		for _, service := range services {
+			id := carobtargetid.ID{Service: service.name, Name: carobname.Name(fmt.Sprintf("t%d", place))}
+			target := &fakeTarget{sim: s, id: id, place: place, durationFactor: 1, address: carobaddress.Address(fmt.Sprintf("10.0.1.%d:%d", place, len(s.targets)+1))}
+			s.targets = append(s.targets, target)
+			target.announcePeriodically()
 		}
 		s.nodes = append(s.nodes, nil)
-		s.boot(place)
+		s.startNode(place)
 	}
-	for _, sv := range services {
-		s.publish(string(sv.name), sv.once, 2*time.Second, -1)
+	for _, service := range services {
+		s.publish(string(service.name), service.guarantee, 2*time.Second, -1)
 	}
 	return s
 }
 
-// elapsed is the time of the simulation for the oracle.
+// elapsed returns the virtual time since the start.
 func (s *simulation) elapsed() time.Duration { return time.Duration(s.now) }
 
+// peerAddress returns the peer address of every node at a place.
 func peerAddress(place int) carobaddress.Address {
 	return carobaddress.Address(fmt.Sprintf("10.0.0.%d:7002", place))
 }
 
-// jitter returns a time between d and twice d.
-func (s *simulation) jitter(d time.Duration) time.Duration {
-	return d + time.Duration(s.random.Int64N(int64(d)+1))
+// jitter returns a random duration between a minimum and twice as much.
+func (s *simulation) jitter(minimum time.Duration) time.Duration {
+	return minimum + time.Duration(s.random.Int64N(int64(minimum)+1))
 }
 
-// transit is how long a message is on its way.
-func (s *simulation) transit() time.Duration {
-	return s.jitter(hopTime) + time.Duration(s.random.Int64N(int64(s.slowness)+1))
+// transitTime returns the delay of a message between two places.
+func (s *simulation) transitTime() time.Duration {
+	return s.jitter(networkDelay) + time.Duration(s.random.Int64N(int64(s.maxExtraDelay)+1))
 }
 
-func (s *simulation) chance(p float64) bool { return s.random.Float64() < p }
+// chance returns true with a probability.
+func (s *simulation) chance(probability float64) bool { return s.random.Float64() < probability }
 
-// at returns the running node at a peer address, or nil.
-func (s *simulation) at(ad carobaddress.Address) *node {
+// nodeAt returns the running node at a peer address, or nil.
+func (s *simulation) nodeAt(address carobaddress.Address) *node {
 	for _, n := range s.nodes {
-		if n.alive && n.self.PeerAddress == ad {
+		if n.alive && n.self.PeerAddress == address {
 			return n
 		}
 	}
 	return nil
 }
 
-// carry takes a control message to its node, encoded as between processes.
-func (s *simulation) carry(from int, ms carobmessage.Message) {
-	data, err := s.codec.Marshal(ms)
+// sendMessage sends a control message to its node through the codec, as between processes.
+func (s *simulation) sendMessage(from int, message carobmessage.Message) {
+	data, err := s.codec.Marshal(message)
 	if err != nil {
-		s.oracle.complain("message cannot be encoded: %v", err)
+		s.oracle.recordViolation("message cannot be encoded: %v", err)
 		return
 	}
 	copies := 1
-	if s.chance(s.doubling) {
+	if s.chance(s.duplicateRate) {
 		copies = 2
 	}
 	for range copies {
-		if s.chance(s.loss) {
+		if s.chance(s.lossRate) {
 			continue
 		}
-		s.after(s.transit(), func() {
-			n := s.at(ms.To)
-			if n == nil || s.links[link{from, n.place}] != open {
+		s.after(s.transitTime(), func() {
+			n := s.nodeAt(message.To)
+			if n == nil || s.links[link{from, n.place}] != linkUp {
 				return
 			}
 			var copied carobmessage.Message
 			if err := s.codec.Unmarshal(data, &copied); err != nil {
-				s.oracle.complain("message cannot be decoded: %v", err)
+				s.oracle.recordViolation("message cannot be decoded: %v", err)
 				return
 			}
-			n.do(0, func() {
-				n.post(func(in *carobinbox.Inbox) { in.Messages = append(in.Messages, copied) })
+			n.after(0, func() {
+				n.enqueue(func(in *carobinbox.Inbox) { in.Messages = append(in.Messages, copied) })
 			})
 		})
 	}
 }
 
-// joined returns since when two places reach each other without any fault.
-func (s *simulation) joined(a, b int) time.Duration {
+// connectedSince returns the time from which on two places have been connected without any
+// fault. It returns the present time if there is a fault.
+func (s *simulation) connectedSince(a, b int) time.Duration {
 	since := time.Duration(0)
 	for _, l := range []link{{a, b}, {b, a}, {a, a}, {b, b}} {
-		since = max(since, s.parted[l])
+		since = max(since, s.lastFault[l])
 	}
 	for _, n := range []*node{s.nodes[a], s.nodes[b]} {
 		if !n.alive || n.frozen {
 			return s.elapsed()
 		}
 	}
-	if s.loss > 0 || s.slowness > 0 || s.links[link{a, b}] != open || s.links[link{b, a}] != open {
+	if s.lossRate > 0 || s.maxExtraDelay > 0 || s.links[link{a, b}] != linkUp || s.links[link{b, a}] != linkUp {
 		return s.elapsed()
 	}
 	return since
 }
 
-// setLink changes a direction between two places.
-func (s *simulation) setLink(l link, st state) {
-	s.links[l], s.parted[l] = st, s.elapsed()
-	if st == cut {
-		s.breakAttempts(l)
+// setLink changes the state of a link.
+func (s *simulation) setLink(direction link, state linkState) {
+	s.links[direction], s.lastFault[direction] = state, s.elapsed()
+	if state == linkReset {
+		s.resetAttempts(direction)
 	}
 }
 
-// breakAttempts cuts the open attempts from one place to another.
-func (s *simulation) breakAttempts(l link) {
-	for _, at := range s.nodes[l.from].open {
-		if at.peer == l.to {
-			at.fail(carobkind.ConnectionLost)
+// resetAttempts closes the connections of the attempts from one place to another.
+func (s *simulation) resetAttempts(direction link) {
+	for _, sent := range s.nodes[direction.from].openAttempts {
+		if sent.place == direction.to {
+			sent.fail(carobkind.ConnectionLost)
 		}
 	}
 }
 
-// stopBound is how long a node may take to stop: calls have 2 s at most, outcomes
-// of keyed calls 3 s to be told, other nodes 1 s to hear of it.
-const stopBound = 7 * time.Second
+// maxStopTime is the time within which a graceful shutdown must end: calls take at most
+// 2 s, the settlements of keyed calls at most 3 s, and other nodes receive refusals for 1 s.
+const maxStopTime = 7 * time.Second
 
-// heal ends all faults.
-func (s *simulation) heal() {
+// endFaults ends all faults and starts the nodes that have ended.
+func (s *simulation) endFaults() {
 	for l := range s.links {
-		s.parted[l] = s.elapsed()
+		s.lastFault[l] = s.elapsed()
 	}
-	s.links = map[link]state{}
-	s.loss, s.doubling, s.slowness = 0, 0, 0
-	s.log.out, s.log.slow, s.log.lose = false, 0, 0
+	s.links = map[link]linkState{}
+	s.lossRate, s.duplicateRate, s.maxExtraDelay = 0, 0, 0
+	s.log.unavailable, s.log.extraDelay, s.log.lostResponses = false, 0, 0
 	for place, n := range s.nodes {
 		n.thaw()
-		s.parted[link{place, place}] = s.elapsed()
+		s.lastFault[link{place, place}] = s.elapsed()
 		switch {
 		case !n.alive:
-			s.boot(place)
+			s.startNode(place)
 		case n.stopping:
-			s.after(stopBound, func() {
+			s.after(maxStopTime, func() {
 				if n.alive {
-					s.oracle.complain("node %s does not stop", n.self.Node)
+					s.oracle.recordViolation("node %s does not shut down in time", n.self.Node)
 				}
-				s.boot(place)
+				s.startNode(place)
 			})
 		}
 	}
-	for _, tg := range s.targets {
-		tg.status, tg.pace = 0, 1
-		tg.turn(carobreadiness.Ready)
+	for _, target := range s.targets {
+		target.fixedStatus, target.durationFactor = 0, 1
+		target.setReadiness(carobreadiness.Ready)
 	}
 }
 
-// publish appends a change of a profile as an operator does.
-func (s *simulation) publish(name, once string, deadline time.Duration, base int64) {
+// publish appends a change of a profile to the log, as an operator does. base is the
+// offset of the revision that it replaces; -1 if there is none.
+func (s *simulation) publish(profile, guarantee string, deadline time.Duration, base int64) {
 	record := fmt.Sprintf(`{"profile":{"name":%q,"once":%q,"deadline":%q,"base":%d,"refuse":%t},"who":"op"}`,
-		name, once, deadline, base, refuses(carobservice.Service(name)))
+		profile, guarantee, deadline, base, notRunOn503(carobservice.Service(profile)))
 	s.appendLog(carobstream.Profiles, []byte(record), func(bool) {})
 }
 
-// refuses says whether a 503 of a service's targets proves that nothing ran.
-func refuses(service carobservice.Service) bool { return service != "declarations" }
+// notRunOn503 returns whether the profile of a service says that a response with status
+// 503 means that the call did not run.
+func notRunOn503(service carobservice.Service) bool { return service != "declarations" }
 
-// current returns the revision that an operator would change next.
-func (s *simulation) current(profile string) int64 {
+// currentRevision returns the offset of the newest accepted change of a profile; -1 if
+// there is none.
+func (s *simulation) currentRevision(profile string) int64 {
 	if all := s.oracle.accepted[profile]; len(all) > 0 {
 		return all[len(all)-1].offset
 	}
 	return -1
 }
 
-// appendLog appends a record and tells whether it is certain to be in the log.
-func (s *simulation) appendLog(stream carobstream.Stream, data []byte, told func(sure bool)) {
-	s.after(s.jitter(hopTime)+s.log.slow, func() {
-		if s.log.out {
-			told(false)
+// appendLog appends a record. It calls finished with whether the log has confirmed the
+// record; a record that is not confirmed may be in the log.
+func (s *simulation) appendLog(stream carobstream.Stream, data []byte, finished func(sure bool)) {
+	s.after(s.jitter(networkDelay)+s.log.extraDelay, func() {
+		if s.log.unavailable {
+			finished(false)
 			return
 		}
-		st := s.log.of(stream)
-		offset := st.add(data)
-		if stream == carobstream.Profiles && s.oracle.appended(int64(offset), data) {
-			s.watch(int64(offset), data)
+		stored := s.log.stream(stream)
+		offset := stored.appendRecord(data)
+		if stream == carobstream.Profiles && s.oracle.profileAppended(int64(offset), data) {
+			s.checkPropagation(int64(offset), data)
 		}
-		lost := s.log.lose > 0
+		lost := s.log.lostResponses > 0
 		if lost {
-			s.log.lose--
+			s.log.lostResponses--
 		}
-		s.after(s.jitter(hopTime), func() { told(!lost) })
+		s.after(s.jitter(networkDelay), func() { finished(!lost) })
 	})
 }
 
-const forceBound = 5 * time.Second
+// maxPropagationTime is the time within which a change must be in force at all nodes that
+// can reach the log.
+const maxPropagationTime = 5 * time.Second
 
-// watch checks that an accepted change is in force in time at every node that
-// could read the log all the while, or reached one that could.
-func (s *simulation) watch(offset int64, data []byte) {
+// checkPropagation checks that an accepted change is in force within maxPropagationTime at
+// every node that could read the log all the time, or was connected to a node that could.
+func (s *simulation) checkPropagation(offset int64, data []byte) {
 	var record struct{ Profile struct{ Name string } }
 	mustDecode(data, &record)
 	accepted := s.elapsed()
-	s.after(forceBound, func() {
+	s.after(maxPropagationTime, func() {
 		for _, n := range s.nodes {
-			if n.connected(accepted) && s.oracle.force[string(n.self.Node)+"/"+record.Profile.Name] < offset {
-				s.oracle.complain("node %s does not have revision %d of %s in force after %s", n.self.Node, offset, record.Profile.Name, forceBound)
+			if n.reachedLogSince(accepted) && s.oracle.inForce[string(n.self.Node)+"/"+record.Profile.Name] < offset {
+				s.oracle.recordViolation("node %s does not have revision %d of %s in force after %s", n.self.Node, offset, record.Profile.Name, maxPropagationTime)
 			}
 		}
 	})
 }
 
-// fakeTarget is a target: it runs calls and answers with their bodies.
+// fakeTarget simulates a target that answers each call with the body of the call.
 type fakeTarget struct {
-	s       *simulation
-	id      carobtargetid.ID
-	place   int
-	address carobaddress.Address
-	state   carobreadiness.Readiness
-	// gone says that the target has withdrawn; down that it answers nothing.
-	gone, down bool
-	// status is what it answers at once in place of running, if not 0.
-	status int
-	// pace multiplies the time that a call takes.
-	pace int
+	sim       *simulation
+	id        carobtargetid.ID
+	place     int
+	address   carobaddress.Address
+	readiness carobreadiness.Readiness
+	// withdrawn is true once the target has withdrawn. A target that is down neither
+	// answers calls nor announces itself.
+	withdrawn, down bool
+	// fixedStatus is the status of all its responses, which are immediate; 0 for normal
+	// responses.
+	fixedStatus int
+	// durationFactor multiplies callDuration; 1 is normal.
+	durationFactor int
 }
 
-// beat announces the target to its node again and again.
-func (t *fakeTarget) beat() {
-	if t.state == "" {
-		t.state = carobreadiness.Ready
+// announcePeriodically announces the target to its node each announceInterval.
+func (t *fakeTarget) announcePeriodically() {
+	if t.readiness == "" {
+		t.readiness = carobreadiness.Ready
 	}
 	t.announce()
-	t.s.after(heartbeat, t.beat)
+	t.sim.after(announceInterval, t.announcePeriodically)
 }
 
-// turn changes the target's state and announces it.
-func (t *fakeTarget) turn(st carobreadiness.Readiness) {
-	t.state, t.gone, t.down = st, false, false
+// setReadiness changes the readiness of the target and announces it. A target that was
+// down or withdrawn returns.
+func (t *fakeTarget) setReadiness(readiness carobreadiness.Readiness) {
+	t.readiness, t.withdrawn, t.down = readiness, false, false
 	t.announce()
 }
 
+// withdraw announces that the target has withdrawn.
 func (t *fakeTarget) withdraw() {
-	t.gone = true
+	t.withdrawn = true
 	t.announce()
 }
 
+// announce sends an announcement to the node at the same place.
 func (t *fakeTarget) announce() {
-	if t.down || t.place >= len(t.s.nodes) || t.s.nodes[t.place] == nil {
+	if t.down || t.place >= len(t.sim.nodes) || t.sim.nodes[t.place] == nil {
 		return
 	}
-	n, an := t.s.nodes[t.place], carobannouncement.Announcement{
-		Target: t.id, Withdrawn: t.gone, Address: t.address, Profile: carobname.Name(t.id.Service),
-		Slots: 2, Connections: 8, Readiness: t.state,
+	n, announcement := t.sim.nodes[t.place], carobannouncement.Announcement{
+		Target: t.id, Withdrawn: t.withdrawn, Address: t.address, Profile: carobname.Name(t.id.Service),
+		Slots: 2, Connections: 8, Readiness: t.readiness,
 	}
-	n.do(localTime, func() {
-		n.post(func(in *carobinbox.Inbox) { in.Announcements = append(in.Announcements, an) })
+	n.after(localDelay, func() {
+		n.enqueue(func(in *carobinbox.Inbox) { in.Announcements = append(in.Announcements, announcement) })
 	})
 }
 
-// run runs a call, and answers in its time.
-func (t *fakeTarget) run(call, body string, answer func(status int, body string)) {
+// run runs a call and responds after the time that it takes.
+func (t *fakeTarget) run(call, body string, respond func(status int, body string)) {
 	switch {
-	case t.status == 503:
-		t.s.oracle.replied(call)
-		if !refuses(t.id.Service) && t.s.chance(0.5) {
-			t.s.oracle.ran(call, body)
+	case t.fixedStatus == 503:
+		t.sim.oracle.targetRefused(call)
+		if !notRunOn503(t.id.Service) && t.sim.chance(0.5) {
+			t.sim.oracle.callRan(call, body)
 		}
-		t.s.after(localTime, func() { answer(503, body) })
-	case t.status != 0:
-		t.s.oracle.ran(call, body)
-		t.s.after(localTime, func() { answer(t.status, body) })
+		t.sim.after(localDelay, func() { respond(503, body) })
+	case t.fixedStatus != 0:
+		t.sim.oracle.callRan(call, body)
+		t.sim.after(localDelay, func() { respond(t.fixedStatus, body) })
 	default:
-		t.s.oracle.ran(call, body)
-		t.s.after(t.s.jitter(callTime)*time.Duration(t.pace), func() { answer(200, body) })
+		t.sim.oracle.callRan(call, body)
+		t.sim.after(t.sim.jitter(callDuration)*time.Duration(t.durationFactor), func() { respond(200, body) })
 	}
 }
 
-// targetAt returns the target at an address.
-func (s *simulation) targetAt(ad carobaddress.Address) *fakeTarget {
-	for _, tg := range s.targets {
-		if tg.address == ad {
-			return tg
+// targetAt returns the target at an address, or nil.
+func (s *simulation) targetAt(address carobaddress.Address) *fakeTarget {
+	for _, target := range s.targets {
+		if target.address == address {
+			return target
 		}
 	}
 	return nil
