--- a/test/fuzz/simulation_test.go
+++ b/test/fuzz/simulation_test.go
@@ -70,8 +70,8 @@
 }{{"lookups", "no"}, {"declarations", "call"}, {"payouts", "key"}}
 
 const (
-	// networkDelay and localDelay are the minimum delays between two places and within
-	// one; the maximum is twice as much.
+	// networkDelay and localDelay are the usual delays between two places and within one.
+	// jitter at most doubles them; a requested tick runs within localDelay.
 	networkDelay = 500 * time.Microsecond
 	localDelay   = 50 * time.Microsecond
 	// callDuration is the minimum time that a target takes for a call.
