--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -12,11 +12,11 @@
 
 	"github.com/carobknot/carobknot/internal/carobanswer"
 	"github.com/carobknot/carobknot/internal/carobbody"
+	"github.com/carobknot/carobknot/internal/carobdisconnectwatch"
 	"github.com/carobknot/carobknot/internal/carobdispatcher"
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobwatch"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
 	"github.com/carobknot/carobknot/pkg/carobguarantee"
@@ -42,35 +42,35 @@
 // dialect is the HTTP interface of the targets: which headers requests and responses
 // carry.
 type dialect interface {
-	// Ask sets the headers of a request that starts a job at a target.
-	Ask(req *fasthttp.Request, start *carobstart.Start, target carobtargetid.ID)
-	// Check fills in a health check of the target at an address.
-	Check(req *fasthttp.Request, address carobaddress.Address)
-	// Identity returns the name and the number of slots of a target, from its response
-	// to a health check.
-	Identity(resp *fasthttp.Response) (carobname.Name, int)
-	// Judge classifies a response. The kind is None if the response answers the call, and
-	// the reason otherwise, for example that the target refused the call. The load is nil
-	// if the response does not report it.
-	Judge(resp *fasthttp.Response) (carobkind.Kind, *carobtargetload.TargetLoad)
+	// PrepareRequest sets the headers of a request that starts a job at a target.
+	PrepareRequest(req *fasthttp.Request, start *carobstart.Start, target carobtargetid.ID)
+	// PrepareHealthCheck fills in a health check of the target at an address.
+	PrepareHealthCheck(req *fasthttp.Request, address carobaddress.Address)
+	// ParseIdentity returns the name and the number of slots of a target, from its
+	// response to a health check.
+	ParseIdentity(resp *fasthttp.Response) (carobname.Name, int)
+	// Classify classifies a response. The kind is None if the response answers the
+	// call, and the reason otherwise, for example that the target refused the call. The
+	// load is nil if the response does not report it.
+	Classify(resp *fasthttp.Response) (carobkind.Kind, *carobtargetload.TargetLoad)
 }
 
 // Config holds the parameters of an admitter.
 type Config struct {
 	Mailbox *carobmailbox.Mailbox
-	// Targets sends requests to the node's own targets.
-	Targets exchanger
+	// TargetClient sends requests to the node's own targets.
+	TargetClient exchanger
 	// Dialect is the HTTP interface of the targets; nil means carobknot's own headers.
 	Dialect dialect
-	// Gather is the size of the largest response body that is read to its end before
-	// the response is forwarded; 0 means that every response is forwarded as it is
-	// received.
-	Gather carobsize.Size
-	// Watch detects that entry nodes close their connections.
-	Watch *carobwatch.Watch
-	Timer *carobtimer.Timer
-	// Stall is how long an entry node may send or accept no bytes of a body.
-	Stall time.Duration
+	// MaxBufferedAnswer is the size of the largest response body that is read to its
+	// end before the response is forwarded; 0 means that every response is forwarded as
+	// it is received.
+	MaxBufferedAnswer carobsize.Size
+	// DisconnectWatch detects that entry nodes close their connections.
+	DisconnectWatch *carobdisconnectwatch.DisconnectWatch
+	Timer           *carobtimer.Timer
+	// StallTimeout is how long an entry node may send or accept no bytes of a body.
+	StallTimeout time.Duration
 }
 
 // Admitter runs jobs at the node's own targets.
@@ -98,10 +98,10 @@
 	return &Admitter{config: c, dispatcher: carobdispatcher.NewDispatcher[carobjobid.ID, decision]()}
 }
 
-// Carry carries out the effects of a tick that concern the node's own targets: it
+// Execute carries out the effects of a tick that concern the node's own targets: it
 // stores reports, starts health checks, and hands the decisions on jobs to the
 // goroutines that wait for them.
-func (a *Admitter) Carry(out *caroboutbox.Outbox) {
+func (a *Admitter) Execute(out *caroboutbox.Outbox) {
 	for _, report := range out.Reports {
 		a.reports.Store(report.Target, &report)
 	}
@@ -109,10 +109,10 @@
 		go a.checkHealth(check)
 	}
 	for _, refusal := range out.Refusals {
-		a.dispatcher.Give(refusal.Job, decision{kind: refusal.Kind})
+		a.dispatcher.Enqueue(refusal.Job, decision{kind: refusal.Kind})
 	}
 	for _, start := range out.Starts {
-		a.dispatcher.Give(start.Job, decision{start: &start})
+		a.dispatcher.Enqueue(start.Job, decision{start: &start})
 	}
 }
 
@@ -130,8 +130,8 @@
 // admit offers a job and waits until it is started or refused. The kind of an error
 // is that of the refusal, or Cancelled if ctx has ended.
 func (a *Admitter) admit(ctx context.Context, offer caroboffer.Offer) (*carobstart.Start, error) {
-	decisions := a.dispatcher.Open(offer.Job)
-	defer a.dispatcher.Close(offer.Job)
+	decisions := a.dispatcher.Subscribe(offer.Job)
+	defer a.dispatcher.Unsubscribe(offer.Job)
 	a.config.Mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.Offers = append(inbox.Offers, offer) })
 	select {
 	case <-ctx.Done():
@@ -157,17 +157,17 @@
 // after an error, and otherwise once the body of the response is closed.
 func (a *Admitter) run(ctx context.Context, start *carobstart.Start, req *fasthttp.Request, target carobtargetid.ID) (*carobanswer.Answer, error) {
 	carobheader.CleanRequest(&req.Header)
-	a.config.Dialect.Ask(req, start, target)
-	answer, err := a.config.Targets.Do(ctx, start.Address, req, start.Guarantee != carobguarantee.Idempotent)
+	a.config.Dialect.PrepareRequest(req, start, target)
+	answer, err := a.config.TargetClient.Do(ctx, start.Address, req, start.Guarantee != carobguarantee.Idempotent)
 	if err != nil {
 		a.postFinish(carobfinish.Finish{Job: start.Job, Kind: carobkind.Of(err)})
 		return nil, err
 	}
 	finish := carobfinish.Finish{Job: start.Job, Status: answer.Response.StatusCode()}
-	kind, pressure := a.config.Dialect.Judge(answer.Response)
+	kind, pressure := a.config.Dialect.Classify(answer.Response)
 	finish.TargetLoad = pressure
-	if limit := int(a.config.Gather); limit > 0 && answer.Length <= limit {
-		if errGather := answer.Gather(limit); errGather != nil && kind == carobkind.None {
+	if limit := int(a.config.MaxBufferedAnswer); limit > 0 && answer.Length <= limit {
+		if errBuffer := answer.Buffer(limit); errBuffer != nil && kind == carobkind.None {
 			kind = carobkind.ConnectionLost
 		}
 	}
@@ -179,7 +179,7 @@
 	}
 	carobheader.CleanResponse(&answer.Response.Header)
 	answer.Report = a.Report(target)
-	answer.Body = carobbody.NewBody(carobbody.Config{Stream: answer.Body, Length: answer.Length, Over: func(kind carobkind.Kind) {
+	answer.Body = carobbody.NewBody(carobbody.Config{Stream: answer.Body, Length: answer.Length, OnEnd: func(kind carobkind.Kind) {
 		finish.Kind = kind
 		a.postFinish(finish)
 	}})
--- a/internal/carobadmitter/incoming_job.go
+++ b/internal/carobadmitter/incoming_job.go
@@ -8,7 +8,7 @@
 
 	"github.com/carobknot/carobknot/internal/carobanswer"
 	"github.com/carobknot/carobknot/internal/carobbody"
-	"github.com/carobknot/carobknot/internal/carobupload"
+	"github.com/carobknot/carobknot/internal/carobrequestbody"
 	"github.com/carobknot/carobknot/pkg/carobfinish"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobkind"
@@ -17,8 +17,8 @@
 	"github.com/carobknot/carobknot/pkg/carobstart"
 )
 
-// incomingJobKey is the key of the user value that keeps an admitted job from Expect
-// until the HTTP library calls Serve.
+// incomingJobKey is the key of the user value that keeps an admitted job from
+// HandleExpect until the HTTP library calls Serve.
 type incomingJobKey struct{}
 
 // maxBufferedBody is the largest body that is read before the request is sent to the
@@ -63,9 +63,9 @@
 // call limits the wait for the header of the response, not the transfer of its body.
 func (j *incomingJob) run(ctx *fasthttp.RequestCtx) error {
 	config := j.admitter.config
-	upload, err := carobupload.NewUpload(carobupload.Config{
-		Stream: ctx.RequestBodyStream(), Length: ctx.Request.Header.ContentLength(), Keep: maxBufferedBody,
-		Conn: ctx.Conn(), Timer: config.Timer, Stall: config.Stall,
+	body, err := carobrequestbody.NewRequestBody(carobrequestbody.Config{
+		Stream: ctx.RequestBodyStream(), Length: ctx.Request.Header.ContentLength(), MaxBuffered: maxBufferedBody,
+		Conn: ctx.Conn(), Timer: config.Timer, StallTimeout: config.StallTimeout,
 	})
 	if err != nil {
 		j.admitter.postFinish(carobfinish.Finish{Job: j.offer.Job, Kind: carobkind.ConnectionLost})
@@ -73,7 +73,7 @@
 	}
 	req := &fasthttp.Request{}
 	ctx.Request.Header.CopyTo(&req.Header)
-	if err := upload.Attach(req); err != nil {
+	if err := body.Attach(req); err != nil {
 		return err
 	}
 	setDeadline := config.Timer.Subscribe(j.cancel)
@@ -81,19 +81,19 @@
 	answer, err := j.admitter.run(j.context, j.start, req, j.offer.Target)
 	setDeadline(carobinstant.Never)
 	if err != nil {
-		upload.Release()
+		body.Release()
 		return err
 	}
-	j.forward(ctx, answer, upload)
+	j.forward(ctx, answer, body)
 	return nil
 }
 
 // forward sends a response to the entry node.
-func (j *incomingJob) forward(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, upload *carobupload.Upload) {
+func (j *incomingJob) forward(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, body *carobrequestbody.RequestBody) {
 	answer.Response.Header.CopyTo(&ctx.Response.Header)
 	j.admitter.addReport(ctx, j.offer.Target)
-	carobbody.Attach(ctx, answer, j.admitter.config.Timer, j.admitter.config.Stall, func(carobkind.Kind) {
-		upload.Release()
+	carobbody.SetResponseBody(ctx, answer, j.admitter.config.Timer, j.admitter.config.StallTimeout, func(carobkind.Kind) {
+		body.Release()
 		j.close()
 	})
 }
--- a/internal/carobadmitter/serve.go
+++ b/internal/carobadmitter/serve.go
@@ -31,10 +31,10 @@
 	}
 }
 
-// Expect handles the header of an attempt with "Expect: 100-continue". It returns 100
-// once the job is started, and otherwise the status of the refusal; the entry node then
-// sends no body and can send it to another target.
-func (a *Admitter) Expect(ctx *fasthttp.RequestCtx) int {
+// HandleExpect handles the header of an attempt with "Expect: 100-continue". It
+// returns 100 once the job is started, and otherwise the status of the refusal; the
+// entry node then sends no body and can send it to another target.
+func (a *Admitter) HandleExpect(ctx *fasthttp.RequestCtx) int {
 	job, err := a.receive(ctx)
 	if err != nil {
 		a.refuse(ctx, nil, err)
@@ -54,7 +54,7 @@
 	}
 	job := &incomingJob{admitter: a, offer: offer}
 	job.context, job.cancel = context.WithCancel(context.Background())
-	job.unwatch = a.config.Watch.Add(ctx.Conn(), job.cancel)
+	job.unwatch = a.config.DisconnectWatch.Add(ctx.Conn(), job.cancel)
 	if job.start, err = a.admit(job.context, offer); err != nil {
 		job.close()
 		a.addReport(ctx, offer.Target)
@@ -75,20 +75,20 @@
 func (a *Admitter) refuse(ctx *fasthttp.RequestCtx, job *incomingJob, err error) {
 	kind := carobkind.Of(err)
 	ctx.Response.SetStatusCode(kind.Status())
-	ctx.Response.Header.Set(carobheader.Kind, string(kind))
+	ctx.Response.Header.Set(carobheader.ErrorKind, string(kind))
 	if job != nil {
 		a.addReport(ctx, job.offer.Target)
 	}
 }
 
-// Fail handles a request that the HTTP library could not read.
-func (a *Admitter) Fail(ctx *fasthttp.RequestCtx, _ error) {
+// HandleError handles a request that the HTTP library could not read.
+func (a *Admitter) HandleError(ctx *fasthttp.RequestCtx, _ error) {
 	a.refuse(ctx, nil, carobkind.Invalid)
 }
 
 // parseOffer reads the offer of a job from the header of an attempt.
 func parseOffer(header *fasthttp.RequestHeader) (caroboffer.Offer, error) {
 	offer, err := carobheader.ParseOffer(string(header.Peek(carobheader.Offer)))
-	offer.Key, offer.Traceparent = string(header.Peek(carobheader.Key)), string(header.Peek(carobheader.Trace))
+	offer.Key, offer.Traceparent = string(header.Peek(carobheader.IdempotencyKey)), string(header.Peek(carobheader.TraceContext))
 	return offer, err
 }
--- a/internal/carobbody/attach.go
+++ b/internal/carobbody/attach.go
@@ -14,19 +14,19 @@
 // header, in bytes. The header of a response with a longer body is sent at once.
 const maxSingleWriteBody = 4096
 
-// Attach forwards the body of answer as the body of the response to ctx, whose header
-// must already be set. Sending fails if the receiver accepts no bytes for the duration
-// stall. onEnd is called like Config.Over.
-func Attach(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, timer *carobtimer.Timer, stall time.Duration, onEnd func(kind carobkind.Kind)) {
+// SetResponseBody forwards the body of answer as the body of the response to ctx, whose
+// header must already be set. Sending fails if the receiver accepts no bytes for the
+// duration stallTimeout. onEnd is called like Config.OnEnd.
+func SetResponseBody(ctx *fasthttp.RequestCtx, answer *carobanswer.Answer, timer *carobtimer.Timer, stallTimeout time.Duration, onEnd func(kind carobkind.Kind)) {
 	ctx.Response.Header.SetNoDefaultContentType(true)
 	conn := ctx.Conn()
-	extendDeadline := func() { _ = conn.SetWriteDeadline(timer.Wall().Add(stall)) }
+	extendDeadline := func() { _ = conn.SetWriteDeadline(timer.WallTime().Add(stallTimeout)) }
 	extendDeadline()
-	if answer.Bodiless {
+	if answer.NoBody {
 		_ = answer.Body.Close()
 		onEnd(carobkind.None)
 		return
 	}
 	ctx.Response.ImmediateHeaderFlush = answer.Length > maxSingleWriteBody
-	ctx.Response.SetBodyStream(NewBody(Config{Stream: answer.Body, Length: answer.Length, Allow: extendDeadline, Over: onEnd}), answer.Length)
+	ctx.Response.SetBodyStream(NewBody(Config{Stream: answer.Body, Length: answer.Length, ExtendDeadline: extendDeadline, OnEnd: onEnd}), answer.Length)
 }
--- a/internal/carobclaimlog/claimlog.go
+++ b/internal/carobclaimlog/claimlog.go
@@ -7,8 +7,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"github.com/carobknot/carobknot/internal/caroblogclient"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
-	"github.com/carobknot/carobknot/internal/carobplatform"
 	"github.com/carobknot/carobknot/internal/carobtail"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobappendrequest"
@@ -21,7 +21,7 @@
 
 // Config holds the parameters of a claim log.
 type Config struct {
-	Log     *carobplatform.Client
+	Log     *caroblogclient.LogClient
 	Mailbox *carobmailbox.Mailbox
 	Timer   *carobtimer.Timer
 	Logger  *logrus.Entry
@@ -33,7 +33,7 @@
 	// ctx ends all appends and tails.
 	ctx context.Context
 	// cancels holds the function that ends the tail of each stream being read. Only
-	// the goroutine that calls Carry uses it.
+	// the goroutine that calls Execute uses it.
 	cancels map[carobstream.Stream]context.CancelFunc
 }
 
@@ -43,9 +43,9 @@
 	return &ClaimLog{config: c, ctx: ctx, cancels: map[carobstream.Stream]context.CancelFunc{}}
 }
 
-// Carry starts and stops reading streams, and starts the appends of a tick. It does
+// Execute starts and stops reading streams, and starts the appends of a tick. It does
 // not wait for the log.
-func (c *ClaimLog) Carry(out *caroboutbox.Outbox) {
+func (c *ClaimLog) Execute(out *caroboutbox.Outbox) {
 	for _, subscription := range out.Subscriptions {
 		c.stop(subscription.Stream)
 		if subscription.Active {
--- a/internal/carobcommand/emulate.go
+++ b/internal/carobcommand/emulate.go
@@ -40,7 +40,7 @@
 			scenario.Profile.Policy = carobname.Name(*policy)
 		}
 		if *checks >= 0 {
-			scenario.Measure.ChecksPerSecond = *checks
+			scenario.ProbeLimits.ChecksPerSecond = *checks
 		}
 		if *queue >= 0 {
 			scenario.Profile.QueueLimit = *queue
@@ -52,7 +52,7 @@
 		if err != nil {
 			return err
 		}
-		carobsummary.Table(std.out, emulator.Run(*duration)...)
+		carobsummary.WriteTable(std.out, emulator.Run(*duration)...)
 		return nil
 	}
 }
--- a/internal/carobcommand/load.go
+++ b/internal/carobcommand/load.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"github.com/carobknot/carobknot/internal/carobloader"
+	"github.com/carobknot/carobknot/internal/carobloadgenerator"
 	"github.com/carobknot/carobknot/internal/carobsummary"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
@@ -27,7 +27,7 @@
 }
 
 func parseLoad(flags *flag.FlagSet) runner {
-	c := carobloader.Config{}
+	c := carobloadgenerator.Config{}
 	var direct []carobaddress.Address
 	flags.Func("nodes", "`ADDRS` at which nodes accept calls, separated by commas", parseAddresses(&c.Nodes))
 	flags.Func("direct", "`ADDRS` of targets that get the same load directly, for comparison", parseAddresses(&direct))
@@ -36,13 +36,13 @@
 		return c.Service.Check()
 	})
 	flags.Float64Var(&c.Rate, "rate", 100, "mean `CALLS` a second")
-	flags.IntVar(&c.Count, "count", 0, "maximum number of `CALLS`; 0 is no limit")
+	flags.IntVar(&c.MaxCalls, "count", 0, "maximum number of `CALLS`; 0 is no limit")
 	flags.DurationVar(&c.Duration, "duration", 10*time.Second, "`TIME` for which calls are sent")
-	flags.DurationVar(&c.Skip, "skip", 0, "`TIME` at the start whose calls are not counted")
+	flags.DurationVar(&c.Warmup, "skip", 0, "`TIME` at the start whose calls are not counted")
 	flags.Uint64Var(&c.Seed, "seed", 1, "`SEED` of arrivals and bodies")
-	flags.TextVar(&c.Size, "size", c.Size, "`SIZE` of each body")
-	flags.TextVar(&c.Answer, "answer", c.Answer, "`SIZE` of each answer; 0B makes the target send the body back")
-	flags.TextVar(&c.Keys, "keys", c.Keys, "`SHARE` of calls with an idempotency key")
+	flags.TextVar(&c.RequestSize, "size", c.RequestSize, "`SIZE` of each body")
+	flags.TextVar(&c.AnswerSize, "answer", c.AnswerSize, "`SIZE` of each answer; 0B makes the target send the body back")
+	flags.TextVar(&c.KeyShare, "keys", c.KeyShare, "`SHARE` of calls with an idempotency key")
 	flags.DurationVar(&c.Deadline, "deadline", 2*time.Second, "`TIME` until the deadline of a call")
 	report := flags.String("report", "", "`FILE` for a report as JSON")
 	return func(ctx context.Context, std *stdStreams, args []string) error {
@@ -71,13 +71,13 @@
 // runLoad sends the load to the nodes and, at the same time, the same load directly to
 // the targets of direct, if there are any. It prints the summaries and writes them to a
 // file, if one is named.
-func runLoad(ctx context.Context, std *stdStreams, c carobloader.Config, direct []carobaddress.Address, file string) error {
+func runLoad(ctx context.Context, std *stdStreams, c carobloadgenerator.Config, direct []carobaddress.Address, file string) error {
 	c.Timer = carobtimer.NewTimer()
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	go c.Timer.Run(inner)
 	c.Name = "nodes"
-	configs := []carobloader.Config{c}
+	configs := []carobloadgenerator.Config{c}
 	if len(direct) > 0 {
 		c.Name, c.Nodes, c.Direct = "direct", direct, true
 		configs = append(configs, c)
@@ -85,10 +85,10 @@
 	summaries := make([]*carobsummary.Summary, len(configs))
 	var running sync.WaitGroup
 	for i, config := range configs {
-		running.Go(func() { summaries[i] = carobloader.NewLoader(config).Run(ctx) })
+		running.Go(func() { summaries[i] = carobloadgenerator.NewLoadGenerator(config).Run(ctx) })
 	}
 	running.Wait()
-	carobsummary.Table(std.out, summaries...)
+	carobsummary.WriteTable(std.out, summaries...)
 	if err := writeReport(file, summaries); err != nil {
 		return err
 	}
--- a/internal/carobcommand/profiles.go
+++ b/internal/carobcommand/profiles.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/carobknot/carobknot/internal/carobledger"
-	"github.com/carobknot/carobknot/internal/carobplatform"
+	"github.com/carobknot/carobknot/internal/caroblogclient"
+	"github.com/carobknot/carobknot/internal/carobprofilehistory"
 	"github.com/carobknot/carobknot/pkg/carobchangeresult"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
@@ -44,8 +44,8 @@
 		if *url == "" || len(args) > 0 {
 			return errUsage("-log URL is needed, and no operands")
 		}
-		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Patience: *timeout})
-		history := carobledger.NewLedger(carobledger.Config{Log: client})
+		client := caroblogclient.NewLogClient(caroblogclient.Config{URL: *url, Timeout: *timeout})
+		history := carobprofilehistory.NewProfileHistory(carobprofilehistory.Config{Log: client})
 		if err := history.Read(ctx); err != nil {
 			return carobkind.Wrap(carobkind.AppendUncertain, err, "the log cannot be read")
 		}
@@ -61,19 +61,19 @@
 }
 
 // settleChange prints the result of the change with an ID.
-func settleChange(std *stdStreams, history *carobledger.Ledger, id string) error {
-	result, ok := history.Find(id)
+func settleChange(std *stdStreams, history *carobprofilehistory.ProfileHistory, id string) error {
+	result, ok := history.FindResult(id)
 	if ok {
 		return reportResult(std, result)
 	}
-	if !history.Whole() {
+	if !history.Complete() {
 		return carobkind.New(carobkind.AppendUncertain, "unknown: the log no longer keeps the first changes")
 	}
-	return carobkind.New(carobkind.LogUnavailable, "not accepted: the log has no change %s up to offset %d; publish it again", id, history.Next()-1)
+	return carobkind.New(carobkind.LogUnavailable, "not accepted: the log has no change %s up to offset %d; publish it again", id, history.NextOffset()-1)
 }
 
 // printJSON prints the revisions in force as a JSON list.
-func printJSON(out io.Writer, history *carobledger.Ledger) error {
+func printJSON(out io.Writer, history *carobprofilehistory.ProfileHistory) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(sortedRevisions(history)); err != nil {
@@ -83,8 +83,8 @@
 }
 
 // printTables prints the profiles in force and the history of changes as tables.
-func printTables(std *stdStreams, history *carobledger.Ledger) error {
-	if !history.Whole() {
+func printTables(std *stdStreams, history *carobprofilehistory.ProfileHistory) error {
+	if !history.Complete() {
 		_, _ = fmt.Fprintln(std.err, "carobknot profiles: the log keeps neither the first changes nor a snapshot of them; the output is incomplete")
 	}
 	table := tabwriter.NewWriter(std.out, 0, 0, 2, ' ', 0)
@@ -95,7 +95,7 @@
 			revision.Change.Who, revision.Change.When.Format(time.RFC3339))
 	}
 	_, _ = fmt.Fprintln(table, "\nCHANGE\tPROFILE\tBASE\tEND\tWHO\tWHEN")
-	for _, result := range history.History {
+	for _, result := range history.Results {
 		_, _ = fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", result.Offset, result.Change.Profile.Name, formatBase(result.Change.Profile.Base),
 			formatResult(result), result.Change.Who, result.Change.When.Format(time.RFC3339))
 	}
@@ -103,8 +103,8 @@
 }
 
 // sortedRevisions returns the revisions in force, sorted by the names of the profiles.
-func sortedRevisions(history *carobledger.Ledger) []carobrevision.Revision {
-	revisions := history.InForce()
+func sortedRevisions(history *carobprofilehistory.ProfileHistory) []carobrevision.Revision {
+	revisions := history.RevisionsInForce()
 	slices.SortFunc(revisions, func(a, b carobrevision.Revision) int {
 		return cmp.Compare(a.Change.Profile.Name, b.Change.Profile.Name)
 	})
--- a/internal/carobcommand/publish.go
+++ b/internal/carobcommand/publish.go
@@ -9,8 +9,8 @@
 	"os/user"
 	"time"
 
-	"github.com/carobknot/carobknot/internal/carobledger"
-	"github.com/carobknot/carobknot/internal/carobplatform"
+	"github.com/carobknot/carobknot/internal/caroblogclient"
+	"github.com/carobknot/carobknot/internal/carobprofilehistory"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobchangeresult"
@@ -21,8 +21,8 @@
 const (
 	// logTimeout is the default timeout of a request to the log.
 	logTimeout = 5 * time.Second
-	// maxAppends is how often a change is appended at most while it is not known whether
-	// it is in the log.
+	// maxAppends is how often a change is appended at most while it is not known
+	// whether it is in the log.
 	maxAppends = 3
 )
 
@@ -48,10 +48,10 @@
 		if *url == "" || len(args) != 1 {
 			return errUsage("-log URL and one FILE are needed")
 		}
-		client := carobplatform.NewClient(carobplatform.Config{URL: *url, Patience: *timeout})
+		client := caroblogclient.NewLogClient(caroblogclient.Config{URL: *url, Timeout: *timeout})
 		p := &publisher{
 			std: std, url: *url, log: client,
-			history: carobledger.NewLedger(carobledger.Config{Log: client}),
+			history: carobprofilehistory.NewProfileHistory(carobprofilehistory.Config{Log: client}),
 		}
 		return p.publish(ctx, args[0])
 	}
@@ -61,8 +61,8 @@
 type publisher struct {
 	std     *stdStreams
 	url     string
-	log     *carobplatform.Client
-	history *carobledger.Ledger
+	log     *caroblogclient.LogClient
+	history *carobprofilehistory.ProfileHistory
 	// change is empty until publish has read the file.
 	change carobchange.Change
 }
@@ -77,14 +77,14 @@
 	if err := p.history.Read(ctx); err != nil {
 		return carobkind.New(carobkind.LogUnavailable, "not accepted: the log cannot be read: %s", err)
 	}
-	if !p.history.Whole() {
+	if !p.history.Complete() {
 		return carobkind.New(carobkind.LogUnavailable, "not accepted: the log keeps neither the first changes nor a snapshot of them; "+
 			"nodes that run append one within seconds, so try again")
 	}
 	if !hasBase {
-		profile.Base = p.history.Of(profile.Name)
+		profile.Base = p.history.CurrentOffset(profile.Name)
 	}
-	p.change = carobchange.Change{ID: rand.Text(), Profile: profile, Who: operator(), When: carobtimer.NewTimer().Wall().UTC()}
+	p.change = carobchange.Change{ID: rand.Text(), Profile: profile, Who: operator(), When: carobtimer.NewTimer().WallTime().UTC()}
 	data, err := json.Marshal(p.change)
 	if err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "encode change")
@@ -107,7 +107,7 @@
 		if err := p.history.Read(ctx); err != nil {
 			break
 		}
-		if result, ok := p.history.Find(p.change.ID); ok {
+		if result, ok := p.history.FindResult(p.change.ID); ok {
 			return reportResult(p.std, result)
 		}
 	}
--- a/internal/carobcommand/target.go
+++ b/internal/carobcommand/target.go
@@ -7,7 +7,7 @@
 	"net"
 
 	"github.com/carobknot/carobknot/internal/carobbehaviour"
-	"github.com/carobknot/carobknot/internal/carobstandtarget"
+	"github.com/carobknot/carobknot/internal/carobfaketarget"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobkind"
@@ -24,7 +24,7 @@
 }
 
 func parseTarget(flags *flag.FlagSet) runner {
-	c := carobstandtarget.Config{Behaviour: carobbehaviour.NewBehaviour()}
+	c := carobfaketarget.Config{Behaviour: carobbehaviour.NewBehaviour()}
 	listen := flags.String("listen", "127.0.0.1:0", "`ADDR` to listen at")
 	flags.TextVar(&c.ID, "id", c.ID, "`SERVICE/NAME` of the target")
 	flags.Func("profile", "`NAME` of the routing profile of the service", func(text string) error {
@@ -36,7 +36,7 @@
 		return c.Admin.Check()
 	})
 	flags.IntVar(&c.Slots, "slots", 12, "maximum number of calls that run at once")
-	flags.IntVar(&c.Conns, "conns", 200, "maximum number of connections")
+	flags.IntVar(&c.Connections, "conns", 200, "maximum number of connections")
 	flags.Uint64Var(&c.Seed, "seed", 1, "`SEED` of all random times")
 	behaviourFlags(flags, &c.Behaviour)
 	return func(ctx context.Context, std *stdStreams, args []string) error {
@@ -57,12 +57,12 @@
 	flags.StringVar(&behaviour.Shape, "shape", behaviour.Shape, "`NAME` of the distribution of times: fixed, lognormal or pareto")
 	flags.Float64Var(&behaviour.Sigma, "sigma", behaviour.Sigma, "width of the log-normal distribution")
 	flags.Float64Var(&behaviour.Alpha, "alpha", behaviour.Alpha, "exponent of the bounded Pareto distribution")
-	flags.TextVar(&behaviour.Gap, "gap", behaviour.Gap, "mean `TIME` between two jumps of load; 0s is none")
-	flags.TextVar(&behaviour.Cold, "cold", behaviour.Cold, "`TIME` of the warm-up after the start")
+	flags.TextVar(&behaviour.JumpInterval, "gap", behaviour.JumpInterval, "mean `TIME` between two jumps of load; 0s is none")
+	flags.TextVar(&behaviour.Warmup, "cold", behaviour.Warmup, "`TIME` of the warm-up after the start")
 }
 
 // runTarget runs the stand-in for a target until ctx is done.
-func runTarget(ctx context.Context, std *stdStreams, c carobstandtarget.Config, listen string) error {
+func runTarget(ctx context.Context, std *stdStreams, c carobfaketarget.Config, listen string) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", listen)
 	if err != nil {
@@ -73,5 +73,5 @@
 	c.Timer, c.Logger = carobtimer.NewTimer(), newLogger(std)
 	go c.Timer.Run(inner)
 	_, _ = fmt.Fprintf(std.out, "target=%s\n", listener.Addr())
-	return carobstandtarget.NewTarget(c).Run(ctx, listener)
+	return carobfaketarget.NewFakeTarget(c).Run(ctx, listener)
 }
--- a/internal/carobcontrol/control.go
+++ b/internal/carobcontrol/control.go
@@ -15,7 +15,7 @@
 // executor carries out those effects of a tick that concern it. It is called on the
 // control goroutine and must not block.
 type executor interface {
-	Carry(out *caroboutbox.Outbox)
+	Execute(out *caroboutbox.Outbox)
 }
 
 // Config holds the parameters of the control goroutine.
@@ -38,25 +38,25 @@
 	return &Control{config: c, queries: make(chan func(world *carobworld.World), 1)}
 }
 
-// Attach adds an executor. It must not be called after Run has started.
-func (c *Control) Attach(o executor) {
-	c.executors = append(c.executors, o)
+// AddExecutor adds an executor. It must not be called after Run has started.
+func (c *Control) AddExecutor(e executor) {
+	c.executors = append(c.executors, e)
 }
 
 // Run runs ticks until ctx ends. A tick starts when the mailbox has messages, a query
 // waits, or the next wake-up time of the world has come. Between ticks the goroutine
 // blocks.
 func (c *Control) Run(ctx context.Context) {
-	setWakeUp := c.config.Timer.Subscribe(c.config.Mailbox.Ring)
-	c.config.Mailbox.Ring()
+	setWakeUp := c.config.Timer.Subscribe(c.config.Mailbox.RequestTick)
+	c.config.Mailbox.RequestTick()
 	for {
-		if !c.config.Mailbox.Await(ctx) {
+		if !c.config.Mailbox.AwaitTick(ctx) {
 			return
 		}
 		// Collect the queries before the messages. Messages that were posted before a
 		// query was made are then part of the tick that runs before the query.
 		queries := c.takeQueries()
-		c.tick(c.config.Mailbox.Take())
+		c.tick(c.config.Mailbox.TakeAll())
 		for _, run := range queries {
 			run(c.config.Core.World())
 		}
@@ -64,10 +64,10 @@
 	}
 }
 
-// Ask runs a query on the control goroutine, after a tick that has processed all
+// Query runs a query on the control goroutine, after a tick that has processed all
 // messages posted before. The query may read the world, but must not keep references
-// into it. If ctx ends first, Ask returns the cause; the query may still run later.
-func (c *Control) Ask(ctx context.Context, query func(world *carobworld.World)) error {
+// into it. If ctx ends first, Query returns the cause; the query may still run later.
+func (c *Control) Query(ctx context.Context, query func(world *carobworld.World)) error {
 	done := make(chan struct{})
 	run := func(world *carobworld.World) {
 		query(world)
@@ -75,7 +75,7 @@
 	}
 	select {
 	case c.queries <- run:
-		c.config.Mailbox.Ring()
+		c.config.Mailbox.RequestTick()
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
@@ -92,7 +92,7 @@
 func (c *Control) tick(inbox carobinbox.Inbox) {
 	out := c.config.Core.Tick(c.config.Timer.Now(), inbox)
 	for _, o := range c.executors {
-		o.Carry(out)
+		o.Execute(out)
 	}
 }
 
--- a/internal/carobdemo/components.go
+++ b/internal/carobdemo/components.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"github.com/carobknot/carobknot/internal/carobbehaviour"
+	"github.com/carobknot/carobknot/internal/carobfakelog"
+	"github.com/carobknot/carobknot/internal/carobfaketarget"
+	"github.com/carobknot/carobknot/internal/caroblogclient"
 	"github.com/carobknot/carobknot/internal/carobnode"
-	"github.com/carobknot/carobknot/internal/carobplatform"
 	"github.com/carobknot/carobknot/internal/carobsettings"
-	"github.com/carobknot/carobknot/internal/carobstandlog"
-	"github.com/carobknot/carobknot/internal/carobstandtarget"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobduration"
@@ -76,7 +76,7 @@
 	if err != nil {
 		return "", err
 	}
-	server := carobstandlog.NewLog(carobstandlog.Config{Timer: d.timer})
+	server := carobfakelog.NewFakeLog(carobfakelog.Config{Timer: d.timer})
 	go func() { _ = server.Serve(listener) }()
 	d.stops = append(d.stops, func() { _ = listener.Close() })
 	return "http://" + listener.Addr().String(), nil
@@ -86,14 +86,14 @@
 	const anyPort = "127.0.0.1:0"
 	settings := carobsettings.Settings{
 		Name: carobnodeid.ID(fmt.Sprintf("node%d", index)), Region: "demo", Centre: "loopback",
-		Call: anyPort, Peer: anyPort, Admin: anyPort, Log: log,
-		Measure: carobprobelimits.NewProbeLimits(), Limits: caroblimits.NewLimits(),
+		CallAddress: anyPort, PeerAddress: anyPort, AdminAddress: anyPort, LogURL: log,
+		ProbeLimits: carobprobelimits.NewProbeLimits(), Limits: caroblimits.NewLimits(),
 	}
 	node, err := carobnode.NewNode(ctx, carobnode.Config{Settings: settings, Logger: d.logger})
 	if err != nil {
 		return err
 	}
-	d.nodes = append(d.nodes, nodeAddresses{call: node.Call(), admin: node.Admin()})
+	d.nodes = append(d.nodes, nodeAddresses{call: node.CallAddress(), admin: node.AdminAddress()})
 	d.run(ctx, node.Run)
 	return nil
 }
@@ -106,8 +106,8 @@
 	behaviour := carobbehaviour.NewBehaviour()
 	behaviour.Latency, behaviour.Shape = carobduration.Duration(latency), carobbehaviour.LogNormal
 	id := carobtargetid.ID{Service: service.name, Name: carobname.Name(fmt.Sprintf("t%d", index))}
-	target := carobstandtarget.NewTarget(carobstandtarget.Config{
-		ID: id, Profile: carobname.Name(service.name), Slots: slots, Conns: slots * slots, Behaviour: behaviour,
+	target := carobfaketarget.NewFakeTarget(carobfaketarget.Config{
+		ID: id, Profile: carobname.Name(service.name), Slots: slots, Connections: slots * slots, Behaviour: behaviour,
 		Seed: d.config.Seed + uint64(len(d.targets)), Admin: node.admin, Timer: d.timer, Logger: d.logger,
 	})
 	d.targets = append(d.targets, runningTarget{
@@ -146,7 +146,7 @@
 	if err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "encode change")
 	}
-	_, err = carobplatform.NewClient(carobplatform.Config{URL: log, Patience: logTimeout}).
+	_, err = caroblogclient.NewLogClient(caroblogclient.Config{URL: log, Timeout: logTimeout}).
 		Append(ctx, carobstream.Profiles, data)
 	return err
 }
--- a/internal/carobdemo/demo.go
+++ b/internal/carobdemo/demo.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/sirupsen/logrus"
 
-	"github.com/carobknot/carobknot/internal/carobloader"
+	"github.com/carobknot/carobknot/internal/carobloadgenerator"
 	"github.com/carobknot/carobknot/internal/carobsummary"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobguarantee"
@@ -23,8 +23,8 @@
 
 // Config holds the settings of a demo.
 type Config struct {
-	// Phase is the duration of each of the three phases.
-	Phase time.Duration
+	// PhaseDuration is the duration of each of the three phases.
+	PhaseDuration time.Duration
 	// Seed seeds the random arrivals and service times.
 	Seed uint64
 	// Out receives the table and the result.
@@ -99,25 +99,25 @@
 		summaries = append(summaries, d.load(ctx, phase.name)...)
 	}
 	d.printf("in the phase jump, the first target of lookups takes %d times as long:\n", slowFactor)
-	carobsummary.Table(d.config.Out, summaries...)
+	carobsummary.WriteTable(d.config.Out, summaries...)
 	return d.verify(ctx, summaries)
 }
 
 // load sends one phase of load to all services at once.
 func (d *Demo) load(ctx context.Context, phase string) []*carobsummary.Summary {
 	summaries := make([]*carobsummary.Summary, len(services))
-	var loaders sync.WaitGroup
+	var generators sync.WaitGroup
 	for i, service := range services {
-		c := carobloader.Config{
-			Name: string(service.name) + ", " + phase, Service: service.name, Rate: service.rate, Keys: service.keys,
-			Duration: d.config.Phase, Deadline: deadline, Seed: d.seed(string(service.name) + phase), Size: 512, Timer: d.timer,
+		c := carobloadgenerator.Config{
+			Name: string(service.name) + ", " + phase, Service: service.name, Rate: service.rate, KeyShare: service.keys,
+			Duration: d.config.PhaseDuration, Deadline: deadline, Seed: d.seed(string(service.name) + phase), RequestSize: 512, Timer: d.timer,
 		}
 		for _, node := range d.nodes {
 			c.Nodes = append(c.Nodes, node.call)
 		}
-		loaders.Go(func() { summaries[i] = carobloader.NewLoader(c).Run(ctx) })
+		generators.Go(func() { summaries[i] = carobloadgenerator.NewLoadGenerator(c).Run(ctx) })
 	}
-	loaders.Wait()
+	generators.Wait()
 	return summaries
 }
 
--- a/internal/carobwatch/watch.go
+++ b/internal/carobdisconnectwatch/disconnectwatch.go
@@ -1,11 +1,11 @@
-// Package carobwatch detects that the other end of a connection has disconnected
-// while nothing is read from it.
+// Package carobdisconnectwatch detects that the other end of a connection has
+// disconnected while nothing is read from it.
 //
 // The HTTP library reads a connection only between calls, so that it does not
 // detect a disconnect during a call. The watch polls the kernel for the state of
 // the connection. This needs no read, so that neither received bytes nor
 // deadlines are affected.
-package carobwatch
+package carobdisconnectwatch
 
 import (
 	"net"
@@ -19,15 +19,15 @@
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 )
 
-// Config holds the parameters of a Watch.
+// Config holds the parameters of a DisconnectWatch.
 type Config struct {
 	Timer *carobtimer.Timer
-	// Period is the time between two polls of the watched connections.
-	Period time.Duration
+	// PollInterval is the time between two polls of the watched connections.
+	PollInterval time.Duration
 }
 
-// Watch polls connections as long as there are any to watch.
-type Watch struct {
+// DisconnectWatch polls connections as long as there are any to watch.
+type DisconnectWatch struct {
 	config Config
 	// wakeAt sets when the timer calls check next.
 	wakeAt func(at carobinstant.Instant)
@@ -42,9 +42,9 @@
 	onDisconnect func()
 }
 
-// NewWatch returns a watch without connections.
-func NewWatch(c Config) *Watch {
-	w := &Watch{config: c, entries: map[*entry]struct{}{}}
+// NewDisconnectWatch returns a watch without connections.
+func NewDisconnectWatch(c Config) *DisconnectWatch {
+	w := &DisconnectWatch{config: c, entries: map[*entry]struct{}{}}
 	w.wakeAt = c.Timer.Subscribe(w.check)
 	return w
 }
@@ -53,7 +53,7 @@
 // After a disconnect, onDisconnect is called once, on the timer's goroutine; it
 // must not block. A connection without an accessible file descriptor is not
 // watched.
-func (w *Watch) Add(conn net.Conn, onDisconnect func()) (remove func()) {
+func (w *DisconnectWatch) Add(conn net.Conn, onDisconnect func()) (remove func()) {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return func() {}
@@ -67,12 +67,12 @@
 	defer w.mutex.Unlock()
 	w.entries[e] = struct{}{}
 	if len(w.entries) == 1 {
-		w.wakeAt(w.config.Timer.Now().Add(w.config.Period))
+		w.wakeAt(w.config.Timer.Now().Add(w.config.PollInterval))
 	}
 	return func() { w.remove(e) }
 }
 
-func (w *Watch) remove(e *entry) {
+func (w *DisconnectWatch) remove(e *entry) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	delete(w.entries, e)
@@ -80,14 +80,14 @@
 
 // check polls all connections and reports those that are disconnected. It runs on
 // the timer's goroutine.
-func (w *Watch) check() {
+func (w *DisconnectWatch) check() {
 	for _, e := range w.takeDisconnected() {
 		e.onDisconnect()
 	}
 }
 
 // takeDisconnected removes the disconnected connections and returns them.
-func (w *Watch) takeDisconnected() []*entry {
+func (w *DisconnectWatch) takeDisconnected() []*entry {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var disconnected []*entry
@@ -98,7 +98,7 @@
 		}
 	}
 	if len(w.entries) > 0 {
-		w.wakeAt(w.config.Timer.Now().Add(w.config.Period))
+		w.wakeAt(w.config.Timer.Now().Add(w.config.PollInterval))
 	}
 	return disconnected
 }
--- a/internal/carobemulator/emulator_test.go
+++ b/internal/carobemulator/emulator_test.go
@@ -29,7 +29,7 @@
 	kinds := map[string]*carobsummary.Summary{}
 	summaries := emulator.Run(10 * time.Second)
 	if testing.Verbose() {
-		carobsummary.Table(os.Stdout, summaries...)
+		carobsummary.WriteTable(os.Stdout, summaries...)
 	}
 	for _, summary := range summaries {
 		kinds[summary.Name] = summary
@@ -46,8 +46,8 @@
 func TestRunRepeatsUnderItsSeed(t *testing.T) {
 	one, two, other := play(t, noisy(t), 1), play(t, noisy(t), 1), play(t, noisy(t), 2)
 	require.Equal(t, one["lookup"].Good, two["lookup"].Good)
-	require.Equal(t, one["lookup"].Latency, two["lookup"].Latency)
-	require.NotEqual(t, one["lookup"].Latency, other["lookup"].Latency)
+	require.Equal(t, one["lookup"].GoodLatency, two["lookup"].GoodLatency)
+	require.NotEqual(t, one["lookup"].GoodLatency, other["lookup"].GoodLatency)
 }
 
 // Guards against decisions that miss deadlines although no VM is slow and the load is
@@ -66,7 +66,7 @@
 func TestHealthChecksIncreaseAnswersInTime(t *testing.T) {
 	for seed := range uint64(3) {
 		noChecks := noisy(t)
-		noChecks.Measure.ChecksPerSecond = 0
+		noChecks.ProbeLimits.ChecksPerSecond = 0
 		without, with := play(t, noChecks, seed), play(t, noisy(t), seed)
 		for _, kind := range []string{"lookup", "payout"} {
 			require.Greater(t, good(with[kind]), good(without[kind])+0.05, "%s, seed %d", kind, seed)
@@ -79,9 +79,9 @@
 // and few have an unknown outcome.
 func TestOverloadIsRefusedEarly(t *testing.T) {
 	scenario := noisy(t)
-	for i := range scenario.Kinds {
-		scenario.Kinds[i].Rate *= 4
-		scenario.Kinds[i].Retries = 0
+	for i := range scenario.CallKinds {
+		scenario.CallKinds[i].Rate *= 4
+		scenario.CallKinds[i].Retries = 0
 	}
 	for seed := range uint64(3) {
 		lookup := play(t, scenario, seed)["lookup"]
--- a/internal/carobeventlog/log.go
+++ b/internal/carobeventlog/eventlog.go
@@ -26,12 +26,12 @@
 type Config struct {
 	Logger *logrus.Logger
 	Timer  *carobtimer.Timer
-	// Usual limits the lines a second about successful decisions; Failures limits
-	// those about failures and audit entries.
-	Usual, Failures int
-	// Audits makes the log include the audit entries. Set it where no other part logs
-	// them.
-	Audits bool
+	// MaxSuccessLines limits the lines a second about successful decisions;
+	// MaxFailureLines limits those about failures and audit entries.
+	MaxSuccessLines, MaxFailureLines int
+	// LogAudits makes the log include the audit entries. Set it where no other part
+	// logs them.
+	LogAudits bool
 }
 
 // queueSize is the maximum number of lines that wait to be written.
@@ -42,7 +42,7 @@
 	config Config
 	lines  chan line
 	// remaining is how many lines of each class may still be written in the present
-	// second, which began at secondStart. Only the goroutine that calls Carry uses
+	// second, which began at secondStart. Only the goroutine that calls Execute uses
 	// both.
 	remaining   [2]int
 	secondStart carobinstant.Instant
@@ -67,16 +67,16 @@
 	return &EventLog{config: c, lines: make(chan line, queueSize)}
 }
 
-// Carry enqueues the lines of a tick. It never blocks.
-func (l *EventLog) Carry(out *caroboutbox.Outbox) {
+// Execute enqueues the lines of a tick. It never blocks.
+func (l *EventLog) Execute(out *caroboutbox.Outbox) {
 	if len(out.Decisions) == 0 && len(out.Audits) == 0 {
 		return
 	}
 	if now := l.config.Timer.Now(); l.secondStart == carobinstant.Never || now.Sub(l.secondStart) >= time.Second {
-		l.secondStart, l.remaining = now, [2]int{l.config.Usual, l.config.Failures}
+		l.secondStart, l.remaining = now, [2]int{l.config.MaxSuccessLines, l.config.MaxFailureLines}
 	}
 	for i := range out.Audits {
-		if !l.config.Audits {
+		if !l.config.LogAudits {
 			break
 		}
 		l.enqueue(failure, line{audit: &out.Audits[i]})
--- a/internal/carobeventlog/log_test.go
+++ b/internal/carobeventlog/eventlog_test.go
@@ -21,7 +21,7 @@
 func TestLinesAreLimitedAndDroppedOnesAreCounted(t *testing.T) {
 	logger, logged := test.NewNullLogger()
 	eventLog := carobeventlog.NewEventLog(carobeventlog.Config{
-		Logger: logger, Timer: carobtimer.NewTimer(), Usual: 2, Failures: 5,
+		Logger: logger, Timer: carobtimer.NewTimer(), MaxSuccessLines: 2, MaxFailureLines: 5,
 	})
 	out := &caroboutbox.Outbox{}
 	for range 10 {
@@ -33,8 +33,8 @@
 			Inputs: []carobinput.Input{{Name: "agems", Value: 12.5}},
 		})
 	}
-	// Run has not started yet; Carry must not block on it.
-	eventLog.Carry(out)
+	// Run has not started yet; Execute must not block on it.
+	eventLog.Execute(out)
 	require.EqualValues(t, 8, eventLog.Dropped())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/carobexchange/exchange.go
+++ b/internal/carobexchange/exchange.go
@@ -8,7 +8,7 @@
 
 	"github.com/carobknot/carobknot/internal/carobanswer"
 	"github.com/carobknot/carobknot/internal/carobheader"
-	"github.com/carobknot/carobknot/internal/carobupload"
+	"github.com/carobknot/carobknot/internal/carobrequestbody"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
@@ -27,8 +27,8 @@
 	call      carobcallid.ID
 	request   *fasthttp.Request
 	responder responder
-	// upload is the body, which every attempt sends.
-	upload *carobupload.Upload
+	// body is the body, which every attempt sends.
+	body *carobrequestbody.RequestBody
 	// mutex guards answer and cancelled of the attempts.
 	mutex sync.Mutex
 	// attempts holds the attempts sent so far, by number.
@@ -63,26 +63,26 @@
 // longer needed were cancelled by earlier orders.
 func (x *exchange) conclude(conclusion carobconclusion.Conclusion) {
 	if conclusion.StoredAnswer != nil {
-		x.upload.Release()
-		x.responder.Repeat(conclusion.StoredAnswer)
+		x.body.Release()
+		x.responder.SendStored(conclusion.StoredAnswer)
 		return
 	}
 	if conclusion.Kind == carobkind.None {
 		x.deliver(conclusion.Attempt)
 		return
 	}
-	x.upload.Release()
+	x.body.Release()
 	detail := "the call ended without an answer"
-	senderErr := x.upload.Fault()
+	senderErr := x.body.SenderError()
 	switch {
 	case senderErr != nil:
 		detail = senderErr.Error() + "; part of the body was sent to a target"
-	case x.upload.Streamed() && !conclusion.Kind.NotRun():
+	case x.body.Streamed() && !conclusion.Kind.NotRun():
 		detail = "the body was too long to be buffered; it was sent once and can not be sent again"
 	case conclusion.Kind.NotRun():
 		detail = "no target ran the call"
 	}
-	x.responder.Refuse(conclusion.Kind, conclusion.RetryAfter, detail)
+	x.responder.SendError(conclusion.Kind, conclusion.RetryAfter, detail)
 }
 
 // send starts an attempt. Its reply is posted to the control goroutine.
@@ -90,7 +90,7 @@
 	req := &fasthttp.Request{}
 	x.request.Header.CopyTo(&req.Header)
 	carobheader.CleanRequest(&req.Header)
-	if err := x.upload.Attach(req); err != nil {
+	if err := x.body.Attach(req); err != nil {
 		x.postReply(carobreply.Reply{Job: send.Job, Target: send.Target, Kind: carobkind.Of(err)})
 		return
 	}
@@ -99,9 +99,9 @@
 	x.attempts[send.Job.Attempt] = current
 	go func() {
 		answer, report, err := x.exchanges.config.Relay.Do(ctx, send, req)
-		if maxSize := int(x.exchanges.config.Gather); answer != nil && maxSize > 0 {
-			if gatherErr := answer.Gather(maxSize); gatherErr != nil {
-				answer, err = nil, carobkind.Wrap(carobkind.ConnectionLost, gatherErr, "read answer")
+		if maxSize := int(x.exchanges.config.MaxBufferedAnswer); answer != nil && maxSize > 0 {
+			if bufferErr := answer.Buffer(maxSize); bufferErr != nil {
+				answer, err = nil, carobkind.Wrap(carobkind.ConnectionLost, bufferErr, "read answer")
 			}
 		}
 		x.setAnswer(current, answer)
@@ -157,9 +157,9 @@
 	answer := current.answer
 	x.mutex.Unlock()
 	job := carobjobid.ID{Call: x.call, Attempt: number}
-	x.responder.Answer(answer, current.cancel, func(kind carobkind.Kind, stored *carobstoredanswer.StoredAnswer) {
+	x.responder.SendAnswer(answer, current.cancel, func(kind carobkind.Kind, stored *carobstoredanswer.StoredAnswer) {
 		current.cancel()
-		x.upload.Release()
+		x.body.Release()
 		x.exchanges.config.Mailbox.Post(func(in *carobinbox.Inbox) {
 			in.Deliveries = append(in.Deliveries, carobdelivery.Delivery{Job: job, Kind: kind, StoredAnswer: stored})
 		})
--- a/internal/carobstandlog/log_test.go
+++ b/internal/carobfakelog/fakelog_test.go
@@ -1,4 +1,4 @@
-package carobstandlog_test
+package carobfakelog_test
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/carobknot/carobknot/internal/carobplatform"
-	"github.com/carobknot/carobknot/internal/carobstandlog"
+	"github.com/carobknot/carobknot/internal/carobfakelog"
+	"github.com/carobknot/carobknot/internal/caroblogclient"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
@@ -21,17 +21,17 @@
 
 // start runs a log and returns a client for it, with the given request timeout, and
 // its URL.
-func start(t *testing.T, timeout time.Duration) (*carobplatform.Client, string) {
+func start(t *testing.T, timeout time.Duration) (*caroblogclient.LogClient, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	timer := carobtimer.NewTimer()
 	go timer.Run(t.Context())
-	log := carobstandlog.NewLog(carobstandlog.Config{Timer: timer})
+	log := carobfakelog.NewFakeLog(carobfakelog.Config{Timer: timer})
 	go func() { _ = log.Serve(listener) }()
 	t.Cleanup(func() { _ = listener.Close() })
 	url := "http://" + listener.Addr().String()
-	return carobplatform.NewClient(carobplatform.Config{URL: url, Patience: timeout}), url
+	return caroblogclient.NewLogClient(caroblogclient.Config{URL: url, Timeout: timeout}), url
 }
 
 // setFault sends a fault to the log and returns the status of the response.
@@ -64,8 +64,8 @@
 	require.NoError(t, err)
 	require.Equal(t, []caroboffset.Offset{1, 2}, offsets(page.Records))
 	require.Equal(t, "1", string(page.Records[0].Data))
-	require.EqualValues(t, 0, page.First)
-	require.EqualValues(t, 3, page.Next)
+	require.EqualValues(t, 0, page.FirstOffset)
+	require.EqualValues(t, 3, page.NextOffset)
 }
 
 // Guards against reads that return an empty page before a record is appended, or miss
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestKeepFaultExpiresOldestRecords(t *testing.T) {
+func TestRetentionFaultExpiresOldestRecords(t *testing.T) {
 	client, url := start(t, time.Minute)
 	for range 5 {
 		_, err := client.Append(t.Context(), "rota", []byte("x"))
@@ -129,7 +129,7 @@
 	page, err := client.Read(t.Context(), "rota", 1, 0)
 	require.NoError(t, err)
 	require.Equal(t, []caroboffset.Offset{3, 4}, offsets(page.Records))
-	require.EqualValues(t, 3, page.First)
+	require.EqualValues(t, 3, page.FirstOffset)
 }
 
 func TestInvalidFaultsAreRejected(t *testing.T) {
--- a/internal/carobentrance/listener.go
+++ b/internal/carobfrontend/listener.go
@@ -1,4 +1,4 @@
-package carobentrance
+package carobfrontend
 
 import (
 	"fmt"
@@ -53,7 +53,7 @@
 	once   sync.Once
 }
 
-// SyscallConn gives access to the file descriptor, which carobwatch needs. It
+// SyscallConn gives access to the file descriptor, which carobdisconnectwatch needs. It
 // returns net.ErrClosed if the connection has none.
 func (c *callerConn) SyscallConn() (syscall.RawConn, error) {
 	syscallConn, ok := c.Conn.(syscall.Conn)
@@ -91,7 +91,7 @@
 	if !ok || tcpConn.CloseWrite() != nil {
 		return
 	}
-	_ = tcpConn.SetReadDeadline(c.listener.timer.Wall().Add(lingerTimeout))
+	_ = tcpConn.SetReadDeadline(c.listener.timer.WallTime().Add(lingerTimeout))
 	_, _ = io.Copy(io.Discard, tcpConn)
 }
 
@@ -101,9 +101,9 @@
 	body := fmt.Sprintf("%s: the limit of %d connections is reached\n", kind, c.listener.limit)
 	response := fmt.Sprintf("HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Type: text/plain; charset=utf-8\r\n"+
 		"%s: %s\r\n%s: %s\r\nRetry-After: %d\r\nContent-Length: %d\r\n\r\n%s",
-		kind.Status(), http.StatusText(kind.Status()), carobheader.Outcome, kind.Outcome(), carobheader.Kind, kind,
+		kind.Status(), http.StatusText(kind.Status()), carobheader.Outcome, kind.Outcome(), carobheader.ErrorKind, kind,
 		int(kind.RetryAfter()/time.Second), len(body), body)
-	_ = c.SetWriteDeadline(c.listener.timer.Wall().Add(lingerTimeout))
+	_ = c.SetWriteDeadline(c.listener.timer.WallTime().Add(lingerTimeout))
 	_, _ = io.WriteString(c.Conn, response)
 	c.linger.Store(true)
 	_ = c.Close()
--- a/internal/carobloader/loader.go
+++ b/internal/carobloadgenerator/loadgenerator.go
@@ -1,10 +1,10 @@
-// Package carobloader generates an open-loop load of calls from a seed and checks
-// every answer.
+// Package carobloadgenerator generates an open-loop load of calls from a seed and
+// checks every answer.
 //
 // In an open loop, calls are sent on schedule and do not wait for earlier answers,
 // and latency is measured from the scheduled instant. In a closed loop, a slow answer
 // would delay later calls, whose wait would not be measured (coordinated omission).
-package carobloader
+package carobloadgenerator
 
 import (
 	"context"
@@ -35,26 +35,26 @@
 	Service carobservice.Service
 	// Rate is the mean number of calls a second; it is positive.
 	Rate float64
-	// Count and Duration end the load, whichever comes first; 0 is no limit.
-	Count    int
+	// MaxCalls and Duration end the load, whichever comes first; 0 is no limit.
+	MaxCalls int
 	Duration time.Duration
-	// Skip is the warm-up at the start, during which calls are sent but not counted.
-	Skip time.Duration
+	// Warmup is the warm-up at the start, during which calls are sent but not counted.
+	Warmup time.Duration
 	// Seed seeds the random arrivals, nodes, keys and bodies.
 	Seed uint64
-	// Size is the length of each request's body; Answer that of each answer's body, or
-	// 0 if targets return the request's body.
-	Size, Answer carobsize.Size
-	// Keys is the share of calls with an idempotency key.
-	Keys carobshare.Share
+	// RequestSize is the length of each request's body; AnswerSize that of each
+	// answer's body, or 0 if targets return the request's body.
+	RequestSize, AnswerSize carobsize.Size
+	// KeyShare is the share of calls with an idempotency key.
+	KeyShare carobshare.Share
 	// Deadline is how long the caller of each call waits; it is positive.
 	Deadline time.Duration
 	// Timer is the clock and the timer of the load.
 	Timer *carobtimer.Timer
 }
 
-// Loader sends one load.
-type Loader struct {
+// LoadGenerator sends one load.
+type LoadGenerator struct {
 	config  Config
 	random  *rand.Rand
 	pool    *carobpool.Pool
@@ -72,65 +72,66 @@
 	stallTimeout = 10 * time.Second
 )
 
-// NewLoader returns a load that has not started.
-func NewLoader(c Config) *Loader {
+// NewLoadGenerator returns a load that has not started.
+func NewLoadGenerator(c Config) *LoadGenerator {
 	const stream = 3
-	return &Loader{
+	return &LoadGenerator{
 		config:  c,
 		random:  rand.New(rand.NewPCG(c.Seed, stream)), //nolint:gosec // loads must repeat under a seed
-		pool:    carobpool.NewPool(carobpool.Config{Timer: c.Timer, Dial: dialTimeout, Idle: idleTimeout, Kept: maxIdleConns, Stall: stallTimeout}),
+		pool:    carobpool.NewPool(carobpool.Config{Timer: c.Timer, DialTimeout: dialTimeout, IdleTimeout: idleTimeout, MaxIdleConns: maxIdleConns, StallTimeout: stallTimeout}),
 		summary: carobsummary.NewSummary(carobsummary.Config{Name: c.Name, Deadline: c.Deadline}),
 	}
 }
 
 // Run sends the load until a limit is reached or ctx ends, waits for the last
-// answer and returns the summary. A loader runs once.
-func (l *Loader) Run(ctx context.Context) *carobsummary.Summary {
-	defer l.pool.Close()
-	start := l.config.Timer.Now()
-	countFrom := start.Add(l.config.Skip)
+// answer and returns the summary. A load generator runs once.
+func (g *LoadGenerator) Run(ctx context.Context) *carobsummary.Summary {
+	defer g.pool.Close()
+	start := g.config.Timer.Now()
+	countFrom := start.Add(g.config.Warmup)
 	next := start
-	for sent := 0; l.continues(sent, next.Sub(start)); sent++ {
-		next = next.Add(time.Duration(l.random.ExpFloat64() / l.config.Rate * float64(time.Second)))
-		if !l.waitUntil(ctx, next) {
+	for sent := 0; g.continues(sent, next.Sub(start)); sent++ {
+		next = next.Add(time.Duration(g.random.ExpFloat64() / g.config.Rate * float64(time.Second)))
+		if !g.waitUntil(ctx, next) {
 			break
 		}
-		call := l.newCall(next)
+		call := g.newCall(next)
 		call.counted = !next.Before(countFrom)
-		l.inProgress.Go(func() { l.send(ctx, call) })
+		g.inProgress.Go(func() { g.send(ctx, call) })
 	}
-	l.inProgress.Wait()
-	l.summary.Close(next.Sub(countFrom))
-	return l.summary
+	g.inProgress.Wait()
+	g.summary.Close(next.Sub(countFrom))
+	return g.summary
 }
 
-// continues reports whether the load continues after the given number of calls and time.
-func (l *Loader) continues(sent int, elapsed time.Duration) bool {
-	if l.config.Count > 0 && sent >= l.config.Count {
+// continues reports whether the load continues after the given number of calls and
+// time.
+func (g *LoadGenerator) continues(sent int, elapsed time.Duration) bool {
+	if g.config.MaxCalls > 0 && sent >= g.config.MaxCalls {
 		return false
 	}
-	return l.config.Duration <= 0 || elapsed < l.config.Duration
+	return g.config.Duration <= 0 || elapsed < g.config.Duration
 }
 
 // waitUntil waits until an instant. It returns false if the load is stopped.
-func (l *Loader) waitUntil(ctx context.Context, at carobinstant.Instant) bool {
+func (g *LoadGenerator) waitUntil(ctx context.Context, at carobinstant.Instant) bool {
 	for {
-		remaining := at.Sub(l.config.Timer.Now())
+		remaining := at.Sub(g.config.Timer.Now())
 		if remaining <= 0 {
 			return ctx.Err() == nil
 		}
-		if l.config.Timer.Wait(ctx, remaining) != nil {
+		if g.config.Timer.Wait(ctx, remaining) != nil {
 			return false
 		}
 	}
 }
 
 // newCall draws the next call, which should be sent at the given instant.
-func (l *Loader) newCall(at carobinstant.Instant) call {
+func (g *LoadGenerator) newCall(at carobinstant.Instant) call {
 	return call{
 		scheduledAt: at,
-		seed:        l.random.Uint64() >> 1,
-		node:        l.config.Nodes[l.random.IntN(len(l.config.Nodes))],
-		keyed:       l.random.Float64() < float64(l.config.Keys),
+		seed:        g.random.Uint64() >> 1,
+		node:        g.config.Nodes[g.random.IntN(len(g.config.Nodes))],
+		keyed:       g.random.Float64() < float64(g.config.KeyShare),
 	}
 }
--- a/internal/carobtracewriter/writer.go
+++ b/internal/caroblogwriter/logwriter.go
@@ -1,4 +1,4 @@
-// Package carobtracewriter writes what a node records into the platform's log: the
+// Package caroblogwriter writes what a node records into the platform's log: the
 // hops of calls, the audit trail, and the records that systems append.
 //
 // The log takes several hundred appends a second from all nodes together. Hops and
@@ -7,7 +7,7 @@
 // they are kept, up to a limit; the entries dropped beyond it are counted, and the
 // next record holds the count. An append whose response is lost is repeated, so a
 // batch may be in the log twice; readers recognise it by its number.
-package carobtracewriter
+package caroblogwriter
 
 import (
 	"context"
@@ -38,8 +38,8 @@
 	Log    appender
 	Timer  *carobtimer.Timer
 	Logger *logrus.Entry
-	// Kept limits the compressed entries that are buffered for each stream.
-	Kept carobsize.Size
+	// MaxBufferedSize limits the compressed entries that are buffered for each stream.
+	MaxBufferedSize carobsize.Size
 }
 
 const (
@@ -55,8 +55,8 @@
 	recordSize = 512 << 10
 )
 
-// TraceWriter appends hops, audit entries and the records of systems to the log.
-type TraceWriter struct {
+// LogWriter appends hops, audit entries and the records of systems to the log.
+type LogWriter struct {
 	config Config
 	// writeMutex serialises calls of write and is held while appends are made; mutex
 	// guards the state and is not held while the log is called.
@@ -71,9 +71,9 @@
 	wake chan struct{}
 }
 
-// NewTraceWriter returns a writer that appends nothing until Run is called.
-func NewTraceWriter(c Config) *TraceWriter {
-	return &TraceWriter{
+// NewLogWriter returns a writer that appends nothing until Run is called.
+func NewLogWriter(c Config) *LogWriter {
+	return &LogWriter{
 		config: c,
 		buffers: map[carobstream.Stream]*buffer{
 			carobstream.Traces: newBuffer(c), carobstream.Audit: newBuffer(c),
@@ -83,99 +83,99 @@
 	}
 }
 
-// Carry takes the hops, audit entries and records of a tick for appending. It does
+// Execute takes the hops, audit entries and records of a tick for appending. It does
 // not wait for the log.
-func (t *TraceWriter) Carry(out *caroboutbox.Outbox) {
+func (w *LogWriter) Execute(out *caroboutbox.Outbox) {
 	if len(out.Hops) == 0 && len(out.Audits) == 0 && len(out.Appends) == 0 {
 		return
 	}
-	t.mutex.Lock()
+	w.mutex.Lock()
 	for i := range out.Hops {
-		t.buffers[carobstream.Traces].add(&out.Hops[i])
+		w.buffers[carobstream.Traces].add(&out.Hops[i])
 	}
 	for i := range out.Audits {
-		t.audit(&out.Audits[i])
+		w.audit(&out.Audits[i])
 	}
 	for _, ap := range out.Appends {
-		t.records[ap.Stream] = ap.Data
+		w.records[ap.Stream] = ap.Data
 	}
-	t.mutex.Unlock()
-	t.signal()
+	w.mutex.Unlock()
+	w.signal()
 }
 
 // signal wakes Run. It does not block.
-func (t *TraceWriter) signal() {
+func (w *LogWriter) signal() {
 	select {
-	case t.wake <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
 // audit logs an audit entry and, unless it is local, adds it to the audit stream.
-func (t *TraceWriter) audit(entry *carobaudit.Audit) {
+func (w *LogWriter) audit(entry *carobaudit.Audit) {
 	if entry.When.IsZero() {
-		entry.When = t.config.Timer.Wall().UTC()
+		entry.When = w.config.Timer.WallTime().UTC()
 	}
-	t.config.Logger.WithFields(logrus.Fields{
+	w.config.Logger.WithFields(logrus.Fields{
 		"part": entry.Component, "who": entry.Who, "what": entry.What, "from": entry.From, "to": entry.To,
 	}).Info("audit: changed")
 	if !entry.LocalOnly {
-		t.buffers[carobstream.Audit].add(entry)
+		w.buffers[carobstream.Audit].add(entry)
 	}
 }
 
-// Lost returns how many hops and audit entries were dropped since the start.
-func (t *TraceWriter) Lost() (hops, audits int) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return t.buffers[carobstream.Traces].dropped, t.buffers[carobstream.Audit].dropped
+// Dropped returns how many hops and audit entries were dropped since the start.
+func (w *LogWriter) Dropped() (hops, audits int) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.buffers[carobstream.Traces].dropped, w.buffers[carobstream.Audit].dropped
 }
 
 // Run appends what is due until ctx is done.
-func (t *TraceWriter) Run(ctx context.Context) {
-	wakeAt := t.config.Timer.Subscribe(t.signal)
+func (w *LogWriter) Run(ctx context.Context) {
+	wakeAt := w.config.Timer.Subscribe(w.signal)
 	defer wakeAt(carobinstant.Never)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.wake:
+		case <-w.wake:
 		}
-		wakeAt(t.write(ctx, false))
+		wakeAt(w.write(ctx, false))
 	}
 }
 
 // Flush tries once to append the next record of every stream, whether due or not.
-func (t *TraceWriter) Flush(ctx context.Context) {
-	t.write(ctx, true)
+func (w *LogWriter) Flush(ctx context.Context) {
+	w.write(ctx, true)
 }
 
 // write makes the appends that are due, or all that there are, and returns when the
 // next one is due, or Never.
-func (t *TraceWriter) write(ctx context.Context, all bool) carobinstant.Instant {
-	t.writeMutex.Lock()
-	defer t.writeMutex.Unlock()
-	next := t.writeRecords(ctx)
-	for stream, entries := range t.buffers {
-		t.mutex.Lock()
-		now := t.config.Timer.Now()
+func (w *LogWriter) write(ctx context.Context, all bool) carobinstant.Instant {
+	w.writeMutex.Lock()
+	defer w.writeMutex.Unlock()
+	next := w.writeRecords(ctx)
+	for stream, entries := range w.buffers {
+		w.mutex.Lock()
+		now := w.config.Timer.Now()
 		due := entries.due(now)
 		var data []byte
 		if due.Reached(now) || all && due != carobinstant.Never {
 			data = entries.nextRecord(now)
 			due = now.Add(appendInterval)
 		}
-		t.mutex.Unlock()
+		w.mutex.Unlock()
 		next = carobinstant.Earlier(next, due)
 		if data == nil {
 			continue
 		}
-		_, err := t.config.Log.Append(ctx, stream, data)
-		t.mutex.Lock()
+		_, err := w.config.Log.Append(ctx, stream, data)
+		w.mutex.Lock()
 		entries.endAppend(err == nil)
-		t.mutex.Unlock()
+		w.mutex.Unlock()
 		if err != nil {
-			t.config.Logger.WithField("stream", stream).WithError(err).Warn("log: append failed, entries are kept for the next attempt")
+			w.config.Logger.WithField("stream", stream).WithError(err).Warn("log: append failed, entries are kept for the next attempt")
 		}
 	}
 	return next
@@ -184,22 +184,22 @@
 // writeRecords appends the records of systems. It returns when to retry those that
 // failed, or Never if none did. A newer record of the same stream replaces a failed
 // one.
-func (t *TraceWriter) writeRecords(ctx context.Context) carobinstant.Instant {
-	t.mutex.Lock()
-	records := t.records
-	t.records = map[carobstream.Stream][]byte{}
-	t.mutex.Unlock()
+func (w *LogWriter) writeRecords(ctx context.Context) carobinstant.Instant {
+	w.mutex.Lock()
+	records := w.records
+	w.records = map[carobstream.Stream][]byte{}
+	w.mutex.Unlock()
 	next := carobinstant.Never
 	for stream, data := range records {
-		if _, err := t.config.Log.Append(ctx, stream, data); err == nil {
+		if _, err := w.config.Log.Append(ctx, stream, data); err == nil {
 			continue
 		}
-		next = t.config.Timer.Now().Add(retryInterval)
-		t.mutex.Lock()
-		if _, newer := t.records[stream]; !newer {
-			t.records[stream] = data
+		next = w.config.Timer.Now().Add(retryInterval)
+		w.mutex.Lock()
+		if _, newer := w.records[stream]; !newer {
+			w.records[stream] = data
 		}
-		t.mutex.Unlock()
+		w.mutex.Unlock()
 	}
 	return next
 }
--- a/internal/carobtracewriter/writer_test.go
+++ b/internal/caroblogwriter/logwriter_test.go
@@ -1,4 +1,4 @@
-package carobtracewriter_test
+package caroblogwriter_test
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
+	"github.com/carobknot/carobknot/internal/caroblogwriter"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobtracewriter"
 	"github.com/carobknot/carobknot/pkg/carobappend"
 	"github.com/carobknot/carobknot/pkg/carobaudit"
 	"github.com/carobknot/carobknot/pkg/carobhop"
@@ -83,15 +83,15 @@
 	return entries, lost
 }
 
-func newWriter(t *testing.T, log *fakeLog) (*carobtracewriter.TraceWriter, *bytes.Buffer) {
+func newWriter(t *testing.T, log *fakeLog) (*caroblogwriter.LogWriter, *bytes.Buffer) {
 	t.Helper()
 	var lines bytes.Buffer
 	logger := logrus.New()
 	logger.SetOutput(io.MultiWriter(&lines))
 	timer := carobtimer.NewTimer()
 	go timer.Run(t.Context())
-	return carobtracewriter.NewTraceWriter(carobtracewriter.Config{
-		Self: carobmember.Member{Node: "first", Incarnation: 7}, Log: log, Timer: timer, Logger: logrus.NewEntry(logger), Kept: 512 * carobsize.KiB,
+	return caroblogwriter.NewLogWriter(caroblogwriter.Config{
+		Self: carobmember.Member{Node: "first", Incarnation: 7}, Log: log, Timer: timer, Logger: logrus.NewEntry(logger), MaxBufferedSize: 512 * carobsize.KiB,
 	}), &lines
 }
 
@@ -104,7 +104,7 @@
 func TestHopsAndAuditEntriesAreAppended(t *testing.T) {
 	log := newFakeLog()
 	writer, lines := newWriter(t, log)
-	writer.Carry(&caroboutbox.Outbox{
+	writer.Execute(&caroboutbox.Outbox{
 		Hops:   make([]carobhop.Hop, 3),
 		Audits: []carobaudit.Audit{{Component: "target", Who: "first", What: "rota/a", From: "ready", To: "leaving"}, {Component: "profile", LocalOnly: true}},
 	})
@@ -125,7 +125,7 @@
 	log := newFakeLog()
 	writer, _ := newWriter(t, log)
 	for range 50 {
-		writer.Carry(hops(100))
+		writer.Execute(hops(100))
 	}
 	writer.Flush(t.Context())
 	require.Len(t, log.records[carobstream.Traces], 1)
@@ -140,7 +140,7 @@
 	writer, _ := newWriter(t, log)
 	log.setUnavailable(true)
 	for range 20 {
-		writer.Carry(hops(1000))
+		writer.Execute(hops(1000))
 		writer.Flush(t.Context())
 	}
 	log.setUnavailable(false)
@@ -169,14 +169,14 @@
 			}
 			out.Hops[i].Traceparent = string(trace)
 		}
-		writer.Carry(out)
+		writer.Execute(out)
 	}
 	log.setUnavailable(false)
-	writer.Carry(hops(1))
+	writer.Execute(hops(1))
 	for range 100 {
 		writer.Flush(t.Context())
 	}
-	dropped, _ := writer.Lost()
+	dropped, _ := writer.Dropped()
 	require.Positive(t, dropped)
 	entries, lost := log.readEntries(t, carobstream.Traces)
 	require.Equal(t, all+1, entries+dropped)
@@ -195,9 +195,9 @@
 	order := func(data string) *caroboutbox.Outbox {
 		return &caroboutbox.Outbox{Appends: []carobappend.Append{{Stream: carobstream.Nodes, Data: []byte(data)}}}
 	}
-	writer.Carry(order("old"))
+	writer.Execute(order("old"))
 	writer.Flush(t.Context())
-	writer.Carry(order("new"))
+	writer.Execute(order("new"))
 	go writer.Run(t.Context())
 	log.setUnavailable(false)
 	require.Equal(t, carobstream.Nodes, <-log.appended)
--- a/internal/carobenroller/enroller.go
+++ b/internal/carobmembersync/membersync.go
@@ -1,6 +1,6 @@
-// Package carobenroller writes the description of this node (its member) into a
+// Package carobmembersync writes the description of this node (its member) into a
 // directory that all nodes share, and reads the descriptions of the others there.
-package carobenroller
+package carobmembersync
 
 import (
 	"context"
@@ -21,10 +21,10 @@
 
 // directory holds the newest member of each node, encoded.
 type directory interface {
-	// Enrol writes the member of a node.
-	Enrol(ctx context.Context, node carobnodeid.ID, member []byte) error
-	// Words returns the members of all nodes.
-	Words(ctx context.Context) ([][]byte, error)
+	// PutMember writes the member of a node.
+	PutMember(ctx context.Context, node carobnodeid.ID, member []byte) error
+	// Members returns the members of all nodes.
+	Members(ctx context.Context) ([][]byte, error)
 }
 
 // Config holds the parameters of the constructor.
@@ -45,8 +45,8 @@
 	requestTimeout = time.Second
 )
 
-// Enroller writes and reads the directory.
-type Enroller struct {
+// MemberSync writes and reads the directory.
+type MemberSync struct {
 	config Config
 	mutex  sync.Mutex
 	// member is the newest one to be written, encoded; nil before the first.
@@ -55,23 +55,23 @@
 	wake chan struct{}
 }
 
-// NewEnroller starts nothing; Run does.
-func NewEnroller(c Config) *Enroller {
-	return &Enroller{config: c, wake: make(chan struct{}, 1)}
+// NewMemberSync starts nothing; Run does.
+func NewMemberSync(c Config) *MemberSync {
+	return &MemberSync{config: c, wake: make(chan struct{}, 1)}
 }
 
-// Carry takes the newest member that the tick appends to the stream of nodes. It
+// Execute takes the newest member that the tick appends to the stream of nodes. It
 // does not wait for the directory.
-func (e *Enroller) Carry(out *caroboutbox.Outbox) {
+func (s *MemberSync) Execute(out *caroboutbox.Outbox) {
 	for _, ap := range out.Appends {
 		if ap.Stream != carobstream.Nodes {
 			continue
 		}
-		e.mutex.Lock()
-		e.member = ap.Data
-		e.mutex.Unlock()
+		s.mutex.Lock()
+		s.member = ap.Data
+		s.mutex.Unlock()
 		select {
-		case e.wake <- struct{}{}:
+		case s.wake <- struct{}{}:
 		default:
 		}
 	}
@@ -80,21 +80,21 @@
 // Run writes the node's member after each change and then reads those of all nodes,
 // until ctx is done. It writes before it reads, so that of two nodes that start
 // together at least one finds the other.
-func (e *Enroller) Run(ctx context.Context) {
+func (s *MemberSync) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.wake:
+		case <-s.wake:
 		}
-		e.retry(ctx, "directory: own member cannot be written", e.write)
-		e.retry(ctx, "directory: members cannot be read", e.read)
+		s.retry(ctx, "directory: own member cannot be written", s.write)
+		s.retry(ctx, "directory: members cannot be read", s.read)
 	}
 }
 
 // retry repeats an operation with backoff until it succeeds or ctx is done. It logs
 // only the first failure.
-func (e *Enroller) retry(ctx context.Context, failureText string, operation func(ctx context.Context) error) {
+func (s *MemberSync) retry(ctx context.Context, failureText string, operation func(ctx context.Context) error) {
 	backoff := minBackoff
 	for tries := 0; ctx.Err() == nil; tries++ {
 		inner, cancel := context.WithTimeout(ctx, requestTimeout)
@@ -104,27 +104,27 @@
 			return
 		}
 		if tries == 0 {
-			e.config.Logger.WithError(err).Warn(failureText)
+			s.config.Logger.WithError(err).Warn(failureText)
 		}
-		_ = e.config.Timer.Wait(ctx, backoff+time.Duration(rand.Int64N(int64(backoff)))) //nolint:gosec // jitter need not be secret
+		_ = s.config.Timer.Wait(ctx, backoff+time.Duration(rand.Int64N(int64(backoff)))) //nolint:gosec // jitter need not be secret
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func (e *Enroller) write(ctx context.Context) error {
-	e.mutex.Lock()
-	member := e.member
-	e.mutex.Unlock()
-	return e.config.Directory.Enrol(ctx, e.config.Node, member)
+func (s *MemberSync) write(ctx context.Context) error {
+	s.mutex.Lock()
+	member := s.member
+	s.mutex.Unlock()
+	return s.config.Directory.PutMember(ctx, s.config.Node, member)
 }
 
 // read posts the members of all nodes as records of the stream of nodes.
-func (e *Enroller) read(ctx context.Context) error {
-	members, err := e.config.Directory.Words(ctx)
+func (s *MemberSync) read(ctx context.Context) error {
+	members, err := s.config.Directory.Members(ctx)
 	if err != nil {
 		return err
 	}
-	e.config.Mailbox.Post(func(in *carobinbox.Inbox) {
+	s.config.Mailbox.Post(func(in *carobinbox.Inbox) {
 		for _, member := range members {
 			in.Records = append(in.Records, carobrecord.Record{Stream: carobstream.Nodes, Data: member})
 		}
--- a/internal/carobmeter/meter.go
+++ b/internal/carobmeter/meter.go
@@ -25,7 +25,7 @@
 	reporter prometheus.Reporter
 	scope    tally.Scope
 	closer   io.Closer
-	// Only the goroutine that calls Carry uses the maps.
+	// Only the goroutine that calls Execute uses the maps.
 	calls     map[carobkind.Kind]tally.Counter
 	refusals  map[carobkind.Kind]tally.Counter
 	byTarget  map[carobtargetid.ID]targetGauges
@@ -62,8 +62,8 @@
 	return m.closer.Close()
 }
 
-// Carry counts the effects of a tick.
-func (m *Meter) Carry(out *caroboutbox.Outbox) {
+// Execute counts the effects of a tick.
+func (m *Meter) Execute(out *caroboutbox.Outbox) {
 	for i := range out.Conclusions {
 		m.counter(m.calls, "calls", out.Conclusions[i].Kind).Inc(1)
 	}
@@ -136,8 +136,8 @@
 	return string(kind)
 }
 
-// durationBuckets are the bounds of the histograms: 18 from 100 µs on, each twice the one
-// before.
+// durationBuckets are the bounds of the histograms: 18 from 100 µs on, each twice the
+// one before.
 func durationBuckets() tally.DurationBuckets {
 	const first, factor, count = 100 * time.Microsecond, 2, 18
 	return tally.MustMakeExponentialDurationBuckets(first, factor, count)
--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -11,21 +11,21 @@
 	"github.com/sirupsen/logrus"
 	"github.com/valyala/fasthttp"
 
-	"github.com/carobknot/carobknot/internal/carobadmin"
+	"github.com/carobknot/carobknot/internal/carobadminserver"
 	"github.com/carobknot/carobknot/internal/carobadmitter"
 	"github.com/carobknot/carobknot/internal/carobclaimlog"
 	"github.com/carobknot/carobknot/internal/carobcontrol"
-	"github.com/carobknot/carobknot/internal/carobenroller"
 	"github.com/carobknot/carobknot/internal/carobeventlog"
-	"github.com/carobknot/carobknot/internal/carobfollower"
+	"github.com/carobknot/carobknot/internal/caroblogclient"
+	"github.com/carobknot/carobknot/internal/caroblogwriter"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
+	"github.com/carobknot/carobknot/internal/carobmembersync"
 	"github.com/carobknot/carobknot/internal/carobmeter"
-	"github.com/carobknot/carobknot/internal/carobplatform"
+	"github.com/carobknot/carobknot/internal/carobroutepoller"
 	"github.com/carobknot/carobknot/internal/carobsettings"
 	"github.com/carobknot/carobknot/internal/carobsplitter"
 	"github.com/carobknot/carobknot/internal/carobtail"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobtracewriter"
 	"github.com/carobknot/carobknot/internal/carobtransport"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobannouncement"
@@ -52,34 +52,34 @@
 	// interface and log.
 	Dialect dialect
 	Store   store
-	// Beside describes a target that may already run on the VM; a health check finds out
-	// its name and slots. No health check is sent if the address is empty.
-	Beside carobannouncement.Announcement
+	// LocalTarget describes a target that may already run on the VM; a health check
+	// finds out its name and slots. No health check is sent if the address is empty.
+	LocalTarget carobannouncement.Announcement
 }
 
 // dialect is the HTTP interface to a platform's callers and targets. The interfaces
-// of the same name in carobingress and carobadmitter describe the methods.
+// of the same name in carobdialectfrontend and carobadmitter describe the methods.
 type dialect interface {
-	Arrival(req *fasthttp.Request) (carobarrival.Arrival, error)
-	Refuse(resp *fasthttp.Response, req *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
-	Ask(req *fasthttp.Request, start *carobstart.Start, target carobtargetid.ID)
-	Check(req *fasthttp.Request, address carobaddress.Address)
-	Identity(resp *fasthttp.Response) (carobname.Name, int)
-	Mine(req *fasthttp.Request, resp *fasthttp.Response) bool
-	Judge(resp *fasthttp.Response) (carobkind.Kind, *carobtargetload.TargetLoad)
+	ParseArrival(req *fasthttp.Request) (carobarrival.Arrival, error)
+	WriteRefusal(resp *fasthttp.Response, req *fasthttp.Request, kind carobkind.Kind, after time.Duration, detail string)
+	PrepareRequest(req *fasthttp.Request, start *carobstart.Start, target carobtargetid.ID)
+	PrepareHealthCheck(req *fasthttp.Request, address carobaddress.Address)
+	ParseIdentity(resp *fasthttp.Response) (carobname.Name, int)
+	MatchesRequest(req *fasthttp.Request, resp *fasthttp.Response) bool
+	Classify(resp *fasthttp.Response) (carobkind.Kind, *carobtargetload.TargetLoad)
 }
 
 // store keeps a platform's route tables, and the descriptions by which nodes find each
 // other.
 type store interface {
-	Routes(ctx context.Context, wait time.Duration) (*carobroutetable.RouteTable, error)
-	Enrol(ctx context.Context, node carobnodeid.ID, member []byte) error
-	Words(ctx context.Context) ([][]byte, error)
+	AwaitRoutes(ctx context.Context, wait time.Duration) (*carobroutetable.RouteTable, error)
+	PutMember(ctx context.Context, node carobnodeid.ID, member []byte) error
+	Members(ctx context.Context) ([][]byte, error)
 }
 
 // callServer receives the calls of callers.
 type callServer interface {
-	Carry(out *caroboutbox.Outbox)
+	Execute(out *caroboutbox.Outbox)
 	Serve(listener net.Listener) error
 	Drain()
 	Shutdown(ctx context.Context) error
@@ -104,21 +104,21 @@
 	failureLines = 200
 	// logTimeout is the time-out of a request to the platform's log.
 	logTimeout = 2 * time.Second
-	// protocolDetectionTimeout is how long a new connection to the peer address may take
-	// to send the bytes by which its protocol is detected.
+	// protocolDetectionTimeout is how long a new connection to the peer address may
+	// take to send the bytes by which its protocol is detected.
 	protocolDetectionTimeout = 5 * time.Second
 	// finalSendDelay is the delay before the servers are closed, in which the last
 	// messages to other nodes are sent.
 	finalSendDelay = 200 * time.Millisecond
 	// closeTimeout is the longest time for closing the servers. A tenth of
-	// Settings.Grace applies if it is shorter.
+	// Settings.ShutdownTimeout applies if it is shorter.
 	closeTimeout = 2 * time.Second
 
-	// keepAliveInterval is the interval of TCP keep-alive probes on a connection without
-	// traffic.
+	// keepAliveInterval is the interval of TCP keep-alive probes on a connection
+	// without traffic.
 	keepAliveInterval = 500 * time.Millisecond
-	// maxReuseAge is the longest time that a connection may have been idle to get a call
-	// which must not run twice.
+	// maxReuseAge is the longest time that a connection may have been idle to get a
+	// call which must not run twice.
 	maxReuseAge = time.Second
 	// maxBufferedResponse is the size of the largest response body that is read to its
 	// end before the response is forwarded, in bytes.
@@ -149,7 +149,7 @@
 	for _, endpoint := range []struct {
 		address carobaddress.Address
 		into    *net.Listener
-	}{{c.Settings.Call, &n.callListener}, {c.Settings.Peer, &n.peerListener}, {c.Settings.Admin, &n.adminListener}} {
+	}{{c.Settings.CallAddress, &n.callListener}, {c.Settings.PeerAddress, &n.peerListener}, {c.Settings.AdminAddress, &n.adminListener}} {
 		listener, err := listen.Listen(ctx, "tcp", string(endpoint.address))
 		if err != nil {
 			n.closeListeners()
@@ -161,20 +161,20 @@
 	return n, nil
 }
 
-// Call returns the address at which the node receives calls.
-func (n *Node) Call() carobaddress.Address {
+// CallAddress returns the address at which the node receives calls.
+func (n *Node) CallAddress() carobaddress.Address {
 	return carobaddress.Address(n.callListener.Addr().String())
 }
 
-// Peer returns the address at which the node receives attempts and control messages
-// of other nodes.
-func (n *Node) Peer() carobaddress.Address {
+// PeerAddress returns the address at which the node receives attempts and control
+// messages of other nodes.
+func (n *Node) PeerAddress() carobaddress.Address {
 	return carobaddress.Address(n.peerListener.Addr().String())
 }
 
-// Admin returns the address at which the node receives the announcements of the VM's
-// own targets and the requests of operators.
-func (n *Node) Admin() carobaddress.Address {
+// AdminAddress returns the address at which the node receives the announcements of the
+// VM's own targets and the requests of operators.
+func (n *Node) AdminAddress() carobaddress.Address {
 	return carobaddress.Address(n.adminListener.Addr().String())
 }
 
@@ -184,13 +184,13 @@
 	do.MustInvoke[*carobmailbox.Mailbox](n.injector).Post(func(inbox *carobinbox.Inbox) {
 		inbox.Announcements = append(inbox.Announcements, announcement)
 	})
-	return do.MustInvoke[*carobcontrol.Control](n.injector).Ask(ctx, func(*carobworld.World) {})
+	return do.MustInvoke[*carobcontrol.Control](n.injector).Query(ctx, func(*carobworld.World) {})
 }
 
 // Ready reports whether the node has a route table and is not shutting down.
 func (n *Node) Ready(ctx context.Context) bool {
 	ready := false
-	err := do.MustInvoke[*carobcontrol.Control](n.injector).Ask(ctx, func(world *carobworld.World) {
+	err := do.MustInvoke[*carobcontrol.Control](n.injector).Query(ctx, func(world *carobworld.World) {
 		ready = world.RouteTable != nil && !n.leaving.Load()
 	})
 	return err == nil && ready
@@ -200,14 +200,14 @@
 func (n *Node) Run(ctx context.Context) error {
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	n.attachParts(runCtx)
+	n.addExecutors(runCtx)
 	n.startBackground(runCtx)
 	failed := n.startServers(runCtx)
-	if n.config.Beside.Address != "" {
+	if n.config.LocalTarget.Address != "" {
 		go n.discoverTarget(runCtx)
 	}
 	n.config.Logger.WithFields(logrus.Fields{
-		"node": n.config.Settings.Name, "call": n.Call(), "peer": n.Peer(), "admin": n.Admin(),
+		"node": n.config.Settings.Name, "call": n.CallAddress(), "peer": n.PeerAddress(), "admin": n.AdminAddress(),
 	}).Info("node: started")
 	select {
 	case err := <-failed:
@@ -220,37 +220,37 @@
 
 // discoverTarget identifies and announces the target that may already run on the VM.
 func (n *Node) discoverTarget(ctx context.Context) {
-	if err := do.MustInvoke[*carobadmitter.Admitter](n.injector).Meet(ctx, n.config.Beside); err != nil {
+	if err := do.MustInvoke[*carobadmitter.Admitter](n.injector).Discover(ctx, n.config.LocalTarget); err != nil {
 		n.config.Logger.WithError(err).Info("target: could not be identified before its own announcement")
 	}
 }
 
-// attachParts connects the control goroutine to the parts that carry out its effects.
-func (n *Node) attachParts(ctx context.Context) {
+// addExecutors connects the control goroutine to the parts that carry out its effects.
+func (n *Node) addExecutors(ctx context.Context) {
 	control := do.MustInvoke[*carobcontrol.Control](n.injector)
-	control.Attach(do.MustInvoke[*carobadmitter.Admitter](n.injector))
-	control.Attach(do.MustInvoke[callServer](n.injector))
-	control.Attach(do.MustInvoke[*carobtransport.Transport](n.injector))
-	control.Attach(do.MustInvoke[*carobmeter.Meter](n.injector))
-	control.Attach(do.MustInvoke[*carobeventlog.EventLog](n.injector))
+	control.AddExecutor(do.MustInvoke[*carobadmitter.Admitter](n.injector))
+	control.AddExecutor(do.MustInvoke[callServer](n.injector))
+	control.AddExecutor(do.MustInvoke[*carobtransport.Transport](n.injector))
+	control.AddExecutor(do.MustInvoke[*carobmeter.Meter](n.injector))
+	control.AddExecutor(do.MustInvoke[*carobeventlog.EventLog](n.injector))
 	if n.config.Store != nil {
-		control.Attach(do.MustInvoke[*carobenroller.Enroller](n.injector))
-		control.Attach(do.MustInvoke[*carobfollower.Follower](n.injector))
+		control.AddExecutor(do.MustInvoke[*carobmembersync.MemberSync](n.injector))
+		control.AddExecutor(do.MustInvoke[*carobroutepoller.RoutePoller](n.injector))
 	} else {
-		n.attachLog(ctx, control)
+		n.addLogExecutors(ctx, control)
 	}
-	control.Attach(n)
+	control.AddExecutor(n)
 }
 
-// attachLog connects the control goroutine to the parts that write to the log.
-func (n *Node) attachLog(ctx context.Context, control *carobcontrol.Control) {
-	control.Attach(carobclaimlog.NewClaimLog(ctx, carobclaimlog.Config{
-		Log:     do.MustInvoke[*carobplatform.Client](n.injector),
+// addLogExecutors connects the control goroutine to the parts that write to the log.
+func (n *Node) addLogExecutors(ctx context.Context, control *carobcontrol.Control) {
+	control.AddExecutor(carobclaimlog.NewClaimLog(ctx, carobclaimlog.Config{
+		Log:     do.MustInvoke[*caroblogclient.LogClient](n.injector),
 		Mailbox: do.MustInvoke[*carobmailbox.Mailbox](n.injector),
 		Timer:   do.MustInvoke[*carobtimer.Timer](n.injector),
 		Logger:  logrus.NewEntry(n.config.Logger),
 	}))
-	control.Attach(do.MustInvoke[*carobtracewriter.TraceWriter](n.injector))
+	control.AddExecutor(do.MustInvoke[*caroblogwriter.LogWriter](n.injector))
 }
 
 // startBackground starts the goroutines that run beside the servers.
@@ -260,11 +260,11 @@
 	go do.MustInvoke[*carobsplitter.Splitter](n.injector).Run(ctx)
 	go do.MustInvoke[*carobeventlog.EventLog](n.injector).Run(ctx)
 	if n.config.Store != nil {
-		go do.MustInvoke[*carobenroller.Enroller](n.injector).Run(ctx)
-		go do.MustInvoke[*carobfollower.Follower](n.injector).Run(ctx)
+		go do.MustInvoke[*carobmembersync.MemberSync](n.injector).Run(ctx)
+		go do.MustInvoke[*carobroutepoller.RoutePoller](n.injector).Run(ctx)
 		return
 	}
-	go do.MustInvoke[*carobtracewriter.TraceWriter](n.injector).Run(ctx)
+	go do.MustInvoke[*caroblogwriter.LogWriter](n.injector).Run(ctx)
 	go n.readStream(ctx, carobstream.Profiles)
 	go n.readStream(ctx, carobstream.Nodes)
 }
@@ -283,62 +283,62 @@
 		}
 	}
 	go start("calls", do.MustInvoke[callServer](n.injector).Serve, n.callListener)
-	go start("attempts", do.MustInvoke[*attemptServer](n.injector).Serve, splitter.Calls)
-	go start("control messages", do.MustInvoke[*carobtransport.Transport](n.injector).Serve, splitter.Control)
-	go start("admin", do.MustInvoke[*carobadmin.Admin](n.injector).Serve, n.adminListener)
+	go start("attempts", do.MustInvoke[*attemptServer](n.injector).Serve, splitter.AttemptListener)
+	go start("control messages", do.MustInvoke[*carobtransport.Transport](n.injector).Serve, splitter.ControlListener)
+	go start("admin", do.MustInvoke[*carobadminserver.AdminServer](n.injector).Serve, n.adminListener)
 	return failed
 }
 
 // shutDown shuts the node down gracefully:
 //
-//   - For Settings.Stay, the node still accepts calls and attempts, since callers and
+//   - For Settings.MinDrainTime, the node still accepts calls and attempts, since callers and
 //     other nodes may not have noticed that it is shutting down.
 //   - Then callers can open no more connections; calls that have been received are
 //     still answered. The node announces to the other nodes that it leaves and refuses
 //     their attempts, until none has sent an attempt for a while. If an attempt met a
 //     closed connection instead of a refusal, its entry node could not determine
 //     whether it ran.
-//   - Calls that are still in flight after Settings.Grace get a final response.
+//   - Calls that are still in flight after Settings.ShutdownTimeout get a final response.
 //   - Finally the servers are closed, within closeTimeout.
 func (n *Node) shutDown(ctx context.Context) {
 	logger := n.config.Logger.WithField("node", n.config.Settings.Name)
 	logger.Info("node: shutting down")
 	n.leaving.Store(true)
 	mailbox := do.MustInvoke[*carobmailbox.Mailbox](n.injector)
-	graceCtx, cancelGrace := context.WithTimeout(ctx, n.config.Settings.Grace.Duration())
-	defer cancelGrace()
+	shutdownCtx, cancelShutdown := context.WithTimeout(ctx, n.config.Settings.ShutdownTimeout.Duration())
+	defer cancelShutdown()
 	calls := do.MustInvoke[callServer](n.injector)
-	deadline := do.MustInvoke[*carobtimer.Timer](n.injector).Now().Add(n.config.Settings.Grace.Duration())
+	deadline := do.MustInvoke[*carobtimer.Timer](n.injector).Now().Add(n.config.Settings.ShutdownTimeout.Duration())
 	mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.ShutdownDeadline = deadline })
 	calls.Drain()
-	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(graceCtx, n.config.Settings.Stay.Duration())
+	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(shutdownCtx, n.config.Settings.MinDrainTime.Duration())
 	mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.Stop = true })
-	_ = calls.Shutdown(graceCtx)
+	_ = calls.Shutdown(shutdownCtx)
 	select {
 	case <-n.stopped:
-	case <-graceCtx.Done():
+	case <-shutdownCtx.Done():
 	}
 	const divisor = 10
-	closeCtx, cancelClose := context.WithTimeout(ctx, min(closeTimeout, n.config.Settings.Grace.Duration()/divisor))
+	closeCtx, cancelClose := context.WithTimeout(ctx, min(closeTimeout, n.config.Settings.ShutdownTimeout.Duration()/divisor))
 	defer cancelClose()
-	if graceCtx.Err() != nil {
+	if shutdownCtx.Err() != nil {
 		logger.Warn("node: calls still in flight get their last answer")
 		mailbox.Post(func(inbox *carobinbox.Inbox) { inbox.Exit = true })
 		_ = calls.Shutdown(closeCtx)
 	}
-	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(graceCtx, finalSendDelay)
+	_ = do.MustInvoke[*carobtimer.Timer](n.injector).Wait(shutdownCtx, finalSendDelay)
 	if n.config.Store == nil {
-		do.MustInvoke[*carobtracewriter.TraceWriter](n.injector).Flush(closeCtx)
+		do.MustInvoke[*caroblogwriter.LogWriter](n.injector).Flush(closeCtx)
 	}
 	_ = do.MustInvoke[*attemptServer](n.injector).ShutdownWithContext(closeCtx)
 	_ = do.MustInvoke[*carobtransport.Transport](n.injector).Shutdown(closeCtx)
-	_ = do.MustInvoke[*carobadmin.Admin](n.injector).Shutdown(closeCtx)
+	_ = do.MustInvoke[*carobadminserver.AdminServer](n.injector).Shutdown(closeCtx)
 	logger.Info("node: stopped")
 }
 
-// Carry closes stopped when the control goroutine reports the end of a graceful
+// Execute closes stopped when the control goroutine reports the end of a graceful
 // shutdown.
-func (n *Node) Carry(out *caroboutbox.Outbox) {
+func (n *Node) Execute(out *caroboutbox.Outbox) {
 	if !out.Stopped {
 		return
 	}
@@ -352,7 +352,7 @@
 // readStream reads a stream of the platform's log until ctx ends.
 func (n *Node) readStream(ctx context.Context, stream carobstream.Stream) {
 	carobtail.NewTail(carobtail.Config{
-		Stream: stream, Log: do.MustInvoke[*carobplatform.Client](n.injector),
+		Stream: stream, Log: do.MustInvoke[*caroblogclient.LogClient](n.injector),
 		Mailbox: do.MustInvoke[*carobmailbox.Mailbox](n.injector),
 		Timer:   do.MustInvoke[*carobtimer.Timer](n.injector), Logger: logrus.NewEntry(n.config.Logger),
 	}).Run(ctx)
@@ -367,6 +367,6 @@
 	}
 }
 
-// maxTraceBacklog is the largest number of bytes that are buffered for each stream
+// maxBufferedSize is the largest number of bytes that are buffered for each stream
 // while the log is unavailable.
-const maxTraceBacklog = 8 * carobsize.MiB
+const maxBufferedSize = 8 * carobsize.MiB
--- a/internal/carobnode/path_test.go
+++ b/internal/carobnode/path_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fasthttp"
 
+	"github.com/carobknot/carobknot/internal/carobfakelog"
 	"github.com/carobknot/carobknot/internal/carobsettings"
-	"github.com/carobknot/carobknot/internal/carobstandlog"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 )
@@ -29,7 +29,7 @@
 	defer cancel()
 	timer := carobtimer.NewTimer()
 	go timer.Run(ctx)
-	log := listen(b, carobstandlog.NewLog(carobstandlog.Config{Timer: timer}).Serve)
+	log := listen(b, carobfakelog.NewFakeLog(carobfakelog.Config{Timer: timer}).Serve)
 	entryNode, targetNode := runNode(b, "near", log), runNode(b, "far", log)
 	server := &fasthttp.Server{Handler: func(reqCtx *fasthttp.RequestCtx) { reqCtx.SetBodyString(strings.Repeat("x", 512)) }}
 	target := listen(b, server.Serve)
@@ -42,7 +42,7 @@
 	for _, run := range []struct {
 		name    string
 		address carobaddress.Address
-	}{{"direct", carobaddress.Address(target)}, {"one-node", targetNode.Call()}, {"two-nodes", entryNode.Call()}} {
+	}{{"direct", carobaddress.Address(target)}, {"one-node", targetNode.CallAddress()}, {"two-nodes", entryNode.CallAddress()}} {
 		b.Run(run.name, func(b *testing.B) { measure(b, timer, string(run.address)) })
 	}
 }
@@ -131,7 +131,7 @@
 // the caller repeats the announcement.
 func announce(node *Node, target string) {
 	body := fmt.Sprintf(`{"address": %q, "profile": "lookups", "slots": 12, "conns": 100, "state": "ready"}`, target)
-	req, err := http.NewRequest(http.MethodPut, "http://"+string(node.Admin())+"/targets/lookups/a", strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPut, "http://"+string(node.AdminAddress())+"/targets/lookups/a", strings.NewReader(body))
 	if err != nil {
 		return
 	}
--- a/internal/carobnode/providers.go
+++ b/internal/carobnode/providers.go
@@ -6,16 +6,16 @@
 	"github.com/samber/do/v2"
 	"github.com/sirupsen/logrus"
 
-	"github.com/carobknot/carobknot/internal/carobadmin"
+	"github.com/carobknot/carobknot/internal/carobadminserver"
 	"github.com/carobknot/carobknot/internal/carobcodec"
 	"github.com/carobknot/carobknot/internal/carobcontrol"
 	"github.com/carobknot/carobknot/internal/carobeventlog"
+	"github.com/carobknot/carobknot/internal/caroblogclient"
+	"github.com/carobknot/carobknot/internal/caroblogwriter"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/carobmeter"
-	"github.com/carobknot/carobknot/internal/carobplatform"
 	"github.com/carobknot/carobknot/internal/carobsplitter"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobtracewriter"
 	"github.com/carobknot/carobknot/internal/carobtransport"
 	"github.com/carobknot/carobknot/pkg/carobcore"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
@@ -32,24 +32,24 @@
 	do.ProvideValue(injector, carobmailbox.NewMailbox())
 	do.ProvideValue(injector, carobmeter.NewMeter())
 	do.Provide(injector, func(injector do.Injector) (carobmember.Member, error) {
-		startTime := do.MustInvoke[*carobtimer.Timer](injector).Wall()
+		startTime := do.MustInvoke[*carobtimer.Timer](injector).WallTime()
 		return carobmember.Member{
 			Node: settings.Name, Incarnation: carobincarnation.Incarnation(startTime.UnixNano()), //nolint:gosec // the year is past 1970
-			Region: settings.Region, Centre: settings.Centre, PeerAddress: cmp.Or(settings.Public, n.Peer()),
+			Region: settings.Region, Centre: settings.Centre, PeerAddress: cmp.Or(settings.PublicAddress, n.PeerAddress()),
 		}, nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobcore.Core, error) {
 		self := do.MustInvoke[carobmember.Member](injector)
 		return carobcore.NewCore(carobcore.Config{
-			World: carobworld.Config{Self: self, Limits: settings.Limits, ProbeLimits: settings.Measure, RetryLimits: settings.Retries, Seed: uint64(self.Incarnation)},
-			Seeds: settings.Seeds, Profiles: settings.Profiles, AnnouncementTimeout: settings.Silence.Duration(),
+			World: carobworld.Config{Self: self, Limits: settings.Limits, ProbeLimits: settings.ProbeLimits, RetryLimits: settings.RetryLimits, Seed: uint64(self.Incarnation)},
+			Seeds: settings.Seeds, Profiles: settings.Profiles, AnnouncementTimeout: settings.AnnouncementTimeout.Duration(),
 			NoTracePropagation: n.config.Dialect != nil,
 		}), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobeventlog.EventLog, error) {
 		return carobeventlog.NewEventLog(carobeventlog.Config{
-			Logger: n.config.Logger, Timer: do.MustInvoke[*carobtimer.Timer](injector), Usual: settings.Lines, Failures: failureLines,
-			Audits: n.config.Store != nil,
+			Logger: n.config.Logger, Timer: do.MustInvoke[*carobtimer.Timer](injector), MaxSuccessLines: settings.MaxSuccessLines, MaxFailureLines: failureLines,
+			LogAudits: n.config.Store != nil,
 		}), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobcontrol.Control, error) {
@@ -73,20 +73,20 @@
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobsplitter.Splitter, error) {
 		return carobsplitter.NewSplitter(carobsplitter.Config{
-			Listener: n.peerListener, Timer: do.MustInvoke[*carobtimer.Timer](injector), Patience: protocolDetectionTimeout,
+			Listener: n.peerListener, Timer: do.MustInvoke[*carobtimer.Timer](injector), DetectionTimeout: protocolDetectionTimeout,
 		}), nil
 	})
-	do.Provide(injector, func(do.Injector) (*carobplatform.Client, error) {
-		return carobplatform.NewClient(carobplatform.Config{URL: settings.Log, Patience: logTimeout}), nil
+	do.Provide(injector, func(do.Injector) (*caroblogclient.LogClient, error) {
+		return caroblogclient.NewLogClient(caroblogclient.Config{URL: settings.LogURL, Timeout: logTimeout}), nil
 	})
-	do.Provide(injector, func(injector do.Injector) (*carobtracewriter.TraceWriter, error) {
-		return carobtracewriter.NewTraceWriter(carobtracewriter.Config{
-			Self: do.MustInvoke[carobmember.Member](injector), Log: do.MustInvoke[*carobplatform.Client](injector),
-			Timer: do.MustInvoke[*carobtimer.Timer](injector), Logger: logrus.NewEntry(n.config.Logger), Kept: maxTraceBacklog,
+	do.Provide(injector, func(injector do.Injector) (*caroblogwriter.LogWriter, error) {
+		return caroblogwriter.NewLogWriter(caroblogwriter.Config{
+			Self: do.MustInvoke[carobmember.Member](injector), Log: do.MustInvoke[*caroblogclient.LogClient](injector),
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), Logger: logrus.NewEntry(n.config.Logger), MaxBufferedSize: maxBufferedSize,
 		}), nil
 	})
-	do.Provide(injector, func(injector do.Injector) (*carobadmin.Admin, error) {
-		return carobadmin.NewAdmin(carobadmin.Config{
+	do.Provide(injector, func(injector do.Injector) (*carobadminserver.AdminServer, error) {
+		return carobadminserver.NewAdminServer(carobadminserver.Config{
 			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Control: do.MustInvoke[*carobcontrol.Control](injector),
 			Timer: do.MustInvoke[*carobtimer.Timer](injector), Metrics: do.MustInvoke[*carobmeter.Meter](injector).Handler(),
 		}), nil
--- a/internal/carobnode/traffic_providers.go
+++ b/internal/carobnode/traffic_providers.go
@@ -10,16 +10,16 @@
 
 	"github.com/carobknot/carobknot/internal/carobadmitter"
 	"github.com/carobknot/carobknot/internal/carobcontrol"
-	"github.com/carobknot/carobknot/internal/carobenroller"
-	"github.com/carobknot/carobknot/internal/carobentrance"
+	"github.com/carobknot/carobknot/internal/carobdialectfrontend"
+	"github.com/carobknot/carobknot/internal/carobdisconnectwatch"
 	"github.com/carobknot/carobknot/internal/carobexchange"
-	"github.com/carobknot/carobknot/internal/carobfollower"
-	"github.com/carobknot/carobknot/internal/carobingress"
+	"github.com/carobknot/carobknot/internal/carobfrontend"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
+	"github.com/carobknot/carobknot/internal/carobmembersync"
 	"github.com/carobknot/carobknot/internal/carobpool"
 	"github.com/carobknot/carobknot/internal/carobrelay"
+	"github.com/carobknot/carobknot/internal/carobroutepoller"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobwatch"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 )
 
@@ -40,52 +40,52 @@
 // provideTraffic adds the constructors of the parts that carry calls.
 func (n *Node) provideTraffic(injector do.Injector) {
 	settings := n.config.Settings
-	do.Provide(injector, func(injector do.Injector) (*carobwatch.Watch, error) {
-		return carobwatch.NewWatch(carobwatch.Config{
-			Timer: do.MustInvoke[*carobtimer.Timer](injector), Period: disconnectCheckInterval,
+	do.Provide(injector, func(injector do.Injector) (*carobdisconnectwatch.DisconnectWatch, error) {
+		return carobdisconnectwatch.NewDisconnectWatch(carobdisconnectwatch.Config{
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), PollInterval: disconnectCheckInterval,
 		}), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobadmitter.Admitter, error) {
 		poolConfig := carobpool.Config{
-			Timer: do.MustInvoke[*carobtimer.Timer](injector), Dial: dialTimeout, Idle: targetIdleTimeout, Kept: maxIdleConns,
-			Header: int(settings.Limits.HeaderSize), Stall: settings.Limits.StallTimeout.Duration(),
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), DialTimeout: dialTimeout, IdleTimeout: targetIdleTimeout, MaxIdleConns: maxIdleConns,
+			MaxHeader: int(settings.Limits.HeaderSize), StallTimeout: settings.Limits.StallTimeout.Duration(),
 		}
 		admitterConfig := carobadmitter.Config{
-			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
-			Watch:   do.MustInvoke[*carobwatch.Watch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
-			Stall: settings.Limits.StallTimeout.Duration(),
+			Mailbox:         do.MustInvoke[*carobmailbox.Mailbox](injector),
+			DisconnectWatch: do.MustInvoke[*carobdisconnectwatch.DisconnectWatch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+			StallTimeout: settings.Limits.StallTimeout.Duration(),
 		}
 		if n.config.Dialect != nil {
-			poolConfig.Recent, poolConfig.Alive, poolConfig.Unframed, poolConfig.Mine = maxReuseAge, keepAliveInterval, true, n.config.Dialect.Mine
-			admitterConfig.Dialect, admitterConfig.Gather = n.config.Dialect, maxBufferedResponse
+			poolConfig.MaxReuseAge, poolConfig.KeepAliveInterval, poolConfig.AllowCloseDelimited, poolConfig.MatchesRequest = maxReuseAge, keepAliveInterval, true, n.config.Dialect.MatchesRequest
+			admitterConfig.Dialect, admitterConfig.MaxBufferedAnswer = n.config.Dialect, maxBufferedResponse
 		}
-		admitterConfig.Targets = carobpool.NewPool(poolConfig)
+		admitterConfig.TargetClient = carobpool.NewPool(poolConfig)
 		return carobadmitter.NewAdmitter(admitterConfig), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobrelay.Relay, error) {
 		poolConfig := carobpool.Config{
-			Timer: do.MustInvoke[*carobtimer.Timer](injector), Dial: dialTimeout, Idle: peerIdleTimeout, Kept: maxIdleConns, Ask: true,
-			Header: peerHeaderSpace + int(settings.Limits.HeaderSize), Stall: settings.Limits.StallTimeout.Duration(),
+			Timer: do.MustInvoke[*carobtimer.Timer](injector), DialTimeout: dialTimeout, IdleTimeout: peerIdleTimeout, MaxIdleConns: maxIdleConns, ExpectContinue: true,
+			MaxHeader: peerHeaderSpace + int(settings.Limits.HeaderSize), StallTimeout: settings.Limits.StallTimeout.Duration(),
 		}
 		if n.config.Dialect != nil {
-			poolConfig.Dial, poolConfig.Recent, poolConfig.Alive = peerDialTimeout, maxReuseAge, keepAliveInterval
+			poolConfig.DialTimeout, poolConfig.MaxReuseAge, poolConfig.KeepAliveInterval = peerDialTimeout, maxReuseAge, keepAliveInterval
 		}
-		return carobrelay.NewRelay(carobrelay.Config{Peers: carobpool.NewPool(poolConfig), Own: do.MustInvoke[*carobadmitter.Admitter](injector)}), nil
+		return carobrelay.NewRelay(carobrelay.Config{PeerClient: carobpool.NewPool(poolConfig), Local: do.MustInvoke[*carobadmitter.Admitter](injector)}), nil
 	})
 	do.Provide(injector, func(injector do.Injector) (callServer, error) {
 		self := do.MustInvoke[carobmember.Member](injector)
 		if n.config.Dialect == nil {
-			return carobentrance.NewEntrance(carobentrance.Config{
+			return carobfrontend.NewFrontEnd(carobfrontend.Config{
 				Node: self.Node, Incarnation: self.Incarnation, Limits: settings.Limits,
 				Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Control: do.MustInvoke[*carobcontrol.Control](injector),
-				Watch: do.MustInvoke[*carobwatch.Watch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
+				DisconnectWatch: do.MustInvoke[*carobdisconnectwatch.DisconnectWatch](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
 				Relay: do.MustInvoke[*carobrelay.Relay](injector),
 			}), nil
 		}
-		return carobingress.NewIngress(carobingress.Config{
+		return carobdialectfrontend.NewDialectFrontEnd(carobdialectfrontend.Config{
 			Node: self.Node, Incarnation: self.Incarnation, Limits: settings.Limits, Dialect: n.config.Dialect,
 			Exchanges: carobexchange.NewExchanges(carobexchange.Config{
-				Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Relay: do.MustInvoke[*carobrelay.Relay](injector), Gather: maxBufferedResponse,
+				Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Relay: do.MustInvoke[*carobrelay.Relay](injector), MaxBufferedAnswer: maxBufferedResponse,
 			}),
 			Timer: do.MustInvoke[*carobtimer.Timer](injector),
 		}), nil
@@ -93,8 +93,8 @@
 	do.Provide(injector, func(injector do.Injector) (*attemptServer, error) {
 		return &attemptServer{Server: &fasthttp.Server{
 			Handler:              do.MustInvoke[*carobadmitter.Admitter](injector).Serve,
-			ExpectHandler:        do.MustInvoke[*carobadmitter.Admitter](injector).Expect,
-			ErrorHandler:         do.MustInvoke[*carobadmitter.Admitter](injector).Fail,
+			ExpectHandler:        do.MustInvoke[*carobadmitter.Admitter](injector).HandleExpect,
+			ErrorHandler:         do.MustInvoke[*carobadmitter.Admitter](injector).HandleError,
 			ReadBufferSize:       peerHeaderSpace + int(settings.Limits.HeaderSize),
 			MaxRequestBodySize:   math.MaxInt,
 			ReadTimeout:          settings.Limits.HeaderTimeout.Duration(),
@@ -109,15 +109,15 @@
 
 // provideStore adds the constructors of the parts that use a platform's store.
 func (n *Node) provideStore(injector do.Injector) {
-	do.Provide(injector, func(injector do.Injector) (*carobenroller.Enroller, error) {
-		return carobenroller.NewEnroller(carobenroller.Config{
+	do.Provide(injector, func(injector do.Injector) (*carobmembersync.MemberSync, error) {
+		return carobmembersync.NewMemberSync(carobmembersync.Config{
 			Node: n.config.Settings.Name, Directory: n.config.Store,
 			Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector), Timer: do.MustInvoke[*carobtimer.Timer](injector),
 			Logger: logrus.NewEntry(n.config.Logger),
 		}), nil
 	})
-	do.Provide(injector, func(injector do.Injector) (*carobfollower.Follower, error) {
-		return carobfollower.NewFollower(carobfollower.Config{
+	do.Provide(injector, func(injector do.Injector) (*carobroutepoller.RoutePoller, error) {
+		return carobroutepoller.NewRoutePoller(carobroutepoller.Config{
 			Source: n.config.Store, Mailbox: do.MustInvoke[*carobmailbox.Mailbox](injector),
 			Timer: do.MustInvoke[*carobtimer.Timer](injector), Logger: logrus.NewEntry(n.config.Logger),
 		}), nil
--- a/internal/carobpool/exchange.go
+++ b/internal/carobpool/exchange.go
@@ -47,13 +47,13 @@
 			return x.runBuffered()
 		}
 	}
-	if x.config.Ask {
+	if x.config.ExpectContinue {
 		x.request.Header.Set(fasthttp.HeaderExpect, expectContinue)
 	}
 	if err := x.write(nil); err != nil {
 		return nil, err
 	}
-	if x.config.Ask {
+	if x.config.ExpectContinue {
 		resp, err := x.readHeader()
 		if err != nil || resp.StatusCode() != fasthttp.StatusContinue {
 			return resp, err
@@ -170,8 +170,8 @@
 	}
 }
 
-// readFinalResponse reads the header of the final response and opens its body. It
-// skips interim responses and, with Config.Mine, responses to earlier requests.
+// readFinalResponse reads the header of the final response and opens its body. It skips
+// interim responses and, with Config.MatchesRequest, responses to earlier requests.
 func (x *exchange) readFinalResponse() (*fasthttp.Response, error) {
 	for range maxInterimResponses {
 		resp, err := x.readHeader()
@@ -179,7 +179,7 @@
 			return nil, err
 		}
 		if resp.StatusCode() >= fasthttp.StatusOK {
-			if x.config.Mine == nil || x.config.Mine(x.request, resp) {
+			if x.config.MatchesRequest == nil || x.config.MatchesRequest(x.request, resp) {
 				return resp, nil
 			}
 			if err := x.discardResponse(resp); err != nil {
@@ -211,9 +211,9 @@
 	return err
 }
 
-// readHeader reads the header of the next response. Unless Config.Unframed is set, a
-// final response with neither a length nor chunks is an error, because the end of
-// its body could not be distinguished from a broken connection.
+// readHeader reads the header of the next response. Unless Config.AllowCloseDelimited
+// is set, a final response with neither a length nor chunks is an error, because the
+// end of its body could not be distinguished from a broken connection.
 func (x *exchange) readHeader() (*fasthttp.Response, error) {
 	if err := x.checkFraming(); err != nil {
 		return nil, err
@@ -225,7 +225,7 @@
 	if resp.StatusCode() < fasthttp.StatusOK || hasNoBody(x.request, resp) {
 		return resp, nil
 	}
-	if resp.Header.ContentLength() < -1 && !x.config.Unframed {
+	if resp.Header.ContentLength() < -1 && !x.config.AllowCloseDelimited {
 		return nil, carobkind.New(carobkind.ConnectionLost, "response has neither a Content-Length nor chunks")
 	}
 	return resp, resp.ReadBody(x.conn.reader, 0)
@@ -296,13 +296,13 @@
 }
 
 // bodyWriter writes the body of a request to the connection. Each write extends the
-// write deadline by Config.Stall.
+// write deadline by Config.StallTimeout.
 type bodyWriter struct {
 	exchange *exchange
 }
 
 func (s *bodyWriter) Write(data []byte) (int, error) {
 	config := s.exchange.config
-	_ = s.exchange.conn.SetWriteDeadline(config.Timer.Wall().Add(config.Stall))
+	_ = s.exchange.conn.SetWriteDeadline(config.Timer.WallTime().Add(config.StallTimeout))
 	return s.exchange.conn.writer.Write(data)
 }
--- a/internal/carobpool/options_test.go
+++ b/internal/carobpool/options_test.go
@@ -51,7 +51,7 @@
 		respondWithID(conn, req.Header.Get(idHeader), "mine")
 		return true
 	})
-	p := newPool(t, func(c *Config) { c.Mine = matchesID })
+	p := newPool(t, func(c *Config) { c.MatchesRequest = matchesID })
 	for _, id := range []string{"r1", "r2", "r3"} {
 		body, err := fetch(t, p, server, id, false)
 		require.NoError(t, err)
@@ -66,12 +66,13 @@
 		respondWithID(conn, "other", "of another request")
 		return false
 	})
-	_, err := fetch(t, newPool(t, func(c *Config) { c.Mine = matchesID }), server, "r1", false)
+	_, err := fetch(t, newPool(t, func(c *Config) { c.MatchesRequest = matchesID }), server, "r1", false)
 	require.Equal(t, carobkind.ConnectionLost, carobkind.Of(err))
 }
 
-// TestBodyMayEndWithConnection checks that, with Unframed, a body ends when the server
-// closes the connection, and that a reset is not taken for the end of the body.
+// TestBodyMayEndWithConnection checks that, with AllowCloseDelimited, a body ends when
+// the server closes the connection, and that a reset is not taken for the end of the
+// body.
 func TestBodyMayEndWithConnection(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -85,7 +86,7 @@
 				}
 				return false
 			})
-			body, err := fetch(t, newPool(t, func(c *Config) { c.Unframed = true }), server, "r1", false)
+			body, err := fetch(t, newPool(t, func(c *Config) { c.AllowCloseDelimited = true }), server, "r1", false)
 			if c.reset {
 				require.Error(t, err, "a reset means that the body is truncated")
 				return
@@ -97,14 +98,15 @@
 }
 
 // TestNonIdempotentRequestAvoidsOldConnection guards against sending a request that
-// must not run twice on a connection that has been idle for longer than Recent. If the
-// server has dropped that connection silently, it is unknown whether the request ran.
+// must not run twice on a connection that has been idle for longer than MaxReuseAge. If
+// the server has dropped that connection silently, it is unknown whether the request
+// ran.
 func TestNonIdempotentRequestAvoidsOldConnection(t *testing.T) {
 	server := startServer(t, func(conn net.Conn, req *http.Request, _, _ int64) bool {
 		respondWithID(conn, req.Header.Get(idHeader), "mine")
 		return true
 	})
-	p := newPool(t, func(c *Config) { c.Recent = time.Nanosecond })
+	p := newPool(t, func(c *Config) { c.MaxReuseAge = time.Nanosecond })
 	for range 2 {
 		_, err := fetch(t, p, server, "r1", false)
 		require.NoError(t, err)
--- a/internal/carobpool/pool.go
+++ b/internal/carobpool/pool.go
@@ -33,36 +33,36 @@
 // Config holds the parameters of a pool.
 type Config struct {
 	Timer *carobtimer.Timer
-	// Dial is the time-out for opening a connection.
-	Dial time.Duration
-	// Idle is how long an idle connection is kept.
-	Idle time.Duration
-	// Kept is the largest number of idle connections to one address.
-	Kept int
-	// Header is the size of the read buffer of a connection, in bytes. A response
+	// DialTimeout is the time-out for opening a connection.
+	DialTimeout time.Duration
+	// IdleTimeout is how long an idle connection is kept.
+	IdleTimeout time.Duration
+	// MaxIdleConns is the largest number of idle connections to one address.
+	MaxIdleConns int
+	// MaxHeader is the size of the read buffer of a connection, in bytes. A response
 	// whose header is longer is rejected. It is 4096 at least.
-	Header int
-	// Stall is how long the peer may send or accept nothing while a body is being
-	// transferred.
-	Stall time.Duration
-	// Ask is true if the client sends "Expect: 100-continue" and waits for the
-	// peer's agreement before it sends a body that needs more than one write.
-	Ask bool
-	// Recent is the longest time that a connection may have been idle to get a request
-	// which must not run twice; 0 means no limit. The peer may have dropped an older
-	// connection silently, and then it is unknown whether the request ran.
-	Recent time.Duration
-	// Alive is the interval between TCP keep-alive probes on a connection without
-	// traffic; 0 means the operating system's default. The connection breaks after
-	// three probes without an answer.
-	Alive time.Duration
-	// Unframed is true if a response may have neither a length nor chunks, so that
-	// its body ends when the connection closes.
-	Unframed bool
-	// Mine reports whether a response belongs to the request; nil accepts every
-	// response. Other responses are discarded: they answer earlier requests on the
-	// connection.
-	Mine func(req *fasthttp.Request, resp *fasthttp.Response) bool
+	MaxHeader int
+	// StallTimeout is how long the peer may send or accept nothing while a body is
+	// being transferred.
+	StallTimeout time.Duration
+	// ExpectContinue is true if the client sends "Expect: 100-continue" and waits for
+	// the peer's agreement before it sends a body that needs more than one write.
+	ExpectContinue bool
+	// MaxReuseAge is the longest time that a connection may have been idle to get a
+	// request which must not run twice; 0 means no limit. The peer may have dropped an
+	// older connection silently, and then it is unknown whether the request ran.
+	MaxReuseAge time.Duration
+	// KeepAliveInterval is the interval between TCP keep-alive probes on a connection
+	// without traffic; 0 means the operating system's default. The connection breaks
+	// after three probes without an answer.
+	KeepAliveInterval time.Duration
+	// AllowCloseDelimited is true if a response may have neither a length nor chunks,
+	// so that its body ends when the connection closes.
+	AllowCloseDelimited bool
+	// MatchesRequest reports whether a response belongs to the request; nil accepts
+	// every response. Other responses are discarded: they answer earlier requests on
+	// the connection.
+	MatchesRequest func(req *fasthttp.Request, resp *fasthttp.Response) bool
 }
 
 // Pool keeps idle connections to several addresses.
@@ -99,21 +99,21 @@
 
 // NewPool returns a pool without connections.
 func NewPool(c Config) *Pool {
-	p := &Pool{config: c, dialer: net.Dialer{Timeout: c.Dial}, idle: map[carobaddress.Address][]*pooledConn{}}
-	if c.Alive > 0 {
-		p.dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: c.Alive, Interval: c.Alive, Count: keepAliveProbes}
-		p.dialer.Control = setUserTimeout(keepAliveProbes * c.Alive)
+	p := &Pool{config: c, dialer: net.Dialer{Timeout: c.DialTimeout}, idle: map[carobaddress.Address][]*pooledConn{}}
+	if c.KeepAliveInterval > 0 {
+		p.dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: c.KeepAliveInterval, Interval: c.KeepAliveInterval, Count: keepAliveProbes}
+		p.dialer.Control = setUserTimeout(keepAliveProbes * c.KeepAliveInterval)
 	}
 	return p
 }
 
 // Do sends a request and returns the response, with its body not yet read. When
 // ctx ends, the connection is closed, which the peer sees as cancellation. The kind
-// of an error is Unreachable if nothing was sent, Cancelled if ctx ended, and Cut
-// otherwise.
+// of an error is Unreachable if nothing was sent, Cancelled if ctx ended, and
+// ConnectionLost otherwise.
 //
 // nonIdempotent is true if the request must not run twice; it then gets no
-// connection that has been idle for longer than Config.Recent.
+// connection that has been idle for longer than Config.MaxReuseAge.
 //
 // The body of the request may still be being sent when Do returns, until the body
 // of the response is closed.
@@ -137,14 +137,14 @@
 	length := max(resp.Header.ContentLength(), -1)
 	conn.idleTimeout = p.idleTimeoutOf(resp)
 	respBody.bytesLeft, respBody.ended = length, respBody.stream == nil || length == 0
-	return &carobanswer.Answer{Response: resp, Bodiless: respBody.stream == nil, Length: length, Body: respBody}, nil
+	return &carobanswer.Answer{Response: resp, NoBody: respBody.stream == nil, Length: length, Body: respBody}, nil
 }
 
 // extendReadDeadline sets the deadline of the next read of a body. It leaves the
 // deadline as it is while buffered bytes are left, since reading those cannot block.
 func (c *pooledConn) extendReadDeadline(config Config) {
 	if c.reader.Buffered() == 0 {
-		_ = c.SetReadDeadline(config.Timer.Wall().Add(config.Stall))
+		_ = c.SetReadDeadline(config.Timer.WallTime().Add(config.StallTimeout))
 	}
 }
 
@@ -158,7 +158,7 @@
 		}
 		age := p.config.Timer.Now().Sub(conn.lastUsed)
 		if age < conn.idleTimeout && isReusable(conn) {
-			if nonIdempotent && p.config.Recent > 0 && age > p.config.Recent {
+			if nonIdempotent && p.config.MaxReuseAge > 0 && age > p.config.MaxReuseAge {
 				p.addIdle(conn)
 				return p.open(ctx, address)
 			}
@@ -190,11 +190,11 @@
 }
 
 // addIdle keeps a connection for a later exchange, or closes it if the pool holds
-// Config.Kept idle connections to its address.
+// Config.MaxIdleConns idle connections to its address.
 func (p *Pool) addIdle(conn *pooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[conn.address]) >= p.config.Kept {
+	if len(p.idle[conn.address]) >= p.config.MaxIdleConns {
 		_ = conn.Close()
 		return
 	}
@@ -208,8 +208,8 @@
 		return nil, err
 	}
 	return &pooledConn{
-		Conn: conn, address: address, idleTimeout: p.config.Idle,
-		reader: bufio.NewReaderSize(conn, max(p.config.Header, minReadBufferSize)), writer: bufio.NewWriterSize(conn, writeBufferSize),
+		Conn: conn, address: address, idleTimeout: p.config.IdleTimeout,
+		reader: bufio.NewReaderSize(conn, max(p.config.MaxHeader, minReadBufferSize)), writer: bufio.NewWriterSize(conn, writeBufferSize),
 	}, nil
 }
 
@@ -245,7 +245,7 @@
 }
 
 // Read reads the next bytes of the body. It fails if the peer sends nothing for
-// Config.Stall.
+// Config.StallTimeout.
 func (b *body) Read(into []byte) (int, error) {
 	if b.ended {
 		return 0, io.EOF
@@ -274,17 +274,17 @@
 	return nil
 }
 
-// idleTimeoutOf returns how long the connection of a response may stay idle: half
-// of the time-out in its Keep-Alive header, and Config.Idle at most or without one.
+// idleTimeoutOf returns how long the connection of a response may stay idle: half of
+// the time-out in its Keep-Alive header, and Config.IdleTimeout at most or without one.
 func (p *Pool) idleTimeoutOf(resp *fasthttp.Response) time.Duration {
 	_, text, found := strings.Cut(string(resp.Header.Peek("Keep-Alive")), "timeout=")
 	text, _, _ = strings.Cut(text, ",")
 	seconds, err := strconv.Atoi(strings.TrimSpace(text))
 	if !found || err != nil {
-		return p.config.Idle
+		return p.config.IdleTimeout
 	}
 	const divisor = 2
-	return min(p.config.Idle, time.Duration(seconds)*time.Second/divisor)
+	return min(p.config.IdleTimeout, time.Duration(seconds)*time.Second/divisor)
 }
 
 // setUserTimeout returns a control function for net.Dialer that sets
--- a/internal/carobupload/upload.go
+++ b/internal/carobrequestbody/requestbody.go
@@ -1,10 +1,10 @@
-// Package carobupload holds the body of a call while it is sent to a target.
+// Package carobrequestbody holds the body of a call while it is sent to a target.
 //
 // A short body is buffered, so that every attempt of the call can send it. A long
 // body is streamed and can be read only once, by the attempt that reads from it
 // first. An attempt that is refused before it reads leaves the body to the next
 // attempt.
-package carobupload
+package carobrequestbody
 
 import (
 	"bytes"
@@ -27,28 +27,28 @@
 	SetReadDeadline(at time.Time) error
 }
 
-// Config holds the parameters of an Upload.
+// Config holds the parameters of a RequestBody.
 type Config struct {
-	// Stream returns the body, or an error if it is cut off. If it is nil, Whole is
+	// Stream returns the body, or an error if it is cut off. If it is nil, Body is
 	// the body.
 	Stream io.Reader
-	// Whole is the body if the HTTP library has already read it.
-	Whole []byte
+	// Body is the body if the HTTP library has already read it.
+	Body []byte
 	// Length is the length of the body in bytes; negative if it is unknown.
 	Length int
-	// Keep is the maximum size of a body that is buffered for further attempts.
-	Keep carobsize.Size
-	// Limit is the maximum size of a body; 0 means no limit.
-	Limit carobsize.Size
+	// MaxBuffered is the maximum size of a body that is buffered for further attempts.
+	MaxBuffered carobsize.Size
+	// MaxSize is the maximum size of a body; 0 means no limit.
+	MaxSize carobsize.Size
 	// Conn is the connection that Stream reads from.
 	Conn  deadlineSetter
 	Timer *carobtimer.Timer
-	// Stall is the maximum time that each read may wait for the sender.
-	Stall time.Duration
+	// StallTimeout is the maximum time that each read may wait for the sender.
+	StallTimeout time.Duration
 }
 
-// Upload is the body of one call.
-type Upload struct {
+// RequestBody is the body of one call.
+type RequestBody struct {
 	config Config
 	// buffered is the whole body if it is not streamed.
 	buffered []byte
@@ -74,139 +74,139 @@
 // pastDeadline is a deadline in the past, which ends a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// NewUpload reads the body if it is to be buffered. Of a body of unknown length
-// it reads at most one byte more than Config.Keep, to find out whether it has to
+// NewRequestBody reads the body if it is to be buffered. Of a body of unknown length
+// it reads at most one byte more than Config.MaxBuffered, to find out whether it has to
 // be streamed. The error has kind TooLarge, RequestTimeout or Invalid.
-func NewUpload(c Config) (*Upload, error) {
-	u := &Upload{config: c}
+func NewRequestBody(c Config) (*RequestBody, error) {
+	b := &RequestBody{config: c}
 	switch {
-	case c.Limit > 0 && carobsize.Size(c.Length) > c.Limit:
-		return nil, tooLarge(c.Limit)
+	case c.MaxSize > 0 && carobsize.Size(c.Length) > c.MaxSize:
+		return nil, tooLarge(c.MaxSize)
 	case c.Stream == nil:
-		u.buffered = c.Whole
-		return u, nil
-	case carobsize.Size(c.Length) > c.Keep:
-		u.streamed, u.unread = true, c.Stream
-		return u, nil
+		b.buffered = c.Body
+		return b, nil
+	case carobsize.Size(c.Length) > c.MaxBuffered:
+		b.streamed, b.unread = true, c.Stream
+		return b, nil
 	default:
-		return u, u.readBuffered()
+		return b, b.readBuffered()
 	}
 }
 
-// readBuffered reads a body of at most Config.Keep bytes, or the beginning of a
+// readBuffered reads a body of at most Config.MaxBuffered bytes, or the beginning of a
 // longer one of unknown length.
-func (u *Upload) readBuffered() error {
-	if u.config.Length >= 0 {
-		u.buffered = make([]byte, u.config.Length)
-		if _, err := io.ReadFull(u.timedStream(), u.buffered); err != nil {
+func (b *RequestBody) readBuffered() error {
+	if b.config.Length >= 0 {
+		b.buffered = make([]byte, b.config.Length)
+		if _, err := io.ReadFull(b.timedStream(), b.buffered); err != nil {
 			return senderError(err)
 		}
 		return nil
 	}
-	ahead, err := io.ReadAll(io.LimitReader(u.timedStream(), int64(u.config.Keep)+1))
+	ahead, err := io.ReadAll(io.LimitReader(b.timedStream(), int64(b.config.MaxBuffered)+1))
 	if err != nil {
 		return senderError(err)
 	}
-	if carobsize.Size(len(ahead)) <= u.config.Keep {
-		u.buffered = ahead
+	if carobsize.Size(len(ahead)) <= b.config.MaxBuffered {
+		b.buffered = ahead
 		return nil
 	}
-	u.streamed, u.unread = true, io.MultiReader(bytes.NewReader(ahead), u.config.Stream)
-	u.received = 0
+	b.streamed, b.unread = true, io.MultiReader(bytes.NewReader(ahead), b.config.Stream)
+	b.received = 0
 	return nil
 }
 
 // Streamed reports whether the body is too long to be buffered.
-func (u *Upload) Streamed() bool {
-	return u.streamed
+func (b *RequestBody) Streamed() bool {
+	return b.streamed
 }
 
-// Spent reports whether no further attempt can send the body.
-func (u *Upload) Spent() bool {
-	return u.streamed && (u.claimed.Load() || u.released.Load())
+// NotResendable reports whether no further attempt can send the body.
+func (b *RequestBody) NotResendable() bool {
+	return b.streamed && (b.claimed.Load() || b.released.Load())
 }
 
 // Attach sets the body of an attempt's request. The error has kind NotResendable
 // if the body was already streamed to another attempt.
-func (u *Upload) Attach(req *fasthttp.Request) error {
+func (b *RequestBody) Attach(req *fasthttp.Request) error {
 	switch {
-	case u.Spent():
+	case b.NotResendable():
 		return carobkind.New(carobkind.NotResendable, "the body was already sent and is too long to be buffered")
-	case u.streamed:
-		req.SetBodyStream(&attemptBody{upload: u}, u.config.Length)
-	case u.config.Stream != nil || len(u.buffered) > 0:
-		req.SetBodyRaw(u.buffered)
-		req.Header.SetContentLength(len(u.buffered))
+	case b.streamed:
+		req.SetBodyStream(&attemptBody{body: b}, b.config.Length)
+	case b.config.Stream != nil || len(b.buffered) > 0:
+		req.SetBodyRaw(b.buffered)
+		req.Header.SetContentLength(len(b.buffered))
 	}
 	return nil
 }
 
 // Release ends all reads of the stream, and returns when none is in progress. It
 // must be called before the connection is used for anything else.
-func (u *Upload) Release() {
-	if !u.streamed || u.released.Swap(true) {
+func (b *RequestBody) Release() {
+	if !b.streamed || b.released.Swap(true) {
 		return
 	}
-	if u.reading.Load() {
-		_ = u.config.Conn.SetReadDeadline(pastDeadline)
+	if b.reading.Load() {
+		_ = b.config.Conn.SetReadDeadline(pastDeadline)
 	}
-	u.readMutex.Lock()
-	u.readMutex.Unlock() //nolint:staticcheck // taken only to wait for the reader
+	b.readMutex.Lock()
+	b.readMutex.Unlock() //nolint:staticcheck // taken only to wait for the reader
 }
 
 // timedStream returns the stream with a deadline for each read.
-func (u *Upload) timedStream() io.Reader {
+func (b *RequestBody) timedStream() io.Reader {
 	return readerFunc(func(buf []byte) (int, error) {
-		return u.read(u.config.Stream, buf)
+		return b.read(b.config.Stream, buf)
 	})
 }
 
 // read reads from stream with a deadline, counts the bytes, and records an error
 // of the sender. It returns os.ErrClosed after Release.
-func (u *Upload) read(stream io.Reader, buf []byte) (int, error) {
-	u.readMutex.Lock()
-	defer u.readMutex.Unlock()
-	_ = u.config.Conn.SetReadDeadline(u.config.Timer.Wall().Add(u.config.Stall))
-	u.reading.Store(true)
-	defer u.reading.Store(false)
-	if u.released.Load() {
+func (b *RequestBody) read(stream io.Reader, buf []byte) (int, error) {
+	b.readMutex.Lock()
+	defer b.readMutex.Unlock()
+	_ = b.config.Conn.SetReadDeadline(b.config.Timer.WallTime().Add(b.config.StallTimeout))
+	b.reading.Store(true)
+	defer b.reading.Store(false)
+	if b.released.Load() {
 		return 0, os.ErrClosed
 	}
 	n, err := stream.Read(buf)
-	u.received += carobsize.Size(n)
-	if u.config.Limit > 0 && u.received > u.config.Limit {
-		n, err = 0, tooLarge(u.config.Limit)
+	b.received += carobsize.Size(n)
+	if b.config.MaxSize > 0 && b.received > b.config.MaxSize {
+		n, err = 0, tooLarge(b.config.MaxSize)
 	}
-	if err != nil && err != io.EOF && u.senderErr == nil && !u.released.Load() { //nolint:errorlint // readers return io.EOF itself
-		u.senderErr = senderError(err)
+	if err != nil && err != io.EOF && b.senderErr == nil && !b.released.Load() { //nolint:errorlint // readers return io.EOF itself
+		b.senderErr = senderError(err)
 	}
 	return n, err
 }
 
-// Fault returns the first error of the sender while its body was read, such as a
+// SenderError returns the first error of the sender while its body was read, such as a
 // stall or a body above the limit; nil if there was none.
-func (u *Upload) Fault() error {
-	u.readMutex.Lock()
-	defer u.readMutex.Unlock()
-	return u.senderErr
+func (b *RequestBody) SenderError() error {
+	b.readMutex.Lock()
+	defer b.readMutex.Unlock()
+	return b.senderErr
 }
 
 // attemptBody is a streamed body as one attempt reads it.
 type attemptBody struct {
-	upload *Upload
-	owner  bool
+	body  *RequestBody
+	owner bool
 }
 
 // Read reads from the stream. The error has kind NotResendable if another attempt
 // has begun to read the body.
 func (b *attemptBody) Read(buf []byte) (int, error) {
 	if !b.owner {
-		if !b.upload.claimed.CompareAndSwap(false, true) {
+		if !b.body.claimed.CompareAndSwap(false, true) {
 			return 0, carobkind.New(carobkind.NotResendable, "the body is being sent by another attempt")
 		}
 		b.owner = true
 	}
-	return b.upload.read(b.upload.unread, buf)
+	return b.body.read(b.body.unread, buf)
 }
 
 // readerFunc is a function that implements io.Reader.
--- a/internal/carobupload/upload_test.go
+++ b/internal/carobrequestbody/requestbody_test.go
@@ -1,4 +1,4 @@
-package carobupload
+package carobrequestbody
 
 import (
 	"io"
@@ -14,23 +14,23 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
-// newUpload returns an upload that buffers up to 10 bytes and accepts up to 100.
-func newUpload(t *testing.T, body string, length int, change func(c *Config)) (*Upload, error) {
+// newBody returns a body that buffers up to 10 bytes and accepts up to 100.
+func newBody(t *testing.T, body string, length int, change func(c *Config)) (*RequestBody, error) {
 	t.Helper()
 	serverConn, clientConn := net.Pipe()
 	t.Cleanup(func() { _, _ = serverConn.Close(), clientConn.Close() })
 	c := Config{
-		Stream: strings.NewReader(body), Length: length, Keep: 10, Limit: 100,
-		Conn: serverConn, Timer: carobtimer.NewTimer(), Stall: time.Minute,
+		Stream: strings.NewReader(body), Length: length, MaxBuffered: 10, MaxSize: 100,
+		Conn: serverConn, Timer: carobtimer.NewTimer(), StallTimeout: time.Minute,
 	}
 	if change != nil {
 		change(&c)
 	}
-	return NewUpload(c)
+	return NewRequestBody(c)
 }
 
 // read returns the body as one attempt sends it.
-func read(t *testing.T, u *Upload) (string, error) {
+func read(t *testing.T, u *RequestBody) (string, error) {
 	t.Helper()
 	req := &fasthttp.Request{}
 	if err := u.Attach(req); err != nil {
@@ -60,7 +60,7 @@
 		"chunked, much longer":     {strings.Repeat("x", 100), -1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u, err := newUpload(t, c.body, c.length, nil)
+			u, err := newBody(t, c.body, c.length, nil)
 			require.NoError(t, err)
 			require.Equal(t, c.streamed, u.Streamed())
 			body, err := read(t, u)
@@ -69,7 +69,7 @@
 			again, err := read(t, u)
 			if c.streamed {
 				require.Equal(t, carobkind.NotResendable, carobkind.Of(err))
-				require.True(t, u.Spent())
+				require.True(t, u.NotResendable())
 				return
 			}
 			require.NoError(t, err)
@@ -90,22 +90,22 @@
 		"length too large":        {"", 101, carobkind.TooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := newUpload(t, c.body, c.length, nil)
+			_, err := newBody(t, c.body, c.length, nil)
 			require.Equal(t, c.kind, carobkind.Of(err))
 		})
 	}
-	u, err := newUpload(t, strings.Repeat("x", 101), -1, nil)
+	u, err := newBody(t, strings.Repeat("x", 101), -1, nil)
 	require.NoError(t, err)
 	_, err = read(t, u)
 	require.Error(t, err, "a chunked body above the limit must not pass as complete")
-	require.Equal(t, carobkind.TooLarge, carobkind.Of(u.Fault()))
-	require.ErrorContains(t, u.Fault(), "100 B")
+	require.Equal(t, carobkind.TooLarge, carobkind.Of(u.SenderError()))
+	require.ErrorContains(t, u.SenderError(), "100 B")
 }
 
 // If two attempts read from one stream, each would send parts of the body. The
 // first to read gets all of it, and the other an error.
 func TestStreamedBodyIsReadByOneAttempt(t *testing.T) {
-	u, err := newUpload(t, strings.Repeat("x", 50), 50, nil)
+	u, err := newBody(t, strings.Repeat("x", 50), 50, nil)
 	require.NoError(t, err)
 	first, second := &fasthttp.Request{}, &fasthttp.Request{}
 	require.NoError(t, u.Attach(first))
@@ -124,7 +124,7 @@
 func TestReleaseEndsPendingRead(t *testing.T) {
 	serverConn, clientConn := net.Pipe()
 	defer func() { _, _ = serverConn.Close(), clientConn.Close() }()
-	u, err := newUpload(t, "", 50, func(c *Config) { c.Stream, c.Conn = serverConn, serverConn })
+	u, err := newBody(t, "", 50, func(c *Config) { c.Stream, c.Conn = serverConn, serverConn })
 	require.NoError(t, err)
 	req := &fasthttp.Request{}
 	require.NoError(t, u.Attach(req))
@@ -146,8 +146,8 @@
 func TestStalledSenderTimesOut(t *testing.T) {
 	serverConn, clientConn := net.Pipe()
 	defer func() { _, _ = serverConn.Close(), clientConn.Close() }()
-	_, err := newUpload(t, "", 5, func(c *Config) {
-		c.Stream, c.Conn, c.Stall = serverConn, serverConn, 10*time.Millisecond
+	_, err := newBody(t, "", 5, func(c *Config) {
+		c.Stream, c.Conn, c.StallTimeout = serverConn, serverConn, 10*time.Millisecond
 	})
 	require.Equal(t, carobkind.RequestTimeout, carobkind.Of(err))
 }
--- a/internal/carobfollower/follower_test.go
+++ b/internal/carobroutepoller/routepoller_test.go
@@ -1,4 +1,4 @@
-package carobfollower_test
+package carobroutepoller_test
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 
-	"github.com/carobknot/carobknot/internal/carobfollower"
 	"github.com/carobknot/carobknot/internal/carobmailbox"
+	"github.com/carobknot/carobknot/internal/carobroutepoller"
 	"github.com/carobknot/carobknot/internal/carobtimer"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
@@ -25,7 +25,7 @@
 	table   *carobroutetable.RouteTable
 }
 
-func (s *stubSource) Routes(ctx context.Context, wait time.Duration) (*carobroutetable.RouteTable, error) {
+func (s *stubSource) AwaitRoutes(ctx context.Context, wait time.Duration) (*carobroutetable.RouteTable, error) {
 	s.reads <- wait
 	select {
 	case err := <-s.answers:
@@ -48,18 +48,18 @@
 	go timer.Run(t.Context())
 	routeSource := &stubSource{reads: make(chan time.Duration), answers: make(chan error), table: table}
 	logger, logged := test.NewNullLogger()
-	poller := carobfollower.NewFollower(carobfollower.Config{
+	poller := carobroutepoller.NewRoutePoller(carobroutepoller.Config{
 		Source: routeSource, Mailbox: mailbox, Timer: timer, Logger: logrus.NewEntry(logger),
 	})
 	go poller.Run(t.Context())
 	const hold = time.Second
-	poller.Carry(&caroboutbox.Outbox{ReadingStore: true, LongPollTimeout: hold})
+	poller.Execute(&caroboutbox.Outbox{ReadingStore: true, LongPollTimeout: hold})
 	held := <-routeSource.reads
 	require.GreaterOrEqual(t, held, hold/2, "the store must hold a read that finds nothing")
 	require.LessOrEqual(t, held, hold*3/2, "a read must not be held longer than its jitter allows")
 	routeSource.answers <- nil
-	require.True(t, mailbox.Await(t.Context()))
-	require.Len(t, mailbox.Take().RouteTables, 1)
+	require.True(t, mailbox.AwaitTick(t.Context()))
+	require.Len(t, mailbox.TakeAll().RouteTables, 1)
 
 	// After two consecutive failures the store counts as unreadable, until a read
 	// succeeds.
@@ -67,18 +67,18 @@
 		<-routeSource.reads
 		routeSource.answers <- errors.New("refused")
 	}
-	require.True(t, mailbox.Await(t.Context()))
-	require.Equal(t, []bool{true}, mailbox.Take().StoreUnreadable)
+	require.True(t, mailbox.AwaitTick(t.Context()))
+	require.Equal(t, []bool{true}, mailbox.TakeAll().StoreUnreadable)
 	require.Contains(t, logged.LastEntry().Message, "cannot be read")
 	<-routeSource.reads
 	routeSource.answers <- nil
-	require.True(t, mailbox.Await(t.Context()))
-	require.Equal(t, []bool{false}, mailbox.Take().StoreUnreadable)
+	require.True(t, mailbox.AwaitTick(t.Context()))
+	require.Equal(t, []bool{false}, mailbox.TakeAll().StoreUnreadable)
 
 	// A read ends when the poller is disabled, and another one begins when it is
 	// enabled again.
 	<-routeSource.reads
-	poller.Carry(&caroboutbox.Outbox{})
-	poller.Carry(&caroboutbox.Outbox{ReadingStore: true})
+	poller.Execute(&caroboutbox.Outbox{})
+	poller.Execute(&caroboutbox.Outbox{ReadingStore: true})
 	<-routeSource.reads
 }
--- a/internal/carobserver/conn.go
+++ b/internal/carobserver/conn.go
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/carobknot/carobknot/internal/carobheader"
-	"github.com/carobknot/carobknot/internal/carobvisit"
+	"github.com/carobknot/carobknot/internal/carobpipelinedrequest"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 )
 
@@ -35,7 +35,7 @@
 	mutex  sync.Mutex
 	// pending holds the requests without an answer, in the order of their arrival.
 	// It is guarded by mutex, as are reading and closing.
-	pending []*carobvisit.Visit
+	pending []*carobpipelinedrequest.PipelinedRequest
 	// lastDone is closed when the newest request is done.
 	lastDone <-chan struct{}
 	// reading is true while a request is being read.
@@ -57,7 +57,7 @@
 func newConn(s *Server, netConn net.Conn) *conn {
 	return &conn{
 		Conn: netConn, server: s, lastDone: closedChannel, slotFreed: make(chan struct{}, 1),
-		reader: bufio.NewReaderSize(netConn, int(s.config.Header)), writer: bufio.NewWriterSize(netConn, writeBufferSize),
+		reader: bufio.NewReaderSize(netConn, int(s.config.MaxHeader)), writer: bufio.NewWriterSize(netConn, writeBufferSize),
 	}
 }
 
@@ -78,7 +78,7 @@
 		return false
 	}
 	config := &c.server.config
-	_ = c.SetReadDeadline(config.Timer.Wall().Add(config.Head))
+	_ = c.SetReadDeadline(config.Timer.WallTime().Add(config.HeaderTimeout))
 	req := &fasthttp.Request{}
 	req.Header.SetNoDefaultContentType(true)
 	if err := req.Header.Read(c.reader); err != nil {
@@ -96,12 +96,12 @@
 	if !c.awaitSlot(req) {
 		return false
 	}
-	visit := c.addVisit(req)
-	if visit == nil {
+	pipelined := c.addRequest(req)
+	if pipelined == nil {
 		return false
 	}
-	go config.Handler.Handle(visit)
-	if visit.ClosesAfter() {
+	go config.Handler.Handle(pipelined)
+	if pipelined.ClosesAfter() {
 		// No further request is accepted, but the caller may still disconnect.
 		c.awaitRequest()
 		return false
@@ -124,12 +124,12 @@
 	return c.reading && !c.closing
 }
 
-// setIdleDeadline limits the wait for the next request to Config.Idle if no
+// setIdleDeadline limits the wait for the next request to Config.IdleTimeout if no
 // request is pending, and removes the read deadline otherwise. The mutex must be
 // held.
 func (c *conn) setIdleDeadline() {
 	if len(c.pending) == 0 {
-		_ = c.SetReadDeadline(c.server.config.Timer.Wall().Add(c.server.config.Idle))
+		_ = c.SetReadDeadline(c.server.config.Timer.WallTime().Add(c.server.config.IdleTimeout))
 		return
 	}
 	_ = c.SetReadDeadline(time.Time{})
@@ -150,8 +150,8 @@
 	if req.Header.ContentLength() == 0 {
 		return nil
 	}
-	_ = c.SetReadDeadline(config.Timer.Wall().Add(config.Stall))
-	if err := req.ContinueReadBody(c.reader, int(config.Body), false); err != nil {
+	_ = c.SetReadDeadline(config.Timer.WallTime().Add(config.StallTimeout))
+	if err := req.ContinueReadBody(c.reader, int(config.MaxBody), false); err != nil {
 		return readError(err)
 	}
 	return nil
@@ -165,7 +165,7 @@
 func (c *conn) awaitSlot(req *fasthttp.Request) bool {
 	limit := 1
 	if req.Header.IsGet() || req.Header.IsHead() {
-		limit = c.server.config.Most
+		limit = c.server.config.MaxPipelined
 	}
 	for {
 		c.mutex.Lock()
@@ -181,21 +181,21 @@
 	}
 }
 
-// addVisit appends a request to the pending ones. It returns nil if the
+// addRequest appends a request to the pending ones. It returns nil if the
 // connection is closing.
-func (c *conn) addVisit(req *fasthttp.Request) *carobvisit.Visit {
+func (c *conn) addRequest(req *fasthttp.Request) *carobpipelinedrequest.PipelinedRequest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.closing {
 		return nil
 	}
-	visit := carobvisit.NewVisit(carobvisit.Config{
-		Request: req, Link: c, Writer: c.writer, Turn: c.lastDone,
+	pipelined := carobpipelinedrequest.NewPipelinedRequest(carobpipelinedrequest.Config{
+		Request: req, Connection: c, Writer: c.writer, PreviousDone: c.lastDone,
 	})
 	c.reading = false
-	c.lastDone = visit.Done()
-	c.pending = append(c.pending, visit)
-	return visit
+	c.lastDone = pipelined.Done()
+	c.pending = append(c.pending, pipelined)
+	return pipelined
 }
 
 // reject answers a malformed request after the pending answers, and closes the
@@ -205,41 +205,41 @@
 	if carobkind.Of(err) == carobkind.Internal {
 		return
 	}
-	visit := c.addVisit(req)
-	if visit == nil {
+	pipelined := c.addRequest(req)
+	if pipelined == nil {
 		return
 	}
 	resp := &fasthttp.Response{}
 	c.server.config.Handler.Reject(resp, err)
-	visit.CloseAfter()
-	visit.Reply(resp)
+	pipelined.SetCloseAfter()
+	pipelined.SendResponse(resp)
 }
 
-// Closing reports whether the connection closes after the answer to visit. If it
-// does, no further request is accepted. A draining server closes a connection
-// with the last pending answer.
-func (c *conn) Closing(visit *carobvisit.Visit) bool {
+// ClosesAfter reports whether the connection closes after the answer to pipelined. If
+// it does, no further request is accepted. A draining server closes a connection with
+// the last pending answer.
+func (c *conn) ClosesAfter(pipelined *carobpipelinedrequest.PipelinedRequest) bool {
 	draining := c.server.isDraining()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	alone := len(c.pending) == 1 && !c.reading
-	if visit.ClosesAfter() || draining && alone {
+	if pipelined.ClosesAfter() || draining && alone {
 		c.closing = true
 	}
 	return c.closing
 }
 
-// Allow extends the write deadline by Config.Stall.
-func (c *conn) Allow() {
-	_ = c.SetWriteDeadline(c.server.config.Timer.Wall().Add(c.server.config.Stall))
+// ExtendDeadline extends the write deadline by Config.StallTimeout.
+func (c *conn) ExtendDeadline() {
+	_ = c.SetWriteDeadline(c.server.config.Timer.WallTime().Add(c.server.config.StallTimeout))
 }
 
-// Done removes an answered request. If complete is false, the answer could not be
+// Remove removes an answered request. If complete is false, the answer could not be
 // sent completely, and the connection is closed.
-func (c *conn) Done(visit *carobvisit.Visit, complete bool) {
+func (c *conn) Remove(pipelined *carobpipelinedrequest.PipelinedRequest, complete bool) {
 	c.mutex.Lock()
 	for i := range c.pending {
-		if c.pending[i] == visit {
+		if c.pending[i] == pipelined {
 			c.pending = append(c.pending[:i], c.pending[i+1:]...)
 			break
 		}
@@ -249,7 +249,7 @@
 	case !complete:
 		_ = c.Close()
 	case c.closing && len(c.pending) == 0:
-		_ = c.SetReadDeadline(c.server.config.Timer.Wall())
+		_ = c.SetReadDeadline(c.server.config.Timer.WallTime())
 	default:
 		c.setIdleDeadline()
 	}
@@ -266,7 +266,7 @@
 	defer c.mutex.Unlock()
 	c.closing = true
 	if len(c.pending) == 0 {
-		_ = c.SetReadDeadline(c.server.config.Timer.Wall())
+		_ = c.SetReadDeadline(c.server.config.Timer.WallTime())
 	}
 }
 
@@ -285,7 +285,7 @@
 	if !ok || tcpConn.CloseWrite() != nil {
 		return
 	}
-	_ = tcpConn.SetReadDeadline(c.server.config.Timer.Wall().Add(lingerTimeout))
+	_ = tcpConn.SetReadDeadline(c.server.config.Timer.WallTime().Add(lingerTimeout))
 	_, _ = io.Copy(io.Discard, tcpConn)
 }
 
@@ -293,10 +293,10 @@
 // disconnected, and waits until all have ended.
 func (c *conn) notifyDisconnect() {
 	c.mutex.Lock()
-	pending := append([]*carobvisit.Visit(nil), c.pending...)
+	pending := append([]*carobpipelinedrequest.PipelinedRequest(nil), c.pending...)
 	c.mutex.Unlock()
-	for _, visit := range pending {
-		visit.Leave()
+	for _, pipelined := range pending {
+		pipelined.Disconnect()
 	}
 	<-c.lastDone
 }
--- a/internal/carobserver/server_test.go
+++ b/internal/carobserver/server_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fasthttp"
 
+	"github.com/carobknot/carobknot/internal/carobpipelinedrequest"
 	"github.com/carobknot/carobknot/internal/carobserver"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/internal/carobvisit"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobsize"
 )
@@ -46,10 +46,10 @@
 	return h.releases[path]
 }
 
-func (h *handler) Handle(visit *carobvisit.Visit) {
-	path := string(visit.Request().Header.RequestURI())
+func (h *handler) Handle(pipelined *carobpipelinedrequest.PipelinedRequest) {
+	path := string(pipelined.Request().Header.RequestURI())
 	disconnected := make(chan struct{})
-	visit.Notify(sync.OnceFunc(func() {
+	pipelined.OnDisconnect(sync.OnceFunc(func() {
 		h.disconnected <- path
 		close(disconnected)
 	}))
@@ -59,8 +59,8 @@
 	case <-disconnected:
 	}
 	resp := &fasthttp.Response{}
-	resp.SetBodyString("answer to " + path + " " + string(visit.Request().Body()))
-	visit.Reply(resp)
+	resp.SetBodyString("answer to " + path + " " + string(pipelined.Request().Body()))
+	pipelined.SendResponse(resp)
 }
 
 func (h *handler) Reject(resp *fasthttp.Response, err error) {
@@ -82,8 +82,8 @@
 	timer := carobtimer.NewTimer()
 	f := &fixture{t: t, handler: newHandler()}
 	f.server = carobserver.NewServer(carobserver.Config{
-		Handler: f.handler, Timer: timer, Header: 4 * carobsize.KiB, Body: 64 * carobsize.KiB,
-		Head: time.Minute, Stall: time.Minute, Idle: time.Minute, Most: 8,
+		Handler: f.handler, Timer: timer, MaxHeader: 4 * carobsize.KiB, MaxBody: 64 * carobsize.KiB,
+		HeaderTimeout: time.Minute, StallTimeout: time.Minute, IdleTimeout: time.Minute, MaxPipelined: 8,
 	})
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/carobsummary/summary.go
+++ b/internal/carobsummary/summary.go
@@ -21,7 +21,7 @@
 	// Name is the name of the summary in reports and tables.
 	Name string
 	// Deadline is the latest time of a good answer. A call without a good answer counts
-	// in Felt with at least this latency.
+	// in EffectiveLatency with at least this latency.
 	Deadline time.Duration
 }
 
@@ -42,16 +42,16 @@
 	// Failed counts errors of targets (status 500 and above) that nodes forwarded as
 	// answers.
 	Failed int `json:"failed"`
-	// Kinds counts the error kinds that nodes returned.
-	Kinds map[carobkind.Kind]int `json:"kinds"`
-	// Took is the time during which the counted calls were scheduled to arrive.
-	Took carobduration.Duration `json:"took"`
-	// Latency holds quantiles of the latency of good calls, from their scheduled
+	// ErrorKinds counts the error kinds that nodes returned.
+	ErrorKinds map[carobkind.Kind]int `json:"kinds"`
+	// Duration is the time during which the counted calls were scheduled to arrive.
+	Duration carobduration.Duration `json:"took"`
+	// GoodLatency holds quantiles of the latency of good calls, from their scheduled
 	// arrival.
-	Latency quantiles `json:"latency"`
-	// Felt holds quantiles of the latency of all calls. A call without a good answer
-	// counts with its deadline, or with its own latency if that is longer.
-	Felt quantiles `json:"felt"`
+	GoodLatency quantiles `json:"latency"`
+	// EffectiveLatency holds quantiles of the latency of all calls. A call without a
+	// good answer counts with its deadline, or with its own latency if that is longer.
+	EffectiveLatency quantiles `json:"felt"`
 
 	deadline           time.Duration
 	mutex              sync.Mutex
@@ -73,7 +73,7 @@
 	const digits = 3
 	longest := (10 * time.Minute).Nanoseconds()
 	return &Summary{
-		Name: c.Name, Kinds: map[carobkind.Kind]int{}, deadline: c.Deadline,
+		Name: c.Name, ErrorKinds: map[carobkind.Kind]int{}, deadline: c.Deadline,
 		goodHistogram: hdrhistogram.New(1, longest, digits), effectiveHistogram: hdrhistogram.New(1, longest, digits),
 	}
 }
@@ -105,7 +105,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.Calls++
-	s.Kinds[kind]++
+	s.ErrorKinds[kind]++
 	if outcome == caroboutcome.NotRun {
 		s.NotRun++
 	} else {
@@ -124,13 +124,13 @@
 func (s *Summary) Close(duration time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.Took = carobduration.Duration(duration)
-	s.Latency, s.Felt = quantilesOf(s.goodHistogram), quantilesOf(s.effectiveHistogram)
+	s.Duration = carobduration.Duration(duration)
+	s.GoodLatency, s.EffectiveLatency = quantilesOf(s.goodHistogram), quantilesOf(s.effectiveHistogram)
 }
 
 // Goodput returns the number of good answers a second.
 func (s *Summary) Goodput() float64 {
-	return float64(s.Good) / max(s.Took.Duration().Seconds(), 1e-9)
+	return float64(s.Good) / max(s.Duration.Duration().Seconds(), 1e-9)
 }
 
 func quantilesOf(h *hdrhistogram.Histogram) quantiles {
@@ -140,20 +140,21 @@
 	return quantiles{P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: at(100)}
 }
 
-// Table writes a table with one line for each summary.
-func Table(to io.Writer, summaries ...*Summary) {
+// WriteTable writes a table with one line for each summary.
+func WriteTable(to io.Writer, summaries ...*Summary) {
 	const gap = 2
 	writer := tabwriter.NewWriter(to, 0, 0, gap, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(writer, "run\tcalls\tgood\tanswered\tnot run\tunknown\twrong\tfailed\tgood/s\tp50\tp99\tp99.9\tmax\t")
 	for _, s := range summaries {
 		_, _ = fmt.Fprintf(writer, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%s\t%s\t%s\t%s\t\n",
 			s.Name, s.Calls, s.Good, s.Answered, s.NotRun, s.Unknown, s.Wrong, s.Failed, s.Goodput(),
-			Milliseconds(s.Latency.P50), Milliseconds(s.Latency.P99), Milliseconds(s.Latency.P999), Milliseconds(s.Latency.Max))
+			FormatMilliseconds(s.GoodLatency.P50), FormatMilliseconds(s.GoodLatency.P99), FormatMilliseconds(s.GoodLatency.P999), FormatMilliseconds(s.GoodLatency.Max))
 	}
 	_ = writer.Flush()
 }
 
-// Milliseconds formats a duration in milliseconds with two decimals, as in tables.
-func Milliseconds(duration carobduration.Duration) string {
+// FormatMilliseconds formats a duration in milliseconds with two decimals, as in
+// tables.
+func FormatMilliseconds(duration carobduration.Duration) string {
 	return fmt.Sprintf("%.2f ms", float64(duration)/float64(time.Millisecond))
 }
--- a/internal/carobtransport/transport.go
+++ b/internal/carobtransport/transport.go
@@ -23,8 +23,8 @@
 	procedure = "/carobknot.v1.Peer/Tell"
 	// requestTimeout is the time-out of a request, and of reading the header of one.
 	requestTimeout = 2 * time.Second
-	// pingTimeout is how long a connection may be without traffic before the client pings
-	// the peer, and how long the response to the ping may take.
+	// pingTimeout is how long a connection may be without traffic before the client
+	// pings the peer, and how long the response to the ping may take.
 	pingTimeout = time.Second
 	// maxInFlight is the largest number of concurrent requests to one node.
 	maxInFlight = 64
@@ -56,7 +56,7 @@
 	// dropped counts the messages that were not sent because too many requests to their
 	// node were in flight; broken counts the received messages that were rejected as
 	// invalid.
-	dropped, broken atomic.Uint64
+	dropped, rejected atomic.Uint64
 	// clients has a client for each address that messages were sent to.
 	clients map[carobaddress.Address]*connect.Client[carobbatch.Batch, emptyResponse]
 }
@@ -91,9 +91,9 @@
 // node were in flight.
 func (t *Transport) Dropped() uint64 { return t.dropped.Load() }
 
-// Broken returns how many received messages and requests were rejected because they
+// Rejected returns how many received messages and requests were rejected because they
 // were invalid or could not be decoded.
-func (t *Transport) Broken() uint64 { return t.broken.Load() + t.config.Codec.Broken() }
+func (t *Transport) Rejected() uint64 { return t.rejected.Load() + t.config.Codec.DecodeErrors() }
 
 // Shutdown waits until all messages have been sent, stops receiving messages and
 // closes all connections. It stops waiting when ctx ends.
@@ -111,8 +111,8 @@
 	return t.server.Shutdown(ctx)
 }
 
-// Carry sends the messages of a tick, with one request for each address.
-func (t *Transport) Carry(out *caroboutbox.Outbox) {
+// Execute sends the messages of a tick, with one request for each address.
+func (t *Transport) Execute(out *caroboutbox.Outbox) {
 	if len(out.Messages) == 0 {
 		return
 	}
@@ -187,7 +187,7 @@
 	valid := req.Msg.Messages[:0]
 	for i := range req.Msg.Messages {
 		if req.Msg.Messages[i].Check() != nil {
-			t.broken.Add(1)
+			t.rejected.Add(1)
 			continue
 		}
 		valid = append(valid, req.Msg.Messages[i])
--- a/pkg/carobelection/system.go
+++ b/pkg/carobstorereading/system.go
@@ -1,7 +1,7 @@
-// Package carobelection selects the nodes that read the operator's records from the
+// Package carobstorereading selects the nodes that read the operator's records from the
 // store, where each read has a cost.
 //
-// In each data centre one node reads: the one with the lowest id among those that are
+// In each data centre one node reads: the one with the lowest ID among those that are
 // alive, not leaving, and can read the store. All nodes derive this from their peer
 // tables, without a vote. A node that cannot read the store announces this in its
 // description, and the next one takes over; two readers at once do no harm.
@@ -9,7 +9,7 @@
 // A long-poll read that the store holds open can miss a record. This was observed after
 // the store had been slow, for all readers at once. So no read is held open for long, and
 // the readers' polls end at different times; a record found by one reaches all other nodes.
-package carobelection
+package carobstorereading
 
 import (
 	"time"
@@ -39,47 +39,48 @@
 
 // Run applies changes in whether the store can be read, and decides whether this node
 // reads from it and for how long each read may be held open.
-func (s *System) Run(w *carobworld.World, _ carobinstant.Instant) {
-	for _, unreadable := range w.Inbox.StoreUnreadable {
-		if unreadable != w.Self.StoreUnreadable {
-			w.Self.StoreUnreadable = unreadable
-			w.Self.Sequence++
+func (s *System) Run(world *carobworld.World, _ carobinstant.Instant) {
+	for _, unreadable := range world.Inbox.StoreUnreadable {
+		if unreadable != world.Self.StoreUnreadable {
+			world.Self.StoreUnreadable = unreadable
+			world.Self.Sequence++
 		}
 	}
 	// A node without a route table reads the store itself, even if another node does too.
-	w.Outbox.ReadingStore = !w.Stopping && (w.RouteTable == nil || takesPrecedence(w))
-	if w.Outbox.ReadingStore {
-		w.Outbox.LongPollTimeout = readInterval * time.Duration(s.countReaders(w))
+	world.Outbox.ReadingStore = !world.Stopping && (world.RouteTable == nil || takesPrecedence(world))
+	if world.Outbox.ReadingStore {
+		world.Outbox.LongPollTimeout = readInterval * time.Duration(s.countReaders(world))
 	}
 }
 
 // countReaders returns the number of nodes that read from the store: one in each data
 // centre with a live node.
-func (s *System) countReaders(w *carobworld.World) int {
-	if s.countedAt == w.PeerChanges+1 {
+func (s *System) countReaders(world *carobworld.World) int {
+	if s.countedAt == world.PeerChanges+1 {
 		return s.readers
 	}
-	centres := map[carobcentre.Centre]struct{}{w.Self.Centre: {}}
-	for _, pr := range w.Peers.All() {
-		if pr.Member.Liveness == carobliveness.Alive {
-			centres[pr.Member.Centre] = struct{}{}
+	centres := map[carobcentre.Centre]struct{}{world.Self.Centre: {}}
+	for _, peer := range world.Peers.All() {
+		if peer.Member.Liveness == carobliveness.Alive {
+			centres[peer.Member.Centre] = struct{}{}
 		}
 	}
-	s.readers, s.countedAt = len(centres), w.PeerChanges+1
+	s.readers, s.countedAt = len(centres), world.PeerChanges+1
 	return s.readers
 }
 
-// takesPrecedence reports whether this node takes precedence over all other live nodes
-// of its data centre.
-func takesPrecedence(w *carobworld.World) bool {
-	return len(w.SamplePeers(1, func(pr *carobpeer.Peer) bool {
-		mb := &pr.Member
-		if mb.Centre != w.Self.Centre || mb.Liveness != carobliveness.Alive || mb.Leaving {
+// takesPrecedence reports whether no other live node of this data centre comes before this
+// one. A node that can read the store comes before one that cannot; among equals the lower
+// ID does.
+func takesPrecedence(world *carobworld.World) bool {
+	return len(world.SamplePeers(1, func(peer *carobpeer.Peer) bool {
+		member := &peer.Member
+		if member.Centre != world.Self.Centre || member.Liveness != carobliveness.Alive || member.Leaving {
 			return false
 		}
-		if mb.StoreUnreadable != w.Self.StoreUnreadable {
-			return w.Self.StoreUnreadable
+		if member.StoreUnreadable != world.Self.StoreUnreadable {
+			return world.Self.StoreUnreadable
 		}
-		return mb.Node < w.Self.Node
+		return member.Node < world.Self.Node
 	})) == 0
 }
--- a/test/nodepair_test.go
+++ b/test/nodepair_test.go
@@ -109,8 +109,8 @@
 	np.waitForService(t, service)
 }
 
-// waitForService waits until the near node no longer refuses calls of a service
-// because it has no target or no profile of it. The calls that it sends have the path /ready.
+// waitForService waits until the near node no longer refuses calls of a service because
+// it has no target or no profile of it. The calls that it sends have the path /ready.
 func (np nodePair) waitForService(t *testing.T, service string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -149,7 +149,7 @@
 	const timeout = 20 * time.Second
 	conn, err := net.Dial("tcp", np.near.addresses["call"])
 	require.NoError(t, err)
-	require.NoError(t, conn.SetDeadline(clock.Wall().Add(timeout)))
+	require.NoError(t, conn.SetDeadline(clock.WallTime().Add(timeout)))
 	t.Cleanup(func() { _ = conn.Close() })
 	return conn, bufio.NewReader(conn)
 }
