--- a/internal/carobdialectfrontend/dialectfrontend.go
+++ b/internal/carobdialectfrontend/dialectfrontend.go
@@ -109,7 +109,7 @@
 	}
 	bodySize := int64(len(req.Body()))
 	defer f.buffered.Add(-bodySize)
-	if f.buffered.Add(bodySize) > int64(f.config.Limits.BufferedBodySize) {
+	if f.buffered.Add(bodySize) > int64(f.config.Limits.TotalBufferedSize) {
 		r.SendError(carobkind.Busy, carobkind.Busy.RetryAfter(), "the limit of buffered request bodies is reached")
 		return
 	}
--- a/internal/carobemulator/node.go
+++ b/internal/carobemulator/node.go
@@ -172,11 +172,11 @@
 // the entry node.
 func (e *Emulator) sendReply(node *node, id carobjobid.ID, target carobtargetid.ID, kind carobkind.Kind, status int) {
 	receiver := e.nodeByID[id.Call.Node]
-	reply := carobreply.Reply{Job: id, Target: target, Kind: kind, Status: status, Report: node.report}
+	reply := carobreply.AttemptReply{Job: id, Target: target, Kind: kind, Status: status, Report: node.report}
 	e.enqueueInput(receiver, e.networkDelay(node.index, receiver), func(inbox *carobinbox.Inbox) {
 		delete(e.nodes[receiver].openAttempts, id)
 		e.nodes[receiver].statuses[id] = status
-		inbox.Replies = append(inbox.Replies, reply)
+		inbox.AttemptReplies = append(inbox.AttemptReplies, reply)
 	})
 }
 
--- a/internal/carobexchange/exchange.go
+++ b/internal/carobexchange/exchange.go
@@ -91,7 +91,7 @@
 	x.request.Header.CopyTo(&req.Header)
 	carobheader.CleanRequest(&req.Header)
 	if err := x.body.Attach(req); err != nil {
-		x.postReply(carobreply.Reply{Job: send.Job, Target: send.Target, Kind: carobkind.Of(err)})
+		x.postReply(carobreply.AttemptReply{Job: send.Job, Target: send.Target, Kind: carobkind.Of(err)})
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -105,7 +105,7 @@
 			}
 		}
 		x.setAnswer(current, answer)
-		reply := carobreply.Reply{Job: send.Job, Target: send.Target, Kind: carobkind.Of(err), Report: report}
+		reply := carobreply.AttemptReply{Job: send.Job, Target: send.Target, Kind: carobkind.Of(err), Report: report}
 		switch {
 		case answer != nil:
 			reply.Status = answer.Response.StatusCode()
@@ -117,8 +117,8 @@
 }
 
 // postReply reports the result of an attempt to the control goroutine.
-func (x *exchange) postReply(reply carobreply.Reply) {
-	x.exchanges.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.Replies = append(in.Replies, reply) })
+func (x *exchange) postReply(reply carobreply.AttemptReply) {
+	x.exchanges.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.AttemptReplies = append(in.AttemptReplies, reply) })
 }
 
 // setAnswer stores the answer of an attempt until it is delivered, or closes it
--- a/internal/carobfrontend/frontend.go
+++ b/internal/carobfrontend/frontend.go
@@ -170,7 +170,7 @@
 	if length >= 0 {
 		size = length
 	}
-	if f.buffered.Add(int64(size)) > int64(f.config.Limits.BufferedBodySize) {
+	if f.buffered.Add(int64(size)) > int64(f.config.Limits.TotalBufferedSize) {
 		f.buffered.Add(-int64(size))
 		return 0
 	}
--- a/internal/caroblogwriter/logwriter.go
+++ b/internal/caroblogwriter/logwriter.go
@@ -86,7 +86,7 @@
 // Execute takes the hops, audit entries and records of a tick for appending. It does
 // not wait for the log.
 func (w *LogWriter) Execute(out *caroboutbox.Outbox) {
-	if len(out.Hops) == 0 && len(out.Audits) == 0 && len(out.Appends) == 0 {
+	if len(out.Hops) == 0 && len(out.Audits) == 0 && len(out.RetriedAppends) == 0 {
 		return
 	}
 	w.mutex.Lock()
@@ -96,7 +96,7 @@
 	for i := range out.Audits {
 		w.audit(&out.Audits[i])
 	}
-	for _, ap := range out.Appends {
+	for _, ap := range out.RetriedAppends {
 		w.records[ap.Stream] = ap.Data
 	}
 	w.mutex.Unlock()
--- a/internal/caroblogwriter/logwriter_test.go
+++ b/internal/caroblogwriter/logwriter_test.go
@@ -193,7 +193,7 @@
 	writer, _ := newWriter(t, log)
 	log.setUnavailable(true)
 	order := func(data string) *caroboutbox.Outbox {
-		return &caroboutbox.Outbox{Appends: []carobappend.Append{{Stream: carobstream.Nodes, Data: []byte(data)}}}
+		return &caroboutbox.Outbox{RetriedAppends: []carobappend.RetriedAppend{{Stream: carobstream.Nodes, Data: []byte(data)}}}
 	}
 	writer.Execute(order("old"))
 	writer.Flush(t.Context())
--- a/internal/carobmembersync/membersync.go
+++ b/internal/carobmembersync/membersync.go
@@ -63,7 +63,7 @@
 // Execute takes the newest member that the tick appends to the stream of nodes. It
 // does not wait for the directory.
 func (s *MemberSync) Execute(out *caroboutbox.Outbox) {
-	for _, ap := range out.Appends {
+	for _, ap := range out.RetriedAppends {
 		if ap.Stream != carobstream.Nodes {
 			continue
 		}
--- a/internal/carobtransport/messages_test.go
+++ b/internal/carobtransport/messages_test.go
@@ -45,7 +45,7 @@
 
 // fetch returns a valid message.
 func fetch(from *endpoint, to carobaddress.Address) carobmessage.Message {
-	return carobmessage.Message{To: to, From: "first", ReplyTo: from.address, Fetch: &carobfetch.Fetch{From: 3}}
+	return carobmessage.Message{To: to, From: "first", ReplyTo: from.address, RecordFetch: &carobfetch.RecordFetch{From: 3}}
 }
 
 // take waits for messages and returns them.
@@ -66,7 +66,7 @@
 	sender.transport.Execute(&caroboutbox.Outbox{Messages: []carobmessage.Message{fetch(sender, receiver.address), fetch(sender, receiver.address)}})
 	got := receiver.take(t)
 	require.Len(t, got, 2)
-	require.EqualValues(t, 3, got[0].Fetch.From)
+	require.EqualValues(t, 3, got[0].RecordFetch.From)
 	require.Equal(t, sender.address, got[0].ReplyTo)
 }
 
@@ -84,7 +84,7 @@
 func TestInvalidMessagesAreDropped(t *testing.T) {
 	sender, receiver := newEndpoint(t), newEndpoint(t)
 	invalid := fetch(sender, receiver.address)
-	invalid.Fetch = &carobfetch.Fetch{From: -1}
+	invalid.RecordFetch = &carobfetch.RecordFetch{From: -1}
 	withoutReplyAddress := fetch(sender, receiver.address)
 	withoutReplyAddress.ReplyTo = ""
 	tooManyMembers := fetch(sender, receiver.address)
@@ -135,7 +135,7 @@
 func FuzzUnmarshal(f *testing.F) {
 	codec, err := carobcodec.NewCodec()
 	require.NoError(f, err)
-	encoded, err := codec.Marshal(&carobbatch.Batch{Messages: []carobmessage.Message{{From: "first", ReplyTo: "127.0.0.1:1", Fetch: &carobfetch.Fetch{From: 1}}}})
+	encoded, err := codec.Marshal(&carobbatch.Batch{Messages: []carobmessage.Message{{From: "first", ReplyTo: "127.0.0.1:1", RecordFetch: &carobfetch.RecordFetch{From: 1}}}})
 	require.NoError(f, err)
 	f.Add(encoded)
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/pkg/carobappend/append.go
+++ b/pkg/carobappend/append.go
@@ -3,9 +3,9 @@
 
 import "github.com/carobknot/carobknot/pkg/carobstream"
 
-// Append requests that a record is appended. It is retried while the log is
+// RetriedAppend requests that a record is appended. It is retried while the log is
 // unavailable, so the record may be in the log more than once.
-type Append struct {
+type RetriedAppend struct {
 	Stream carobstream.Stream
 	// Data is the content of the record. It replaces that of an earlier append to
 	// the stream that is still pending.
--- a/pkg/carobcatchup/system.go
+++ b/pkg/carobcatchup/system.go
@@ -39,11 +39,11 @@
 	for i := range world.Inbox.Messages {
 		message := &world.Inbox.Messages[i]
 		switch {
-		case message.Fetch != nil:
+		case message.RecordFetch != nil:
 			sendRecords(world, message)
-		case message.FetchReply != nil:
+		case message.RecordFetchReply != nil:
 			s.fetchDeadline = carobinstant.Never
-			s.fetch(world, now, message, message.FetchReply.ProfilesRead)
+			s.fetch(world, now, message, message.RecordFetchReply.ProfilesRead)
 		case message.Heartbeat != nil:
 			s.fetch(world, now, message, message.Heartbeat.ProfilesRead)
 		}
@@ -61,17 +61,17 @@
 		return
 	}
 	s.fetchDeadline = now.Add(fetchTimeout)
-	world.SendMessage(carobmessage.Message{To: message.ReplyTo, Fetch: &carobfetch.Fetch{From: world.ProfilesRead + 1}})
+	world.SendMessage(carobmessage.Message{To: message.ReplyTo, RecordFetch: &carobfetch.RecordFetch{From: world.ProfilesRead + 1}})
 }
 
 // sendRecords answers a fetch with records, or with a snapshot if this node no
 // longer has one of the records. It does not answer if it has read none of them.
 func sendRecords(world *carobworld.World, message *carobmessage.Message) {
-	if message.Fetch.From > world.ProfilesRead {
+	if message.RecordFetch.From > world.ProfilesRead {
 		return
 	}
-	reply := &carobfetchreply.FetchReply{ProfilesRead: world.ProfilesRead}
-	for offset := message.Fetch.From; offset <= world.ProfilesRead && len(reply.Records) < carobfetchreply.MaxRecords; offset++ {
+	reply := &carobfetchreply.RecordFetchReply{ProfilesRead: world.ProfilesRead}
+	for offset := message.RecordFetch.From; offset <= world.ProfilesRead && len(reply.Records) < carobfetchreply.MaxRecords; offset++ {
 		record := world.RecentChanges.Get(offset)
 		if record == nil {
 			reply.Records, reply.Snapshot = nil, takeSnapshot(world)
@@ -79,7 +79,7 @@
 		}
 		reply.Records = append(reply.Records, *record)
 	}
-	world.SendMessage(carobmessage.Message{To: message.ReplyTo, FetchReply: reply})
+	world.SendMessage(carobmessage.Message{To: message.ReplyTo, RecordFetchReply: reply})
 }
 
 // takeSnapshot returns a pointer to a snapshot of the profiles in force.
--- a/pkg/carobclaiming/system.go
+++ b/pkg/carobclaiming/system.go
@@ -167,9 +167,9 @@
 			continue
 		}
 		world.Homes.Put(shard, carobhome.Home{
-			State:     carobclaimstate.NewClaimState(carobclaimstate.Config{MaxKeys: s.config.MaxKeys, MaxStoredBytes: s.config.MaxStoredBytes}),
-			HomeSince: now,
-			ReplyTo:   map[carobcallid.ID]carobaddress.Address{},
+			State:        carobclaimstate.NewClaimState(carobclaimstate.Config{MaxKeys: s.config.MaxKeys, MaxStoredBytes: s.config.MaxStoredBytes}),
+			BecameHomeAt: now,
+			ReplyTo:      map[carobcallid.ID]carobaddress.Address{},
 		})
 	}
 }
@@ -259,7 +259,7 @@
 // outdated epoch are ignored when the batch is folded: a claim whose key is free
 // gets no reply, and its entry node has to send it again.
 func (s *System) nextBatch(world *carobworld.World, now carobinstant.Instant, home *carobhome.Home) *carobclaimbatch.Batch {
-	if due := home.HomeSince.Add(s.config.SettlementInterval); !home.CaughtUp && !due.Reached(now) {
+	if due := home.BecameHomeAt.Add(s.config.SettlementInterval); !home.CaughtUp && !due.Reached(now) {
 		world.WakeAt(due)
 		return nil
 	}
@@ -367,7 +367,7 @@
 // settled.
 func replyToClaim(world *carobworld.World, home *carobhome.Home, replyTo carobaddress.Address, claim carobclaim.Claim) {
 	holding := home.State.Holding(claim.Key)
-	result := carobclaimreply.Reply{Call: claim.Call}
+	result := carobclaimreply.ClaimReply{Call: claim.Call}
 	switch {
 	case holding == nil && home.State.HasRoom(), holding != nil && holding.Call == claim.Call && holding.Settled:
 		return
--- a/pkg/carobclaimreply/reply.go
+++ b/pkg/carobclaimreply/reply.go
@@ -7,8 +7,8 @@
 	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
 
-// Reply is the home's answer to a claim, sent to the entry node of the call.
-type Reply struct {
+// ClaimReply is the home's answer to a claim, sent to the entry node of the call.
+type ClaimReply struct {
 	Call   carobcallid.ID               `json:"call"`
 	Result carobclaimresult.ClaimResult `json:"grant"`
 	// StoredAnswer is the stored answer of the earlier call that ran, or nil.
--- a/pkg/carobcompaction/system.go
+++ b/pkg/carobcompaction/system.go
@@ -111,5 +111,5 @@
 	if err != nil {
 		return
 	}
-	world.Outbox.Appends = append(world.Outbox.Appends, carobappend.Append{Stream: carobstream.Profiles, Data: data})
+	world.Outbox.RetriedAppends = append(world.Outbox.RetriedAppends, carobappend.RetriedAppend{Stream: carobstream.Profiles, Data: data})
 }
--- a/pkg/carobcore/core.go
+++ b/pkg/carobcore/core.go
@@ -106,7 +106,7 @@
 	return &Core{
 		world: world,
 		systems: []system{
-			carobpause.NewSystem(carobpause.Config{TickPeriod: maxTickInterval, Threshold: pauseThreshold}),
+			carobpause.NewSystem(carobpause.Config{MaxTickInterval: maxTickInterval, Threshold: pauseThreshold}),
 			carobregistry.NewSystem(carobregistry.Config{AnnouncementTimeout: cmp.Or(c.AnnouncementTimeout, announcementTimeout)}),
 			carobjoining.NewSystem(carobjoining.Config{Seeds: c.Seeds}),
 			carobmembership.NewSystem(),
--- a/pkg/carobdetection/monitorset.go
+++ b/pkg/carobdetection/monitorset.go
@@ -74,13 +74,13 @@
 		node     carobnodeid.ID
 		distance uint64
 	}
-	own := carobmemberversion.Hash(world.Self.Node)
+	own := carobmemberversion.HashNode(world.Self.Node)
 	var next []successor
 	for id, peer := range world.Peers.All() {
 		if peer.Member.Liveness.Down() {
 			continue
 		}
-		next = append(next, successor{id, carobmemberversion.Hash(id) - own})
+		next = append(next, successor{id, carobmemberversion.HashNode(id) - own})
 		if i := len(next) - 1; i >= successors {
 			slices.SortFunc(next, func(a, b successor) int {
 				if a.distance < b.distance {
--- a/pkg/carobdissemination/system.go
+++ b/pkg/carobdissemination/system.go
@@ -130,7 +130,7 @@
 	var members []carobmember.Member
 	if s.sent < maxSent {
 		s.sent++
-		member := world.Describe()
+		member := world.DescribeSelf()
 		members = append(members, member)
 		space -= member.EncodedSize()
 	}
@@ -183,7 +183,7 @@
 	}
 	world.LeaveAnnounced = true
 	world.Self.Sequence++
-	member := world.Describe()
+	member := world.DescribeSelf()
 	member.Liveness = carobliveness.Left
 	world.Audit("member", string(world.Self.Node), "node "+string(world.Self.Node), carobliveness.Alive.String(), member.Liveness.String())
 	for _, peer := range recipients(world) {
--- a/pkg/carobejection/system.go
+++ b/pkg/carobejection/system.go
@@ -47,7 +47,7 @@
 // those whose ejection has expired. It has to run after carobrouting, which
 // counts the replies.
 func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
-	for _, reply := range world.Inbox.Replies {
+	for _, reply := range world.Inbox.AttemptReplies {
 		if load := world.Loads.Get(reply.Target); load != nil {
 			evaluate(world, now, reply, load)
 		}
@@ -65,7 +65,7 @@
 
 // evaluate ejects or readmits a target after a reply. Replies of a target that is
 // ejected are ignored: their attempts were sent before.
-func evaluate(world *carobworld.World, now carobinstant.Instant, reply carobreply.Reply, load *carobload.Load) {
+func evaluate(world *carobworld.World, now carobinstant.Instant, reply carobreply.AttemptReply, load *carobload.Load) {
 	switch {
 	case load.EjectionEnd != carobinstant.Never:
 	case load.OnTrial && isFailure(reply):
@@ -80,7 +80,7 @@
 }
 
 // isFailure reports whether a reply counts against the target. Refusals do not.
-func isFailure(reply carobreply.Reply) bool {
+func isFailure(reply carobreply.AttemptReply) bool {
 	const firstError = 500
 	return reply.Kind == carobkind.None && reply.Status >= firstError ||
 		reply.Kind == carobkind.ConnectionLost || reply.Kind == carobkind.Unreachable
--- a/pkg/carobejection/system_test.go
+++ b/pkg/carobejection/system_test.go
@@ -42,7 +42,7 @@
 
 // tickWithReply runs a tick with one reply of target a.
 func tickWithReply(world *carobworld.World, now carobinstant.Instant, status int) {
-	world.BeginTick(carobinbox.Inbox{Replies: []carobreply.Reply{{Target: target("a"), Status: status}}})
+	world.BeginTick(carobinbox.Inbox{AttemptReplies: []carobreply.AttemptReply{{Target: target("a"), Status: status}}})
 	NewSystem().Run(world, now)
 }
 
@@ -103,7 +103,7 @@
 // nothing of its health.
 func TestRefusalDoesNotEndTrial(t *testing.T) {
 	world := newWorld(map[string]carobload.Load{"a": {OnTrial: true}, "b": {Successes: 10}})
-	world.BeginTick(carobinbox.Inbox{Replies: []carobreply.Reply{{Target: target("a"), Kind: carobkind.Busy}}})
+	world.BeginTick(carobinbox.Inbox{AttemptReplies: []carobreply.AttemptReply{{Target: target("a"), Kind: carobkind.Busy}}})
 	NewSystem().Run(world, 1)
 	require.True(t, world.Loads.Get(target("a")).OnTrial)
 }
--- a/pkg/carobentry/claim.go
+++ b/pkg/carobentry/claim.go
@@ -58,7 +58,7 @@
 
 // handleClaimReply handles the reply to a claim. It drops replies for calls that
 // are not waiting for a claim.
-func handleClaimReply(world *carobworld.World, now carobinstant.Instant, reply *carobclaimreply.Reply) {
+func handleClaimReply(world *carobworld.World, now carobinstant.Instant, reply *carobclaimreply.ClaimReply) {
 	call := world.Calls.Get(reply.Call)
 	if call == nil || call.Stage != carobstage.Claiming {
 		return
--- a/pkg/carobentry/rig_test.go
+++ b/pkg/carobentry/rig_test.go
@@ -110,7 +110,7 @@
 }
 
 func (r *rig) reply(attempt int, kind carobkind.Kind) {
-	r.step(carobinbox.Inbox{Replies: []carobreply.Reply{{Job: r.job(attempt), Kind: kind}}})
+	r.step(carobinbox.Inbox{AttemptReplies: []carobreply.AttemptReply{{Job: r.job(attempt), Kind: kind}}})
 }
 
 func (r *rig) fenceReply(attempt int, state carobjobstate.JobState) {
--- a/pkg/carobentry/route_test.go
+++ b/pkg/carobentry/route_test.go
@@ -45,7 +45,7 @@
 
 // replyStatus replies to an attempt with a target's answer of this HTTP status.
 func (r *rig) replyStatus(attempt, status int) {
-	r.step(carobinbox.Inbox{Replies: []carobreply.Reply{{Job: r.job(attempt), Status: status}}})
+	r.step(carobinbox.Inbox{AttemptReplies: []carobreply.AttemptReply{{Job: r.job(attempt), Status: status}}})
 }
 
 // Guards against a 404 for an existing route from a node that has no route table
--- a/pkg/carobentry/system.go
+++ b/pkg/carobentry/system.go
@@ -59,7 +59,7 @@
 	for _, arrival := range world.Inbox.Arrivals {
 		handleArrival(world, now, arrival)
 	}
-	for _, reply := range world.Inbox.Replies {
+	for _, reply := range world.Inbox.AttemptReplies {
 		handleReply(world, now, reply)
 	}
 	for i := range world.Inbox.Messages {
@@ -185,7 +185,7 @@
 
 // handleReply handles the reply to an attempt. It drops replies for unknown calls
 // and for attempts that have ended.
-func handleReply(world *carobworld.World, now carobinstant.Instant, reply carobreply.Reply) {
+func handleReply(world *carobworld.World, now carobinstant.Instant, reply carobreply.AttemptReply) {
 	call := world.Calls.Get(reply.Job.Call)
 	if call == nil || reply.Job.Attempt < 1 || reply.Job.Attempt > len(call.Attempts) {
 		return
@@ -217,14 +217,14 @@
 
 // isTargetRefusal reports whether a target's answer proves that it did not run the
 // call: a 503, if the profile says so. The body of such an answer is discarded.
-func isTargetRefusal(call *carobcall.Call, reply carobreply.Reply) bool {
+func isTargetRefusal(call *carobcall.Call, reply carobreply.AttemptReply) bool {
 	return reply.Kind == carobkind.None && call.Profile.NotRunOn503 && reply.Status == http.StatusServiceUnavailable
 }
 
 // retryFailedAnswer retries an idempotent call that a target answered with a 5xx
 // status, and reports whether it did. If no attempts, budget or time are left, the
 // caller gets the target's answer.
-func retryFailedAnswer(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, reply carobreply.Reply) bool {
+func retryFailedAnswer(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, reply carobreply.AttemptReply) bool {
 	if reply.Status < http.StatusInternalServerError || call.Route == nil || !mayRunAgain(call) || call.OpenAttempts() > 0 ||
 		call.PossibleRuns() >= call.Profile.Attempts || call.SLODeadline.Reached(now) || !world.RetryBudgetOf(call.Arrival.Service).TakeToken() {
 		return false
--- a/pkg/carobfetch/fetch.go
+++ b/pkg/carobfetch/fetch.go
@@ -6,14 +6,14 @@
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 )
 
-// Fetch requests the profile records that the sender lacks.
-type Fetch struct {
+// RecordFetch requests the profile records that the sender lacks.
+type RecordFetch struct {
 	// From is the first offset that the sender lacks.
 	From caroboffset.Offset `json:"from"`
 }
 
 // Check returns an error of kind Invalid if the offset is negative.
-func (f Fetch) Check() error {
+func (f RecordFetch) Check() error {
 	if f.From < 0 {
 		return carobkind.New(carobkind.Invalid, "fetch: offset %d is negative", f.From)
 	}
--- a/pkg/carobfetchreply/fetchreply.go
+++ b/pkg/carobfetchreply/fetchreply.go
@@ -8,8 +8,8 @@
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
 )
 
-// FetchReply answers a request for profile records.
-type FetchReply struct {
+// RecordFetchReply answers a request for profile records.
+type RecordFetchReply struct {
 	// Records have consecutive offsets, beginning with the requested one.
 	Records []carobrecord.Record `json:"records,omitempty"`
 	// Snapshot replaces the records if the sender no longer has all of them; nil
@@ -24,7 +24,7 @@
 
 // Check returns an error of kind Invalid if the records are too many or not consecutive,
 // or the snapshot is out of bounds.
-func (f FetchReply) Check() error {
+func (f RecordFetchReply) Check() error {
 	if len(f.Records) > MaxRecords {
 		return carobkind.New(carobkind.Invalid, "fetch reply: more than %d records", MaxRecords)
 	}
--- a/pkg/carobfold/system.go
+++ b/pkg/carobfold/system.go
@@ -55,13 +55,13 @@
 // Run folds the records that arrived from other nodes and from the log.
 func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
 	for _, message := range world.Inbox.Messages {
-		if message.FetchReply == nil {
+		if message.RecordFetchReply == nil {
 			continue
 		}
-		if message.FetchReply.Snapshot != nil {
-			adoptSnapshot(world, message.FetchReply.Snapshot)
+		if message.RecordFetchReply.Snapshot != nil {
+			adoptSnapshot(world, message.RecordFetchReply.Snapshot)
 		}
-		for _, record := range message.FetchReply.Records {
+		for _, record := range message.RecordFetchReply.Records {
 			receive(world, record)
 		}
 	}
--- a/pkg/carobhedging/system.go
+++ b/pkg/carobhedging/system.go
@@ -48,7 +48,7 @@
 // Run records the latencies of answered calls and requests the hedges that are
 // due.
 func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
-	for _, reply := range world.Inbox.Replies {
+	for _, reply := range world.Inbox.AttemptReplies {
 		s.recordLatency(world, now, reply)
 	}
 	for _, send := range world.Outbox.Sends {
@@ -69,7 +69,7 @@
 // recordLatency adds the latencies of an answered call's attempts. Attempts
 // that are cancelled because of the answer count with the time until now, which
 // is a lower bound of their latency.
-func (s *System) recordLatency(world *carobworld.World, now carobinstant.Instant, reply carobreply.Reply) {
+func (s *System) recordLatency(world *carobworld.World, now carobinstant.Instant, reply carobreply.AttemptReply) {
 	call := world.Calls.Get(reply.Job.Call)
 	if call == nil || call.Stage != carobstage.Delivering {
 		return
--- a/pkg/carobhome/home.go
+++ b/pkg/carobhome/home.go
@@ -18,8 +18,8 @@
 type Home struct {
 	// State is the state folded from the records of the stream.
 	State *carobclaimstate.ClaimState
-	// HomeSince is when this node became the home in its own view.
-	HomeSince carobinstant.Instant
+	// BecameHomeAt is when this node became the home in its own view.
+	BecameHomeAt carobinstant.Instant
 	// CaughtUp is true once all records that one read of the stream returned have
 	// been folded.
 	CaughtUp bool
--- a/pkg/carobinbox/inbox.go
+++ b/pkg/carobinbox/inbox.go
@@ -55,9 +55,9 @@
 
 	// Entry and routing.
 
-	Arrivals   []carobarrival.Arrival
-	Replies    []carobreply.Reply
-	Deliveries []carobdelivery.Delivery
+	Arrivals       []carobarrival.Arrival
+	AttemptReplies []carobreply.AttemptReply
+	Deliveries     []carobdelivery.Delivery
 	// Disconnects are the calls whose callers have disconnected.
 	Disconnects []carobcallid.ID
 }
--- a/pkg/carobjoining/system.go
+++ b/pkg/carobjoining/system.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return
 	}
-	world.Outbox.Appends = append(world.Outbox.Appends, carobappend.Append{Stream: carobstream.Nodes, Data: data})
+	world.Outbox.RetriedAppends = append(world.Outbox.RetriedAppends, carobappend.RetriedAppend{Stream: carobstream.Nodes, Data: data})
 }
 
 // contactUnknown contacts a random sample of the seeds and logged addresses that belong
@@ -153,6 +153,6 @@
 // contact sends this node's description to an address, and a heartbeat with checksums that
 // makes the receiver compare its peer table with this node's.
 func contact(world *carobworld.World, to carobaddress.Address) {
-	world.SendMessage(carobmessage.Message{To: to, Gossip: &carobgossip.Gossip{Members: []carobmember.Member{world.Describe()}}})
+	world.SendMessage(carobmessage.Message{To: to, Gossip: &carobgossip.Gossip{Members: []carobmember.Member{world.DescribeSelf()}}})
 	world.SendMessage(carobmessage.Message{To: to, Heartbeat: &carobpeerheartbeat.PeerHeartbeat{Checksums: world.Checksums(), ProfilesRead: world.ProfilesRead}})
 }
--- a/pkg/caroblimits/limits.go
+++ b/pkg/caroblimits/limits.go
@@ -29,10 +29,10 @@
 	HeaderSize carobsize.Size `json:"header"`
 	// BodySize is the maximum size of the body of a call.
 	BodySize carobsize.Size `json:"body"`
-	// BufferedBodySize is the maximum total size of the bodies of all calls that are
+	// TotalBufferedSize is the maximum total size of the bodies of all calls that are
 	// buffered for another attempt. A body beyond it is streamed; a front end
 	// that needs whole bodies refuses the call instead.
-	BufferedBodySize carobsize.Size `json:"kept"`
+	TotalBufferedSize carobsize.Size `json:"kept"`
 	// HeaderTimeout is the timeout for receiving the header of a call.
 	HeaderTimeout carobduration.Duration `json:"head"`
 	// StallTimeout is the time without progress after which the transfer of a body
@@ -46,18 +46,18 @@
 // the largest known deployment.
 func NewLimits() Limits {
 	return Limits{
-		Calls:            20_000,
-		Jobs:             20_000,
-		Targets:          4_000,
-		Peers:            4_000,
-		Connections:      4_000,
-		Cores:            1,
-		HeaderSize:       16 * carobsize.KiB,
-		BodySize:         1024 * carobsize.MiB,
-		BufferedBodySize: 32 * carobsize.MiB,
-		HeaderTimeout:    carobduration.Duration(10 * time.Second),
-		StallTimeout:     carobduration.Duration(30 * time.Second),
-		IdleTimeout:      carobduration.Duration(60 * time.Second),
+		Calls:             20_000,
+		Jobs:              20_000,
+		Targets:           4_000,
+		Peers:             4_000,
+		Connections:       4_000,
+		Cores:             1,
+		HeaderSize:        16 * carobsize.KiB,
+		BodySize:          1024 * carobsize.MiB,
+		TotalBufferedSize: 32 * carobsize.MiB,
+		HeaderTimeout:     carobduration.Duration(10 * time.Second),
+		StallTimeout:      carobduration.Duration(30 * time.Second),
+		IdleTimeout:       carobduration.Duration(60 * time.Second),
 	}
 }
 
@@ -75,7 +75,7 @@
 		{"cores", int64(l.Cores)},
 		{"header", int64(l.HeaderSize)},
 		{"body", int64(l.BodySize)},
-		{"kept", int64(l.BufferedBodySize)},
+		{"kept", int64(l.TotalBufferedSize)},
 		{"head", int64(l.HeaderTimeout)},
 		{"stall", int64(l.StallTimeout)},
 		{"idle", int64(l.IdleTimeout)},
--- a/pkg/carobmemberversion/memberversion.go
+++ b/pkg/carobmemberversion/memberversion.go
@@ -33,7 +33,7 @@
 
 // Checksum returns a checksum of the version.
 func (v Version) Checksum() uint64 {
-	sum := Hash(v.Node)
+	sum := HashNode(v.Node)
 	for _, n := range []uint64{uint64(v.Incarnation), v.Sequence, uint64(v.Liveness)} {
 		sum = (sum ^ n) * fnvPrime
 		sum ^= sum >> 32
@@ -47,8 +47,8 @@
 	fnvPrime  = 1099511628211
 )
 
-// Hash returns a hash of the node's ID. It is the same on all nodes.
-func Hash(node carobnodeid.ID) uint64 {
+// HashNode returns a hash of the node's ID. It is the same on all nodes.
+func HashNode(node carobnodeid.ID) uint64 {
 	sum := uint64(fnvOffset)
 	for i := range len(node) {
 		sum = (sum ^ uint64(node[i])) * fnvPrime
--- a/pkg/carobmessage/check.go
+++ b/pkg/carobmessage/check.go
@@ -35,11 +35,11 @@
 	if m.Digest != nil {
 		set = append(set, m.Digest)
 	}
-	if m.Fetch != nil {
-		set = append(set, m.Fetch)
+	if m.RecordFetch != nil {
+		set = append(set, m.RecordFetch)
 	}
-	if m.FetchReply != nil {
-		set = append(set, m.FetchReply)
+	if m.RecordFetchReply != nil {
+		set = append(set, m.RecordFetchReply)
 	}
 	if m.RouteTable != nil {
 		set = append(set, m.RouteTable)
--- a/pkg/carobmessage/message.go
+++ b/pkg/carobmessage/message.go
@@ -47,12 +47,12 @@
 	Heartbeat *carobpeerheartbeat.PeerHeartbeat `json:"probe,omitempty"`
 	// Digest lists the versions of the descriptions in one partition of the sender's peer table.
 	Digest *carobdigest.Digest `json:"digest,omitempty"`
-	// Fetch requests profile records, and FetchReply carries them.
-	Fetch      *carobfetch.Fetch           `json:"fetch,omitempty"`
-	FetchReply *carobfetchreply.FetchReply `json:"supply,omitempty"`
+	// RecordFetch requests profile records, and RecordFetchReply carries them.
+	RecordFetch      *carobfetch.RecordFetch           `json:"fetch,omitempty"`
+	RecordFetchReply *carobfetchreply.RecordFetchReply `json:"supply,omitempty"`
 
 	// RouteFetch requests the route table, and RouteTable carries it.
-	RouteFetch *carobroutefetch.Fetch      `json:"routefetch,omitempty"`
+	RouteFetch *carobroutefetch.RouteFetch `json:"routefetch,omitempty"`
 	RouteTable *carobroutetable.RouteTable `json:"routes,omitempty"`
 
 	// Calls and claims.
@@ -62,8 +62,8 @@
 	// FenceReply answers a fence.
 	FenceReply *carobfencereply.FenceReply `json:"fencereply,omitempty"`
 	// Claim requests an idempotency key from its home, and ClaimReply answers.
-	Claim      *carobclaim.Claim      `json:"claim,omitempty"`
-	ClaimReply *carobclaimreply.Reply `json:"claimreply,omitempty"`
+	Claim      *carobclaim.Claim           `json:"claim,omitempty"`
+	ClaimReply *carobclaimreply.ClaimReply `json:"claimreply,omitempty"`
 	// Settlement reports to the home of a key how a call ended, and Settled confirms it.
 	Settlement *carobsettlement.Settlement `json:"settlement,omitempty"`
 	Settled    *carobcallid.ID             `json:"settled,omitempty"`
--- a/pkg/caroboutbox/outbox.go
+++ b/pkg/caroboutbox/outbox.go
@@ -29,7 +29,7 @@
 
 	// Membership and the log.
 
-	Appends []carobappend.Append
+	RetriedAppends []carobappend.RetriedAppend
 	// ChangeResults are the results of the profile changes that were applied.
 	ChangeResults []carobchangeresult.ChangeResult
 	// ReadingStore is true while this node reads the operator's records from the store.
--- a/pkg/carobpause/system.go
+++ b/pkg/carobpause/system.go
@@ -11,10 +11,10 @@
 
 // Config holds the settings of the system.
 type Config struct {
-	// TickPeriod is the longest time between two ticks.
-	TickPeriod time.Duration
+	// MaxTickInterval is the longest time between two ticks.
+	MaxTickInterval time.Duration
 	// Threshold is the time between two ticks above which the node counts as paused. It
-	// is longer than TickPeriod.
+	// is longer than MaxTickInterval.
 	Threshold time.Duration
 }
 
@@ -35,5 +35,5 @@
 func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
 	world.Paused = s.lastTick != carobinstant.Never && now.Sub(s.lastTick) > s.config.Threshold
 	s.lastTick = now
-	world.WakeAt(now.Add(s.config.TickPeriod))
+	world.WakeAt(now.Add(s.config.MaxTickInterval))
 }
--- a/pkg/carobpause/system_test.go
+++ b/pkg/carobpause/system_test.go
@@ -41,7 +41,7 @@
 	}{"in time": {tickPeriod, false}, "paused": {threshold + 1, true}} {
 		t.Run(name, func(t *testing.T) {
 			world := newWorld()
-			pause := carobpause.NewSystem(carobpause.Config{TickPeriod: tickPeriod, Threshold: threshold})
+			pause := carobpause.NewSystem(carobpause.Config{MaxTickInterval: tickPeriod, Threshold: threshold})
 			step := func(now carobinstant.Instant, in carobinbox.Inbox) {
 				world.BeginTick(in)
 				pause.Run(world, now)
--- a/pkg/carobreconciliation/system.go
+++ b/pkg/carobreconciliation/system.go
@@ -185,7 +185,7 @@
 // there is none.
 func description(world *carobworld.World, id carobnodeid.ID) (carobmember.Member, bool) {
 	if id == world.Self.Node {
-		return world.Describe(), true
+		return world.DescribeSelf(), true
 	}
 	if peer := world.Peers.Get(id); peer != nil {
 		return peer.Member, true
--- a/pkg/carobreply/reply.go
+++ b/pkg/carobreply/reply.go
@@ -8,8 +8,8 @@
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 )
 
-// Reply reports to the control goroutine of the entry node how an attempt ended.
-type Reply struct {
+// AttemptReply reports to the control goroutine of the entry node how an attempt ended.
+type AttemptReply struct {
 	Job carobjobid.ID
 	// Target is the target that the attempt was sent to.
 	Target carobtargetid.ID
--- a/pkg/carobroutefetch/fetch.go
+++ b/pkg/carobroutefetch/fetch.go
@@ -3,14 +3,14 @@
 
 import "github.com/carobknot/carobknot/pkg/carobrouteversion"
 
-// Fetch requests the route table if it is newer than the sender's. A node without a newer
+// RouteFetch requests the route table if it is newer than the sender's. A node without a newer
 // one does not answer.
-type Fetch struct {
+type RouteFetch struct {
 	// Version is the version of the sender's table; None if it has no table.
 	Version carobrouteversion.Version `json:"have"`
 }
 
 // Check returns nil, because every version is valid.
-func (f Fetch) Check() error {
+func (f RouteFetch) Check() error {
 	return nil
 }
--- a/pkg/carobroutesync/system.go
+++ b/pkg/carobroutesync/system.go
@@ -116,5 +116,5 @@
 func (s *System) request(world *carobworld.World, now carobinstant.Instant, peer *carobpeer.Peer) {
 	s.requestDeadline = now.Add(answerTimeout)
 	world.WakeAt(s.requestDeadline)
-	world.SendMessage(carobmessage.Message{To: peer.Member.PeerAddress, RouteFetch: &carobroutefetch.Fetch{Version: world.RoutesVersion()}})
+	world.SendMessage(carobmessage.Message{To: peer.Member.PeerAddress, RouteFetch: &carobroutefetch.RouteFetch{Version: world.RoutesVersion()}})
 }
--- a/pkg/carobroutesync/system_test.go
+++ b/pkg/carobroutesync/system_test.go
@@ -127,7 +127,7 @@
 	r.step(0, carobinbox.Inbox{RouteTables: []*carobroutetable.RouteTable{table(t, 9)}})
 	request := func(have carobrouteversion.Version) []carobmessage.Message {
 		return r.step(time.Millisecond, carobinbox.Inbox{Messages: []carobmessage.Message{
-			{From: "far", Incarnation: 1, ReplyTo: "far", RoutesVersion: have, RouteFetch: &carobroutefetch.Fetch{Version: have}},
+			{From: "far", Incarnation: 1, ReplyTo: "far", RoutesVersion: have, RouteFetch: &carobroutefetch.RouteFetch{Version: have}},
 		}})
 	}
 	require.Empty(t, request(9))
--- a/pkg/carobrouting/system.go
+++ b/pkg/carobrouting/system.go
@@ -49,7 +49,7 @@
 // Run updates the loads from the replies of the tick and sends attempts for
 // waiting calls.
 func (s *System) Run(world *carobworld.World, now carobinstant.Instant) {
-	for _, reply := range world.Inbox.Replies {
+	for _, reply := range world.Inbox.AttemptReplies {
 		recordReply(world, now, reply)
 	}
 	clear(s.withoutTarget)
--- a/pkg/carobworld/members.go
+++ b/pkg/carobworld/members.go
@@ -8,9 +8,9 @@
 	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
 )
 
-// Describe returns this node's description of itself as it is gossiped to other nodes:
+// DescribeSelf returns this node's description of itself as it is gossiped to other nodes:
 // with the targets that the node admits jobs to, up to the maximum for one VM.
-func (w *World) Describe() carobmember.Member {
+func (w *World) DescribeSelf() carobmember.Member {
 	member := w.Self
 	member.Leaving = w.Stopping
 	member.Targets = nil
@@ -25,7 +25,7 @@
 // PartitionOf returns the partition of the peer table that a node belongs to. It depends on the
 // node's ID alone, so all nodes agree on it.
 func PartitionOf(node carobnodeid.ID) int {
-	return int(carobmemberversion.Hash(node) % carobpeerheartbeat.Partitions)
+	return int(carobmemberversion.HashNode(node) % carobpeerheartbeat.Partitions)
 }
 
 // Checksums returns a checksum of each partition of the peer table, this node's own description
--- a/test/capacity/cluster_test.go
+++ b/test/capacity/cluster_test.go
@@ -86,7 +86,7 @@
 	// audits counts audits by component and new value.
 	audits map[string]int
 	// pendingAppends holds the appends that wait for the log.
-	pendingAppends []carobappend.Append
+	pendingAppends []carobappend.RetriedAppend
 }
 
 // delivery is an input of a node at an instant. Deliveries of one instant arrive in the
@@ -194,7 +194,7 @@
 	for _, audit := range out.Audits {
 		n.audits[audit.Component+" "+audit.To]++
 	}
-	n.pendingAppends = append(n.pendingAppends, out.Appends...)
+	n.pendingAppends = append(n.pendingAppends, out.RetriedAppends...)
 	if !c.logUnavailable {
 		for _, request := range n.pendingAppends {
 			c.append(request.Stream, request.Data)
--- a/test/capacity/membership_test.go
+++ b/test/capacity/membership_test.go
@@ -72,7 +72,7 @@
 func (c *cluster) announceTargets(duration time.Duration) {
 	for end := c.now.Add(duration); c.now < end; c.run(time.Second) {
 		for _, n := range c.nodes {
-			for _, target := range n.core.World().Describe().Targets {
+			for _, target := range n.core.World().DescribeSelf().Targets {
 				c.announce(n, string(target.ID.Service), carobreadiness.Ready)
 			}
 		}
--- a/test/capacity/slopes_test.go
+++ b/test/capacity/slopes_test.go
@@ -76,7 +76,7 @@
 			for i := range 20 {
 				for j := range max(1, size/100) {
 					node := cluster.nodes[(i/2*7+j)%size]
-					cluster.announce(node, string(node.core.World().Describe().Targets[0].ID.Service), state)
+					cluster.announce(node, string(node.core.World().DescribeSelf().Targets[0].ID.Service), state)
 				}
 				if state == carobreadiness.Leaving {
 					state = carobreadiness.Ready
--- a/test/fuzz/decoders_test.go
+++ b/test/fuzz/decoders_test.go
@@ -146,7 +146,7 @@
 	gossip.Gossip = &carobgossip.Gossip{Members: []carobmember.Member{{Node: "n2", Region: "r", Centre: "c", PeerAddress: "10.0.0.2:7", Targets: []carobtarget.Target{
 		{ID: carobtargetid.ID{Service: "a", Name: "b"}, Node: "n2", Profile: "a", Slots: 1, Connections: 1, Readiness: carobreadiness.Ready},
 	}}}}
-	fetchReply.FetchReply = &carobfetchreply.FetchReply{Snapshot: &carobsnapshot.Snapshot{LastOffset: 3}}
+	fetchReply.RecordFetchReply = &carobfetchreply.RecordFetchReply{Snapshot: &carobsnapshot.Snapshot{LastOffset: 3}}
 	for _, message := range []carobmessage.Message{base, gossip, fetchReply, fullMessage()} {
 		data, err := codec.Marshal(message)
 		require.NoError(f, err)
--- a/test/fuzz/entry_test.go
+++ b/test/fuzz/entry_test.go
@@ -142,7 +142,7 @@
 		sent.ended, sent.response = true, body
 		n.after(0, func() {
 			n.enqueue(func(in *carobinbox.Inbox) {
-				in.Replies = append(in.Replies, carobreply.Reply{Job: send.Job, Kind: kind, Status: status, Report: report})
+				in.AttemptReplies = append(in.AttemptReplies, carobreply.AttemptReply{Job: send.Job, Kind: kind, Status: status, Report: report})
 			})
 		})
 	}
--- a/test/fuzz/mutations_test.go
+++ b/test/fuzz/mutations_test.go
@@ -69,9 +69,9 @@
 // mutations lists the faults that the oracle must find.
 var mutations = []mutation{
 	{name: "treat a lost connection as unreachable", changeInput: func(_ *node, in *carobinbox.Inbox) {
-		for i := range in.Replies {
-			if in.Replies[i].Kind == carobkind.ConnectionLost {
-				in.Replies[i].Kind = carobkind.Unreachable
+		for i := range in.AttemptReplies {
+			if in.AttemptReplies[i].Kind == carobkind.ConnectionLost {
+				in.AttemptReplies[i].Kind = carobkind.Unreachable
 			}
 		}
 	}},
--- a/test/fuzz/node_test.go
+++ b/test/fuzz/node_test.go
@@ -287,7 +287,7 @@
 	for _, message := range out.Messages {
 		n.sim.sendMessage(n.place, message)
 	}
-	for _, request := range out.Appends {
+	for _, request := range out.RetriedAppends {
 		n.append(request.Stream, request.Data)
 	}
 	if out.Stopped && !n.exiting {
