--- a/internal/carobemulator/node.go
+++ b/internal/carobemulator/node.go
@@ -5,6 +5,7 @@
 
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobannouncement"
+	"github.com/carobknot/carobknot/pkg/carobattemptreply"
 	"github.com/carobknot/carobknot/pkg/carobcentre"
 	"github.com/carobknot/carobknot/pkg/carobcheckresult"
 	"github.com/carobknot/carobknot/pkg/carobcore"
@@ -21,7 +22,6 @@
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
-	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobsend"
@@ -172,7 +172,7 @@
 // the entry node.
 func (e *Emulator) sendReply(node *node, id carobjobid.ID, target carobtargetid.ID, kind carobkind.Kind, status int) {
 	receiver := e.nodeByID[id.Call.Node]
-	reply := carobreply.AttemptReply{Job: id, Target: target, Kind: kind, Status: status, Report: node.report}
+	reply := carobattemptreply.AttemptReply{Job: id, Target: target, Kind: kind, Status: status, Report: node.report}
 	e.enqueueInput(receiver, e.networkDelay(node.index, receiver), func(inbox *carobinbox.Inbox) {
 		delete(e.nodes[receiver].openAttempts, id)
 		e.nodes[receiver].statuses[id] = status
--- a/internal/carobexchange/exchange.go
+++ b/internal/carobexchange/exchange.go
@@ -9,13 +9,13 @@
 	"github.com/carobknot/carobknot/internal/carobanswer"
 	"github.com/carobknot/carobknot/internal/carobheader"
 	"github.com/carobknot/carobknot/internal/carobrequestbody"
+	"github.com/carobknot/carobknot/pkg/carobattemptreply"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobjobid"
 	"github.com/carobknot/carobknot/pkg/carobkind"
-	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
 )
@@ -91,7 +91,7 @@
 	x.request.Header.CopyTo(&req.Header)
 	carobheader.CleanRequest(&req.Header)
 	if err := x.body.Attach(req); err != nil {
-		x.postReply(carobreply.AttemptReply{Job: send.Job, Target: send.Target, Kind: carobkind.Of(err)})
+		x.postReply(carobattemptreply.AttemptReply{Job: send.Job, Target: send.Target, Kind: carobkind.Of(err)})
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -105,7 +105,7 @@
 			}
 		}
 		x.setAnswer(current, answer)
-		reply := carobreply.AttemptReply{Job: send.Job, Target: send.Target, Kind: carobkind.Of(err), Report: report}
+		reply := carobattemptreply.AttemptReply{Job: send.Job, Target: send.Target, Kind: carobkind.Of(err), Report: report}
 		switch {
 		case answer != nil:
 			reply.Status = answer.Response.StatusCode()
@@ -117,7 +117,7 @@
 }
 
 // postReply reports the result of an attempt to the control goroutine.
-func (x *exchange) postReply(reply carobreply.AttemptReply) {
+func (x *exchange) postReply(reply carobattemptreply.AttemptReply) {
 	x.exchanges.config.Mailbox.Post(func(in *carobinbox.Inbox) { in.AttemptReplies = append(in.AttemptReplies, reply) })
 }
 
--- a/internal/caroblogwriter/logwriter_test.go
+++ b/internal/caroblogwriter/logwriter_test.go
@@ -15,13 +15,13 @@
 
 	"github.com/carobknot/carobknot/internal/caroblogwriter"
 	"github.com/carobknot/carobknot/internal/carobtimer"
-	"github.com/carobknot/carobknot/pkg/carobappend"
 	"github.com/carobknot/carobknot/pkg/carobaudit"
 	"github.com/carobknot/carobknot/pkg/carobhop"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
+	"github.com/carobknot/carobknot/pkg/carobretriedappend"
 	"github.com/carobknot/carobknot/pkg/carobsize"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 )
@@ -193,7 +193,7 @@
 	writer, _ := newWriter(t, log)
 	log.setUnavailable(true)
 	order := func(data string) *caroboutbox.Outbox {
-		return &caroboutbox.Outbox{RetriedAppends: []carobappend.RetriedAppend{{Stream: carobstream.Nodes, Data: []byte(data)}}}
+		return &caroboutbox.Outbox{RetriedAppends: []carobretriedappend.RetriedAppend{{Stream: carobstream.Nodes, Data: []byte(data)}}}
 	}
 	writer.Execute(order("old"))
 	writer.Flush(t.Context())
--- a/internal/carobtransport/messages_test.go
+++ b/internal/carobtransport/messages_test.go
@@ -15,11 +15,11 @@
 	"github.com/carobknot/carobknot/internal/carobmailbox"
 	"github.com/carobknot/carobknot/internal/carobtransport"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
-	"github.com/carobknot/carobknot/pkg/carobfetch"
 	"github.com/carobknot/carobknot/pkg/carobgossip"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
+	"github.com/carobknot/carobknot/pkg/carobrecordfetch"
 )
 
 // endpoint is a transport that listens, with its mailbox and address.
@@ -45,7 +45,7 @@
 
 // fetch returns a valid message.
 func fetch(from *endpoint, to carobaddress.Address) carobmessage.Message {
-	return carobmessage.Message{To: to, From: "first", ReplyTo: from.address, RecordFetch: &carobfetch.RecordFetch{From: 3}}
+	return carobmessage.Message{To: to, From: "first", ReplyTo: from.address, RecordFetch: &carobrecordfetch.RecordFetch{From: 3}}
 }
 
 // take waits for messages and returns them.
@@ -84,7 +84,7 @@
 func TestInvalidMessagesAreDropped(t *testing.T) {
 	sender, receiver := newEndpoint(t), newEndpoint(t)
 	invalid := fetch(sender, receiver.address)
-	invalid.RecordFetch = &carobfetch.RecordFetch{From: -1}
+	invalid.RecordFetch = &carobrecordfetch.RecordFetch{From: -1}
 	withoutReplyAddress := fetch(sender, receiver.address)
 	withoutReplyAddress.ReplyTo = ""
 	tooManyMembers := fetch(sender, receiver.address)
@@ -135,7 +135,7 @@
 func FuzzUnmarshal(f *testing.F) {
 	codec, err := carobcodec.NewCodec()
 	require.NoError(f, err)
-	encoded, err := codec.Marshal(&carobbatch.Batch{Messages: []carobmessage.Message{{From: "first", ReplyTo: "127.0.0.1:1", RecordFetch: &carobfetch.RecordFetch{From: 1}}}})
+	encoded, err := codec.Marshal(&carobbatch.Batch{Messages: []carobmessage.Message{{From: "first", ReplyTo: "127.0.0.1:1", RecordFetch: &carobrecordfetch.RecordFetch{From: 1}}}})
 	require.NoError(f, err)
 	f.Add(encoded)
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/pkg/carobreply/reply.go
+++ b/pkg/carobattemptreply/attemptreply.go
@@ -1,5 +1,5 @@
-// Package carobreply defines the message that an attempt has a reply.
-package carobreply
+// Package carobattemptreply holds the message that reports the reply to an attempt.
+package carobattemptreply
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobjobid"
--- a/pkg/carobcatchup/system.go
+++ b/pkg/carobcatchup/system.go
@@ -9,11 +9,11 @@
 import (
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobfetch"
-	"github.com/carobknot/carobknot/pkg/carobfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
+	"github.com/carobknot/carobknot/pkg/carobrecordfetch"
+	"github.com/carobknot/carobknot/pkg/carobrecordfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
@@ -61,7 +61,7 @@
 		return
 	}
 	s.fetchDeadline = now.Add(fetchTimeout)
-	world.SendMessage(carobmessage.Message{To: message.ReplyTo, RecordFetch: &carobfetch.RecordFetch{From: world.ProfilesRead + 1}})
+	world.SendMessage(carobmessage.Message{To: message.ReplyTo, RecordFetch: &carobrecordfetch.RecordFetch{From: world.ProfilesRead + 1}})
 }
 
 // sendRecords answers a fetch with records, or with a snapshot if this node no
@@ -70,8 +70,8 @@
 	if message.RecordFetch.From > world.ProfilesRead {
 		return
 	}
-	reply := &carobfetchreply.RecordFetchReply{ProfilesRead: world.ProfilesRead}
-	for offset := message.RecordFetch.From; offset <= world.ProfilesRead && len(reply.Records) < carobfetchreply.MaxRecords; offset++ {
+	reply := &carobrecordfetchreply.RecordFetchReply{ProfilesRead: world.ProfilesRead}
+	for offset := message.RecordFetch.From; offset <= world.ProfilesRead && len(reply.Records) < carobrecordfetchreply.MaxRecords; offset++ {
 		record := world.RecentChanges.Get(offset)
 		if record == nil {
 			reply.Records, reply.Snapshot = nil, takeSnapshot(world)
--- a/pkg/carobcompaction/system.go
+++ b/pkg/carobcompaction/system.go
@@ -12,9 +12,9 @@
 	"encoding/json"
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobappend"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
+	"github.com/carobknot/carobknot/pkg/carobretriedappend"
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobstreambounds"
@@ -111,5 +111,5 @@
 	if err != nil {
 		return
 	}
-	world.Outbox.RetriedAppends = append(world.Outbox.RetriedAppends, carobappend.RetriedAppend{Stream: carobstream.Profiles, Data: data})
+	world.Outbox.RetriedAppends = append(world.Outbox.RetriedAppends, carobretriedappend.RetriedAppend{Stream: carobstream.Profiles, Data: data})
 }
--- a/pkg/carobejection/system.go
+++ b/pkg/carobejection/system.go
@@ -8,12 +8,12 @@
 import (
 	"time"
 
+	"github.com/carobknot/carobknot/pkg/carobattemptreply"
 	"github.com/carobknot/carobknot/pkg/carobaudit"
 	"github.com/carobknot/carobknot/pkg/carobgroup"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobload"
-	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
@@ -65,7 +65,7 @@
 
 // evaluate ejects or readmits a target after a reply. Replies of a target that is
 // ejected are ignored: their attempts were sent before.
-func evaluate(world *carobworld.World, now carobinstant.Instant, reply carobreply.AttemptReply, load *carobload.Load) {
+func evaluate(world *carobworld.World, now carobinstant.Instant, reply carobattemptreply.AttemptReply, load *carobload.Load) {
 	switch {
 	case load.EjectionEnd != carobinstant.Never:
 	case load.OnTrial && isFailure(reply):
@@ -80,7 +80,7 @@
 }
 
 // isFailure reports whether a reply counts against the target. Refusals do not.
-func isFailure(reply carobreply.AttemptReply) bool {
+func isFailure(reply carobattemptreply.AttemptReply) bool {
 	const firstError = 500
 	return reply.Kind == carobkind.None && reply.Status >= firstError ||
 		reply.Kind == carobkind.ConnectionLost || reply.Kind == carobkind.Unreachable
--- a/pkg/carobejection/system_test.go
+++ b/pkg/carobejection/system_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
+	"github.com/carobknot/carobknot/pkg/carobattemptreply"
 	"github.com/carobknot/carobknot/pkg/carobchange"
 	"github.com/carobknot/carobknot/pkg/carobgroup"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
@@ -16,7 +17,6 @@
 	"github.com/carobknot/carobknot/pkg/carobload"
 	"github.com/carobknot/carobknot/pkg/carobname"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
-	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobrevision"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 	"github.com/carobknot/carobknot/pkg/carobworld"
@@ -42,7 +42,7 @@
 
 // tickWithReply runs a tick with one reply of target a.
 func tickWithReply(world *carobworld.World, now carobinstant.Instant, status int) {
-	world.BeginTick(carobinbox.Inbox{AttemptReplies: []carobreply.AttemptReply{{Target: target("a"), Status: status}}})
+	world.BeginTick(carobinbox.Inbox{AttemptReplies: []carobattemptreply.AttemptReply{{Target: target("a"), Status: status}}})
 	NewSystem().Run(world, now)
 }
 
@@ -103,7 +103,7 @@
 // nothing of its health.
 func TestRefusalDoesNotEndTrial(t *testing.T) {
 	world := newWorld(map[string]carobload.Load{"a": {OnTrial: true}, "b": {Successes: 10}})
-	world.BeginTick(carobinbox.Inbox{AttemptReplies: []carobreply.AttemptReply{{Target: target("a"), Kind: carobkind.Busy}}})
+	world.BeginTick(carobinbox.Inbox{AttemptReplies: []carobattemptreply.AttemptReply{{Target: target("a"), Kind: carobkind.Busy}}})
 	NewSystem().Run(world, 1)
 	require.True(t, world.Loads.Get(target("a")).OnTrial)
 }
--- a/pkg/carobentry/rig_test.go
+++ b/pkg/carobentry/rig_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/carobknot/carobknot/pkg/carobarrival"
+	"github.com/carobknot/carobknot/pkg/carobattemptreply"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobentry"
@@ -26,7 +27,6 @@
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
-	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobrevision"
 	"github.com/carobknot/carobknot/pkg/carobrouting"
 	"github.com/carobknot/carobknot/pkg/carobservice"
@@ -110,7 +110,7 @@
 }
 
 func (r *rig) reply(attempt int, kind carobkind.Kind) {
-	r.step(carobinbox.Inbox{AttemptReplies: []carobreply.AttemptReply{{Job: r.job(attempt), Kind: kind}}})
+	r.step(carobinbox.Inbox{AttemptReplies: []carobattemptreply.AttemptReply{{Job: r.job(attempt), Kind: kind}}})
 }
 
 func (r *rig) fenceReply(attempt int, state carobjobstate.JobState) {
--- a/pkg/carobentry/route_test.go
+++ b/pkg/carobentry/route_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/carobknot/carobknot/pkg/carobarrival"
+	"github.com/carobknot/carobknot/pkg/carobattemptreply"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobduration"
 	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
-	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobroute"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobweightedservice"
@@ -45,7 +45,7 @@
 
 // replyStatus replies to an attempt with a target's answer of this HTTP status.
 func (r *rig) replyStatus(attempt, status int) {
-	r.step(carobinbox.Inbox{AttemptReplies: []carobreply.AttemptReply{{Job: r.job(attempt), Status: status}}})
+	r.step(carobinbox.Inbox{AttemptReplies: []carobattemptreply.AttemptReply{{Job: r.job(attempt), Status: status}}})
 }
 
 // Guards against a 404 for an existing route from a node that has no route table
--- a/pkg/carobentry/system.go
+++ b/pkg/carobentry/system.go
@@ -9,6 +9,7 @@
 	"github.com/samber/lo"
 
 	"github.com/carobknot/carobknot/pkg/carobarrival"
+	"github.com/carobknot/carobknot/pkg/carobattemptreply"
 	"github.com/carobknot/carobknot/pkg/carobcall"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobdecision"
@@ -22,7 +23,6 @@
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
-	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobroute"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobstage"
@@ -185,7 +185,7 @@
 
 // handleReply handles the reply to an attempt. It drops replies for unknown calls
 // and for attempts that have ended.
-func handleReply(world *carobworld.World, now carobinstant.Instant, reply carobreply.AttemptReply) {
+func handleReply(world *carobworld.World, now carobinstant.Instant, reply carobattemptreply.AttemptReply) {
 	call := world.Calls.Get(reply.Job.Call)
 	if call == nil || reply.Job.Attempt < 1 || reply.Job.Attempt > len(call.Attempts) {
 		return
@@ -217,14 +217,14 @@
 
 // isTargetRefusal reports whether a target's answer proves that it did not run the
 // call: a 503, if the profile says so. The body of such an answer is discarded.
-func isTargetRefusal(call *carobcall.Call, reply carobreply.AttemptReply) bool {
+func isTargetRefusal(call *carobcall.Call, reply carobattemptreply.AttemptReply) bool {
 	return reply.Kind == carobkind.None && call.Profile.NotRunOn503 && reply.Status == http.StatusServiceUnavailable
 }
 
 // retryFailedAnswer retries an idempotent call that a target answered with a 5xx
 // status, and reports whether it did. If no attempts, budget or time are left, the
 // caller gets the target's answer.
-func retryFailedAnswer(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, reply carobreply.AttemptReply) bool {
+func retryFailedAnswer(world *carobworld.World, now carobinstant.Instant, call *carobcall.Call, reply carobattemptreply.AttemptReply) bool {
 	if reply.Status < http.StatusInternalServerError || call.Route == nil || !mayRunAgain(call) || call.OpenAttempts() > 0 ||
 		call.PossibleRuns() >= call.Profile.Attempts || call.SLODeadline.Reached(now) || !world.RetryBudgetOf(call.Arrival.Service).TakeToken() {
 		return false
--- a/pkg/carobfold/system_test.go
+++ b/pkg/carobfold/system_test.go
@@ -10,7 +10,6 @@
 	"pgregory.net/rapid"
 
 	"github.com/carobknot/carobknot/pkg/carobchange"
-	"github.com/carobknot/carobknot/pkg/carobfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobfold"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
 	"github.com/carobknot/carobknot/pkg/caroblimits"
@@ -19,6 +18,7 @@
 	"github.com/carobknot/carobknot/pkg/caroboffset"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
+	"github.com/carobknot/carobknot/pkg/carobrecordfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobworld"
@@ -43,8 +43,8 @@
 	n.fold.Run(n.world, 1)
 }
 
-// receiveFetchReply runs a tick with records that another node sent.
-func (n *node) receiveFetchReply(reply carobfetchreply.RecordFetchReply) {
+// receiveRecordFetchReply runs a tick with records that another node sent.
+func (n *node) receiveRecordFetchReply(reply carobrecordfetchreply.RecordFetchReply) {
 	n.world.BeginTick(carobinbox.Inbox{Messages: []carobmessage.Message{{RecordFetchReply: &reply}}})
 	n.fold.Run(n.world, 1)
 }
@@ -120,7 +120,7 @@
 	n.read(changeRecord(0, "rota", -1))
 	n.read(changeRecord(2, "rota", 1), changeRecord(3, "rota", 2))
 	require.EqualValues(t, 0, n.world.ProfilesRead, "the change at 1 may have come into force")
-	n.receiveFetchReply(carobfetchreply.RecordFetchReply{Records: []carobrecord.Record{changeRecord(1, "rota", 0)}, ProfilesRead: 3})
+	n.receiveRecordFetchReply(carobrecordfetchreply.RecordFetchReply{Records: []carobrecord.Record{changeRecord(1, "rota", 0)}, ProfilesRead: 3})
 	require.Equal(t, map[carobname.Name]caroboffset.Offset{"rota": 3}, n.inForce())
 }
 
@@ -147,7 +147,7 @@
 	n.read(changeRecord(0, "rota", -1), changeRecord(1, "rota", 0))
 	before := n.world.TakeSnapshot()
 	n.read(changeRecord(2, "rota", 1))
-	n.receiveFetchReply(carobfetchreply.RecordFetchReply{Snapshot: &before, ProfilesRead: 1})
+	n.receiveRecordFetchReply(carobrecordfetchreply.RecordFetchReply{Snapshot: &before, ProfilesRead: 1})
 	require.Equal(t, map[carobname.Name]caroboffset.Offset{"rota": 2}, n.inForce())
 	require.EqualValues(t, 2, n.world.ProfilesRead)
 }
--- a/pkg/carobhedging/system.go
+++ b/pkg/carobhedging/system.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobattempt"
+	"github.com/carobknot/carobknot/pkg/carobattemptreply"
 	"github.com/carobknot/carobknot/pkg/carobcall"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobguarantee"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroblatency"
-	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobschedule"
 	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobservice"
@@ -69,7 +69,7 @@
 // recordLatency adds the latencies of an answered call's attempts. Attempts
 // that are cancelled because of the answer count with the time until now, which
 // is a lower bound of their latency.
-func (s *System) recordLatency(world *carobworld.World, now carobinstant.Instant, reply carobreply.AttemptReply) {
+func (s *System) recordLatency(world *carobworld.World, now carobinstant.Instant, reply carobattemptreply.AttemptReply) {
 	call := world.Calls.Get(reply.Job.Call)
 	if call == nil || call.Stage != carobstage.Delivering {
 		return
--- a/pkg/carobinbox/inbox.go
+++ b/pkg/carobinbox/inbox.go
@@ -5,6 +5,7 @@
 	"github.com/carobknot/carobknot/pkg/carobannouncement"
 	"github.com/carobknot/carobknot/pkg/carobappendresult"
 	"github.com/carobknot/carobknot/pkg/carobarrival"
+	"github.com/carobknot/carobknot/pkg/carobattemptreply"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobcheckresult"
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
@@ -13,7 +14,6 @@
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
-	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 )
@@ -56,7 +56,7 @@
 	// Entry and routing.
 
 	Arrivals       []carobarrival.Arrival
-	AttemptReplies []carobreply.AttemptReply
+	AttemptReplies []carobattemptreply.AttemptReply
 	Deliveries     []carobdelivery.Delivery
 	// Disconnects are the calls whose callers have disconnected.
 	Disconnects []carobcallid.ID
--- a/pkg/carobjoining/system.go
+++ b/pkg/carobjoining/system.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobaddress"
-	"github.com/carobknot/carobknot/pkg/carobappend"
 	"github.com/carobknot/carobknot/pkg/carobgossip"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobliveness"
@@ -19,6 +18,7 @@
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobpeer"
 	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
+	"github.com/carobknot/carobknot/pkg/carobretriedappend"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
@@ -115,7 +115,7 @@
 	if err != nil {
 		return
 	}
-	world.Outbox.RetriedAppends = append(world.Outbox.RetriedAppends, carobappend.RetriedAppend{Stream: carobstream.Nodes, Data: data})
+	world.Outbox.RetriedAppends = append(world.Outbox.RetriedAppends, carobretriedappend.RetriedAppend{Stream: carobstream.Nodes, Data: data})
 }
 
 // contactUnknown contacts a random sample of the seeds and logged addresses that belong
--- a/pkg/carobmessage/message.go
+++ b/pkg/carobmessage/message.go
@@ -10,13 +10,13 @@
 	"github.com/carobknot/carobknot/pkg/carobdigest"
 	"github.com/carobknot/carobknot/pkg/carobfence"
 	"github.com/carobknot/carobknot/pkg/carobfencereply"
-	"github.com/carobknot/carobknot/pkg/carobfetch"
-	"github.com/carobknot/carobknot/pkg/carobfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobgossip"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobloadprobe"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
+	"github.com/carobknot/carobknot/pkg/carobrecordfetch"
+	"github.com/carobknot/carobknot/pkg/carobrecordfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobroutefetch"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
@@ -48,8 +48,8 @@
 	// Digest lists the versions of the descriptions in one partition of the sender's peer table.
 	Digest *carobdigest.Digest `json:"digest,omitempty"`
 	// RecordFetch requests profile records, and RecordFetchReply carries them.
-	RecordFetch      *carobfetch.RecordFetch           `json:"fetch,omitempty"`
-	RecordFetchReply *carobfetchreply.RecordFetchReply `json:"supply,omitempty"`
+	RecordFetch      *carobrecordfetch.RecordFetch           `json:"fetch,omitempty"`
+	RecordFetchReply *carobrecordfetchreply.RecordFetchReply `json:"supply,omitempty"`
 
 	// RouteFetch requests the route table, and RouteTable carries it.
 	RouteFetch *carobroutefetch.RouteFetch `json:"routefetch,omitempty"`
--- a/pkg/caroboutbox/outbox.go
+++ b/pkg/caroboutbox/outbox.go
@@ -4,7 +4,6 @@
 import (
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobappend"
 	"github.com/carobknot/carobknot/pkg/carobappendrequest"
 	"github.com/carobknot/carobknot/pkg/carobaudit"
 	"github.com/carobknot/carobknot/pkg/carobchangeresult"
@@ -16,6 +15,7 @@
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobrefusal"
 	"github.com/carobknot/carobknot/pkg/carobreport"
+	"github.com/carobknot/carobknot/pkg/carobretriedappend"
 	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobstart"
 	"github.com/carobknot/carobknot/pkg/carobsubscription"
@@ -29,7 +29,7 @@
 
 	// Membership and the log.
 
-	RetriedAppends []carobappend.RetriedAppend
+	RetriedAppends []carobretriedappend.RetriedAppend
 	// ChangeResults are the results of the profile changes that were applied.
 	ChangeResults []carobchangeresult.ChangeResult
 	// ReadingStore is true while this node reads the operator's records from the store.
--- a/pkg/carobpause/system_test.go
+++ b/pkg/carobpause/system_test.go
@@ -28,8 +28,8 @@
 )
 
 const (
-	tickPeriod = 200 * time.Millisecond
-	threshold  = time.Second
+	maxTickInterval = 200 * time.Millisecond
+	threshold       = time.Second
 )
 
 // Guards against a node that, after a pause, starts jobs which were queued before the
@@ -38,10 +38,10 @@
 	for name, c := range map[string]struct {
 		gap    time.Duration
 		paused bool
-	}{"in time": {tickPeriod, false}, "paused": {threshold + 1, true}} {
+	}{"in time": {maxTickInterval, false}, "paused": {threshold + 1, true}} {
 		t.Run(name, func(t *testing.T) {
 			world := newWorld()
-			pause := carobpause.NewSystem(carobpause.Config{MaxTickInterval: tickPeriod, Threshold: threshold})
+			pause := carobpause.NewSystem(carobpause.Config{MaxTickInterval: maxTickInterval, Threshold: threshold})
 			step := func(now carobinstant.Instant, in carobinbox.Inbox) {
 				world.BeginTick(in)
 				pause.Run(world, now)
@@ -50,7 +50,7 @@
 			now := carobinstant.Instant(1)
 			step(now, carobinbox.Inbox{Offers: []caroboffer.Offer{offer(1), offer(2)}})
 			require.Len(t, world.Outbox.Starts, 1)
-			require.True(t, world.Wake().Reached(now.Add(tickPeriod)), "an idle node schedules its next tick")
+			require.True(t, world.Wake().Reached(now.Add(maxTickInterval)), "an idle node schedules its next tick")
 
 			now = now.Add(c.gap)
 			step(now, carobinbox.Inbox{
--- a/pkg/carobfetch/fetch.go
+++ b/pkg/carobrecordfetch/recordfetch.go
@@ -1,5 +1,5 @@
-// Package carobfetch holds the message that requests profile records from another node.
-package carobfetch
+// Package carobrecordfetch holds the message that requests profile records from another node.
+package carobrecordfetch
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobkind"
@@ -15,7 +15,7 @@
 // Check returns an error of kind Invalid if the offset is negative.
 func (f RecordFetch) Check() error {
 	if f.From < 0 {
-		return carobkind.New(carobkind.Invalid, "fetch: offset %d is negative", f.From)
+		return carobkind.New(carobkind.Invalid, "record fetch: offset %d is negative", f.From)
 	}
 	return nil
 }
--- a/pkg/carobfetchreply/fetchreply.go
+++ b/pkg/carobrecordfetchreply/recordfetchreply.go
@@ -1,5 +1,5 @@
-// Package carobfetchreply holds the message that sends profile records to another node.
-package carobfetchreply
+// Package carobrecordfetchreply holds the message that sends profile records to another node.
+package carobrecordfetchreply
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobkind"
@@ -26,11 +26,11 @@
 // or the snapshot is out of bounds.
 func (f RecordFetchReply) Check() error {
 	if len(f.Records) > MaxRecords {
-		return carobkind.New(carobkind.Invalid, "fetch reply: more than %d records", MaxRecords)
+		return carobkind.New(carobkind.Invalid, "record fetch reply: more than %d records", MaxRecords)
 	}
 	for i, rc := range f.Records {
 		if rc.Offset < 0 || rc.Offset != f.Records[0].Offset+caroboffset.Offset(i) {
-			return carobkind.New(carobkind.Invalid, "fetch reply: record %d is out of order", rc.Offset)
+			return carobkind.New(carobkind.Invalid, "record fetch reply: record %d is out of order", rc.Offset)
 		}
 	}
 	if f.Snapshot != nil {
--- a/pkg/carobappend/append.go
+++ b/pkg/carobretriedappend/retriedappend.go
@@ -1,9 +1,9 @@
-// Package carobappend holds the effect of appending a record with retries.
-package carobappend
+// Package carobretriedappend holds the effect of an append that is retried.
+package carobretriedappend
 
 import "github.com/carobknot/carobknot/pkg/carobstream"
 
-// RetriedAppend requests that a record is appended. It is retried while the log is
+// RetriedAppend requests that a record is appended. The append is retried while the log is
 // unavailable, so the record may be in the log more than once.
 type RetriedAppend struct {
 	Stream carobstream.Stream
--- a/pkg/carobrouting/replies.go
+++ b/pkg/carobrouting/replies.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"time"
 
+	"github.com/carobknot/carobknot/pkg/carobattemptreply"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/carobload"
-	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobstage"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
 	"github.com/carobknot/carobknot/pkg/carobworld"
@@ -19,7 +19,7 @@
 const outcomeDecay = time.Second
 
 // recordReply updates the load of a target from a reply to an attempt.
-func recordReply(world *carobworld.World, now carobinstant.Instant, reply carobreply.AttemptReply) {
+func recordReply(world *carobworld.World, now carobinstant.Instant, reply carobattemptreply.AttemptReply) {
 	load := loadOf(world, reply.Target)
 	if load == nil {
 		return
@@ -35,7 +35,7 @@
 
 // supersededByAnswer reports whether the attempt was cancelled because another
 // attempt of the call was answered first.
-func supersededByAnswer(world *carobworld.World, reply carobreply.AttemptReply) bool {
+func supersededByAnswer(world *carobworld.World, reply carobattemptreply.AttemptReply) bool {
 	call := world.Calls.Get(reply.Job.Call)
 	return reply.Kind == carobkind.Cancelled && call != nil && call.Stage == carobstage.Delivering
 }
@@ -44,7 +44,7 @@
 // since it does not depend on the target's health. An attempt that was
 // cancelled because another target answered first counts as a failure: a frozen
 // target shows itself in no other way.
-func recordOutcome(load *carobload.Load, now carobinstant.Instant, reply carobreply.AttemptReply, superseded bool) {
+func recordOutcome(load *carobload.Load, now carobinstant.Instant, reply carobattemptreply.AttemptReply, superseded bool) {
 	decayOutcomes(load, now)
 	switch {
 	case reply.Kind == carobkind.None && reply.Status < http.StatusInternalServerError:
--- a/test/capacity/cluster_test.go
+++ b/test/capacity/cluster_test.go
@@ -15,7 +15,6 @@
 	"github.com/carobknot/carobknot/internal/carobcodec"
 	"github.com/carobknot/carobknot/pkg/carobaddress"
 	"github.com/carobknot/carobknot/pkg/carobannouncement"
-	"github.com/carobknot/carobknot/pkg/carobappend"
 	"github.com/carobknot/carobknot/pkg/carobcentre"
 	"github.com/carobknot/carobknot/pkg/carobcore"
 	"github.com/carobknot/carobknot/pkg/carobinbox"
@@ -29,6 +28,7 @@
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 	"github.com/carobknot/carobknot/pkg/carobregion"
+	"github.com/carobknot/carobknot/pkg/carobretriedappend"
 	"github.com/carobknot/carobknot/pkg/carobservice"
 	"github.com/carobknot/carobknot/pkg/carobstream"
 	"github.com/carobknot/carobknot/pkg/carobstreambounds"
@@ -86,7 +86,7 @@
 	// audits counts audits by component and new value.
 	audits map[string]int
 	// pendingAppends holds the appends that wait for the log.
-	pendingAppends []carobappend.RetriedAppend
+	pendingAppends []carobretriedappend.RetriedAppend
 }
 
 // delivery is an input of a node at an instant. Deliveries of one instant arrive in the
--- a/test/fuzz/decoders_test.go
+++ b/test/fuzz/decoders_test.go
@@ -17,12 +17,12 @@
 	"github.com/carobknot/carobknot/pkg/carobannouncement"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobchange"
-	"github.com/carobknot/carobknot/pkg/carobfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobgossip"
 	"github.com/carobknot/carobknot/pkg/carobmember"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/carobprofile"
 	"github.com/carobknot/carobknot/pkg/carobreadiness"
+	"github.com/carobknot/carobknot/pkg/carobrecordfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
 	"github.com/carobknot/carobknot/pkg/carobtarget"
 	"github.com/carobknot/carobknot/pkg/carobtargetid"
@@ -142,12 +142,12 @@
 	codec, err := carobcodec.NewCodec()
 	require.NoError(f, err)
 	base := carobmessage.Message{From: "n1", Incarnation: 7, ReplyTo: "10.0.0.1:7"}
-	gossip, fetchReply := base, base
+	gossip, recordFetchReply := base, base
 	gossip.Gossip = &carobgossip.Gossip{Members: []carobmember.Member{{Node: "n2", Region: "r", Centre: "c", PeerAddress: "10.0.0.2:7", Targets: []carobtarget.Target{
 		{ID: carobtargetid.ID{Service: "a", Name: "b"}, Node: "n2", Profile: "a", Slots: 1, Connections: 1, Readiness: carobreadiness.Ready},
 	}}}}
-	fetchReply.RecordFetchReply = &carobfetchreply.RecordFetchReply{Snapshot: &carobsnapshot.Snapshot{LastOffset: 3}}
-	for _, message := range []carobmessage.Message{base, gossip, fetchReply, fullMessage()} {
+	recordFetchReply.RecordFetchReply = &carobrecordfetchreply.RecordFetchReply{Snapshot: &carobsnapshot.Snapshot{LastOffset: 3}}
+	for _, message := range []carobmessage.Message{base, gossip, recordFetchReply, fullMessage()} {
 		data, err := codec.Marshal(message)
 		require.NoError(f, err)
 		f.Add(data)
--- a/test/fuzz/entry_test.go
+++ b/test/fuzz/entry_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/carobknot/carobknot/pkg/carobarrival"
+	"github.com/carobknot/carobknot/pkg/carobattemptreply"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobconclusion"
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
@@ -13,7 +14,6 @@
 	"github.com/carobknot/carobknot/pkg/carobkind"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
 	"github.com/carobknot/carobknot/pkg/caroboutbox"
-	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobsend"
 	"github.com/carobknot/carobknot/pkg/carobstoredanswer"
@@ -142,7 +142,7 @@
 		sent.ended, sent.response = true, body
 		n.after(0, func() {
 			n.enqueue(func(in *carobinbox.Inbox) {
-				in.AttemptReplies = append(in.AttemptReplies, carobreply.AttemptReply{Job: send.Job, Kind: kind, Status: status, Report: report})
+				in.AttemptReplies = append(in.AttemptReplies, carobattemptreply.AttemptReply{Job: send.Job, Kind: kind, Status: status, Report: report})
 			})
 		})
 	}
