--- a/internal/carobadmitter/admitter.go
+++ b/internal/carobadmitter/admitter.go
@@ -164,8 +164,8 @@
 		return nil, err
 	}
 	finish := carobfinish.Finish{Job: start.Job, Status: answer.Response.StatusCode()}
-	kind, pressure := a.config.Dialect.Classify(answer.Response)
-	finish.TargetLoad = pressure
+	kind, load := a.config.Dialect.Classify(answer.Response)
+	finish.TargetLoad = load
 	if limit := int(a.config.MaxBufferedAnswer); limit > 0 && answer.Length <= limit {
 		if errBuffer := answer.Buffer(limit); errBuffer != nil && kind == carobkind.None {
 			kind = carobkind.ConnectionLost
--- a/internal/carobadmitter/health_check.go
+++ b/internal/carobadmitter/health_check.go
@@ -31,8 +31,8 @@
 	if err != nil {
 		return nil
 	}
-	if _, pressure := a.config.Dialect.Classify(answer.Response); pressure != nil {
-		return pressure
+	if _, load := a.config.Dialect.Classify(answer.Response); load != nil {
+		return load
 	}
 	return &carobtargetload.TargetLoad{}
 }
--- a/internal/carobadmitter/incoming_job.go
+++ b/internal/carobadmitter/incoming_job.go
@@ -39,7 +39,8 @@
 	acquired atomic.Bool
 }
 
-// acquire reports whether the caller is the first one, which runs or ends the job.
+// acquire reports whether this is the first call. Only the first caller may run or end
+// the job.
 func (j *incomingJob) acquire() bool {
 	return j.acquired.CompareAndSwap(false, true)
 }
--- a/internal/carobadmitter/native_dialect.go
+++ b/internal/carobadmitter/native_dialect.go
@@ -30,7 +30,7 @@
 }
 
 // PrepareHealthCheck leaves the request empty: these targets have no health check that
-// reports how slow their VM is.
+// reports their load or how slow their VM is.
 func (nativeDialect) PrepareHealthCheck(*fasthttp.Request, carobaddress.Address) {}
 
 // ParseIdentity returns no name and no slots, since these targets do not identify
--- a/internal/carobadmitter/serve.go
+++ b/internal/carobadmitter/serve.go
@@ -32,8 +32,8 @@
 }
 
 // HandleExpect handles the header of an attempt with "Expect: 100-continue". It
-// returns 100 once the job is started, and otherwise the status of the refusal; the
-// entry node then sends no body and can send it to another target.
+// returns 100 once the job is started, and otherwise the status of the refusal. After a
+// refusal the entry node sends no body, so it can send the body to another target.
 func (a *Admitter) HandleExpect(ctx *fasthttp.RequestCtx) int {
 	job, err := a.receive(ctx)
 	if err != nil {
--- a/internal/carobclaimlog/claimlog.go
+++ b/internal/carobclaimlog/claimlog.go
@@ -27,7 +27,8 @@
 	Logger  *logrus.Entry
 }
 
-// ClaimLog carries out the appends and subscriptions of the home of idempotency keys.
+// ClaimLog carries out the appends and subscriptions that the control goroutine requests
+// for the shards of idempotency keys of which this node is the home.
 type ClaimLog struct {
 	config Config
 	// ctx ends all appends and tails.
@@ -75,8 +76,8 @@
 	go tail.Run(ctx)
 }
 
-// appendBatch makes one attempt to append a batch and posts the result. After an
-// uncertain one, the control goroutine finds out from the records of the stream
+// appendBatch tries once to append a batch and posts the result. If the result is
+// AppendUncertain, the control goroutine determines from the records of the stream
 // whether the batch was appended.
 func (c *ClaimLog) appendBatch(request carobappendrequest.AppendRequest) {
 	_, err := c.config.Log.Append(c.ctx, request.Stream, request.Data)
--- a/internal/carobcontrol/control.go
+++ b/internal/carobcontrol/control.go
@@ -91,12 +91,12 @@
 // effects to the executors.
 func (c *Control) tick(inbox carobinbox.Inbox) {
 	out := c.config.Core.Tick(c.config.Timer.Now(), inbox)
-	for _, o := range c.executors {
-		o.Execute(out)
+	for _, e := range c.executors {
+		e.Execute(out)
 	}
 }
 
-// takeQueries removes and returns the queries that wait now.
+// takeQueries removes and returns the waiting queries. It does not block.
 func (c *Control) takeQueries() []func(world *carobworld.World) {
 	var queries []func(world *carobworld.World)
 	for {
--- a/internal/carobpool/pool.go
+++ b/internal/carobpool/pool.go
@@ -65,7 +65,7 @@
 	MatchesRequest func(req *fasthttp.Request, resp *fasthttp.Response) bool
 }
 
-// Pool keeps idle connections to several addresses.
+// Pool sends requests and keeps idle connections to several addresses.
 type Pool struct {
 	config Config
 	dialer net.Dialer
@@ -275,7 +275,8 @@
 }
 
 // idleTimeoutOf returns how long the connection of a response may stay idle: half of
-// the time-out in its Keep-Alive header, and Config.IdleTimeout at most or without one.
+// the time-out in its Keep-Alive header, but at most Config.IdleTimeout. Without that
+// header it is Config.IdleTimeout.
 func (p *Pool) idleTimeoutOf(resp *fasthttp.Response) time.Duration {
 	_, text, found := strings.Cut(string(resp.Header.Peek("Keep-Alive")), "timeout=")
 	text, _, _ = strings.Cut(text, ",")
--- a/internal/carobpool/pool_test.go
+++ b/internal/carobpool/pool_test.go
@@ -355,14 +355,14 @@
 }
 
 // TestFailedBodyIsNotCompleted guards against a server that takes the first part of a
-// body for the whole when reading the rest from its source fails.
+// body for the complete body when reading the rest from its source fails.
 func TestFailedBodyIsNotCompleted(t *testing.T) {
 	for name, length := range map[string]int{"length": 100_000, "chunks": -1} {
 		t.Run(name, func(t *testing.T) {
-			seen := make(chan error, 1)
+			readError := make(chan error, 1)
 			server := startServer(t, func(_ net.Conn, req *http.Request, _, _ int64) bool {
 				_, err := io.Copy(io.Discard, req.Body)
-				seen <- err
+				readError <- err
 				return false
 			})
 			req := newRequest(fasthttp.MethodPost, "/1")
@@ -370,7 +370,7 @@
 			req.SetBodyStream(broken, length)
 			_, _, err := roundTrip(t, newPool(t, nil), server, req)
 			require.Equal(t, carobkind.ConnectionLost, carobkind.Of(err))
-			require.Error(t, <-seen)
+			require.Error(t, <-readError)
 		})
 	}
 }
@@ -397,8 +397,8 @@
 	require.Error(t, err)
 }
 
-// TestUnreachable checks that the error for a connection that cannot be opened says
-// that the call did not run.
+// TestUnreachable checks that the error for a connection that cannot be opened has a
+// kind which means that the call did not run.
 func TestUnreachable(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/carobtail/tail.go
+++ b/internal/carobtail/tail.go
@@ -49,7 +49,7 @@
 
 // Run posts the records of the stream, from the first retained one on, until ctx
 // is done. The first read does not wait for records, so that the control goroutine
-// learns the bounds of an empty stream at once.
+// receives the bounds of an empty stream at once.
 func (t *Tail) Run(ctx context.Context) {
 	next := caroboffset.Offset(0)
 	failing, wait := false, time.Duration(0)
@@ -75,7 +75,7 @@
 }
 
 // logChange logs the first of several failed reads, and the first read that
-// succeeds after them. failing holds whether the read before failed.
+// succeeds after them. failing holds whether the previous read failed.
 func (t *Tail) logChange(failing *bool, err error) {
 	if *failing == (err != nil) {
 		return
--- a/internal/carobtransport/cost_test.go
+++ b/internal/carobtransport/cost_test.go
@@ -50,10 +50,10 @@
 	return n, err
 }
 
-// TestLoadMessageCostsLessThanItsPrice guards against probes and reports that exceed
+// TestLoadMessageTakesFewerBytesThanCharged guards against probes and reports that exceed
 // the byte limit of probing. That happens if a message and its response take more bytes
 // on the wire, in both directions together, than the limiter charges for the message.
-func TestLoadMessageCostsLessThanItsPrice(t *testing.T) {
+func TestLoadMessageTakesFewerBytesThanCharged(t *testing.T) {
 	codec, err := carobcodec.NewCodec()
 	require.NoError(t, err)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/carobtransport/messages_test.go
+++ b/internal/carobtransport/messages_test.go
@@ -79,9 +79,9 @@
 	require.Len(t, receiver.take(t), 1)
 }
 
-// TestInvalidMessagesAreDropped guards against an invalid message that reaches the
+// TestInvalidMessagesAreRejected guards against an invalid message that reaches the
 // control goroutine. The valid messages of the same request must still be received.
-func TestInvalidMessagesAreDropped(t *testing.T) {
+func TestInvalidMessagesAreRejected(t *testing.T) {
 	sender, receiver := newEndpoint(t), newEndpoint(t)
 	invalid := fetch(sender, receiver.address)
 	invalid.Fetch = &carobfetch.Fetch{From: -1}
--- a/internal/carobtransport/transport.go
+++ b/internal/carobtransport/transport.go
@@ -33,7 +33,7 @@
 	idleTimeout = 30 * time.Second
 	// maxClients is the largest number of addresses for which a client is kept.
 	maxClients = 4096
-	// maxRequestSize is the largest size of a request, in bytes.
+	// maxRequestSize is the size of the largest request that is accepted, in bytes.
 	maxRequestSize = 4 << 20
 )
 
@@ -54,7 +54,7 @@
 	// pending counts the requests in flight.
 	pending sync.WaitGroup
 	// dropped counts the messages that were not sent because too many requests to their
-	// node were in flight; broken counts the received messages that were rejected as
+	// node were in flight; rejected counts the received messages that were rejected as
 	// invalid.
 	dropped, rejected atomic.Uint64
 	// clients has a client for each address that messages were sent to.
@@ -157,8 +157,8 @@
 	t.pending.Done()
 }
 
-// send sends a batch to one node. Messages may get lost; where that matters, the
-// systems that send them send them again.
+// send sends a batch to one node. It ignores errors: messages may get lost, and systems
+// that need a message delivered repeat it.
 func (t *Transport) send(address carobaddress.Address, batch *carobbatch.Batch) {
 	defer t.release(address)
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
