--- a/internal/caroblogclient/logclient.go
+++ b/internal/caroblogclient/logclient.go
@@ -22,7 +22,7 @@
 type Config struct {
 	// URL is the base URL of the log.
 	URL string
-	// Timeout is the timeout of a request, not counting the time for which Read
+	// Timeout is the time-out of a request, not counting the time for which Read
 	// waits for records.
 	Timeout time.Duration
 }
@@ -55,7 +55,7 @@
 }
 
 // Read returns the records of a stream from an offset on. If there are none yet,
-// the log holds the request for up to wait until one is appended.
+// the log holds the request until one is appended, for at most the duration wait.
 func (c *LogClient) Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (caroblogpage.LogPage, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout+wait)
 	defer cancel()
--- a/internal/caroblogwriter/buffer.go
+++ b/internal/caroblogwriter/buffer.go
@@ -19,8 +19,8 @@
 	maxSize int
 	// lines holds the entries that are not in a batch yet.
 	lines [][]byte
-	// pendingSince is when due first found something to append since the newest batch
-	// was made, or Never.
+	// pendingSince is when due was first called with something to append after the newest
+	// batch was made, or Never.
 	pendingSince carobinstant.Instant
 	// batches are ordered from the oldest to the newest; size is their total size in
 	// bytes.
@@ -38,7 +38,7 @@
 	lastAppend carobinstant.Instant
 }
 
-// batch is a number of entries, compressed.
+// batch holds compressed entries.
 type batch struct {
 	data    []byte
 	entries int
@@ -52,7 +52,7 @@
 	// readers recognise one that was appended twice.
 	Number  uint64 `json:"pack"`
 	Entries int    `json:"entries"`
-	// Dropped is how many entries were dropped since the batch before.
+	// Dropped is how many entries were dropped since the previous batch.
 	Dropped int `json:"lost"`
 }
 
@@ -76,7 +76,7 @@
 	}
 }
 
-// compress makes a batch of the entries that are in none yet. While the batches
+// compress makes a batch of the entries that are not in a batch yet. While the batches
 // exceed maxSize, it drops the oldest that is not being appended.
 func (b *buffer) compress() {
 	if len(b.lines) == 0 {
@@ -138,12 +138,12 @@
 	return data
 }
 
-// endAppend removes the batches of the last record if it was appended; otherwise
-// they stay for the next attempt.
+// endAppend removes the batches of the last record if the record was appended.
+// Otherwise the batches stay for the next attempt.
 func (b *buffer) endAppend(appended bool) {
 	if appended {
-		for _, p := range b.batches[:b.inFlight] {
-			b.size -= len(p.data)
+		for _, appendedBatch := range b.batches[:b.inFlight] {
+			b.size -= len(appendedBatch.data)
 		}
 		b.batches = append([]batch(nil), b.batches[b.inFlight:]...)
 	}
--- a/internal/caroblogwriter/logwriter.go
+++ b/internal/caroblogwriter/logwriter.go
@@ -4,7 +4,7 @@
 // The log takes several hundred appends a second from all nodes together. Hops and
 // audit entries are therefore buffered, and each stream gets one append in 5 s, or
 // one within 200 ms if there was none for that long. While the log is unavailable
-// they are kept, up to a limit; the entries dropped beyond it are counted, and the
+// entries are kept up to a limit. Beyond it the oldest are dropped and counted, and the
 // next record holds the count. An append whose response is lost is repeated, so a
 // batch may be in the log twice; readers recognise it by its number.
 package caroblogwriter
@@ -64,7 +64,7 @@
 	mutex      sync.Mutex
 	// buffers holds the entries of each buffered stream.
 	buffers map[carobstream.Stream]*buffer
-	// records holds the newest record that a system has for each stream, until it is
+	// records holds the newest record of a system for each stream, until the record is
 	// appended.
 	records map[carobstream.Stream][]byte
 	// wake holds one element while there may be something to append.
@@ -150,8 +150,8 @@
 	w.write(ctx, true)
 }
 
-// write makes the appends that are due, or all that there are, and returns when the
-// next one is due, or Never.
+// write makes the appends that are due, or with all set one append for every stream that
+// has entries. It returns when the next append is due, or Never.
 func (w *LogWriter) write(ctx context.Context, all bool) carobinstant.Instant {
 	w.writeMutex.Lock()
 	defer w.writeMutex.Unlock()
--- a/internal/caroblogwriter/logwriter_test.go
+++ b/internal/caroblogwriter/logwriter_test.go
@@ -99,8 +99,9 @@
 	return &caroboutbox.Outbox{Hops: make([]carobhop.Hop, n)}
 }
 
-// Guards against hops or audit entries that never reach the log, and against local
-// audit entries, which the log has already, being appended again.
+// TestHopsAndAuditEntriesAreAppended guards against hops or audit entries that never
+// reach the log, and against local audit entries, which the log has already, being
+// appended again.
 func TestHopsAndAuditEntriesAreAppended(t *testing.T) {
 	log := newFakeLog()
 	writer, lines := newWriter(t, log)
@@ -119,8 +120,8 @@
 	require.Equal(t, 1, entries, "a local audit entry was appended to the log")
 }
 
-// Guards against an append for each tick, which would exceed the several hundred
-// appends a second that the log takes from all nodes.
+// TestManyHopsShareOneAppend guards against an append for each tick, which would exceed
+// the several hundred appends a second that the log takes from all nodes.
 func TestManyHopsShareOneAppend(t *testing.T) {
 	log := newFakeLog()
 	writer, _ := newWriter(t, log)
@@ -133,8 +134,8 @@
 	require.Equal(t, 5000, entries)
 }
 
-// Guards against the loss of entries, as long as they are within the limit, when
-// appends fail.
+// TestEntriesAreKeptWhileTheLogIsUnavailable guards against the loss of entries, as
+// long as they are within the limit, when appends fail.
 func TestEntriesAreKeptWhileTheLogIsUnavailable(t *testing.T) {
 	log := newFakeLog()
 	writer, _ := newWriter(t, log)
@@ -150,9 +151,10 @@
 	require.Zero(t, lost)
 }
 
-// Guards against unbounded memory while the log is unavailable: entries beyond the
-// limit are dropped, the oldest first, and the next record holds their count. The
-// traces are random so that they do not compress below the limit.
+// TestOldestEntriesAreDroppedAndCountedBeyondTheLimit guards against unbounded memory
+// while the log is unavailable: entries beyond the limit are dropped, the oldest first,
+// and the next record holds their count. The traces are random so that they do not
+// compress below the limit.
 func TestOldestEntriesAreDroppedAndCountedBeyondTheLimit(t *testing.T) {
 	log := newFakeLog()
 	writer, _ := newWriter(t, log)
@@ -186,18 +188,19 @@
 	}
 }
 
-// Guards against a failed append of a system's record that is not repeated, and
-// against one that is repeated although a newer record has replaced it.
+// TestNewestRecordOfAStreamIsRetried guards against a failed append of a system's
+// record that is not repeated, and against one that is repeated although a newer record
+// has replaced it.
 func TestNewestRecordOfAStreamIsRetried(t *testing.T) {
 	log := newFakeLog()
 	writer, _ := newWriter(t, log)
 	log.setUnavailable(true)
-	order := func(data string) *caroboutbox.Outbox {
+	outboxWith := func(data string) *caroboutbox.Outbox {
 		return &caroboutbox.Outbox{Appends: []carobappend.Append{{Stream: carobstream.Nodes, Data: []byte(data)}}}
 	}
-	writer.Execute(order("old"))
+	writer.Execute(outboxWith("old"))
 	writer.Flush(t.Context())
-	writer.Execute(order("new"))
+	writer.Execute(outboxWith("new"))
 	go writer.Run(t.Context())
 	log.setUnavailable(false)
 	require.Equal(t, carobstream.Nodes, <-log.appended)
--- a/internal/carobnode/node.go
+++ b/internal/carobnode/node.go
@@ -53,7 +53,7 @@
 	Dialect dialect
 	Store   store
 	// LocalTarget describes a target that may already run on the VM; a health check
-	// finds out its name and slots. No health check is sent if the address is empty.
+	// determines its name and slots. No health check is sent if the address is empty.
 	LocalTarget carobannouncement.Announcement
 }
 
@@ -92,16 +92,16 @@
 	peerListener  net.Listener
 	adminListener net.Listener
 	injector      do.Injector
-	// leaving is true once a graceful shutdown has begun.
-	leaving atomic.Bool
+	// shuttingDown is true once a graceful shutdown has begun.
+	shuttingDown atomic.Bool
 	// stopped is closed when the control goroutine reports that a graceful shutdown is
 	// complete.
 	stopped chan struct{}
 }
 
 const (
-	// failureLines is the largest number of log lines a second for failed calls.
-	failureLines = 200
+	// maxFailureLines is the largest number of log lines a second for failed calls.
+	maxFailureLines = 200
 	// logTimeout is the time-out of a request to the platform's log.
 	logTimeout = 2 * time.Second
 	// protocolDetectionTimeout is how long a new connection to the peer address may
@@ -118,7 +118,7 @@
 	// without traffic.
 	keepAliveInterval = 500 * time.Millisecond
 	// maxReuseAge is the longest time that a connection may have been idle to get a
-	// call which must not run twice.
+	// call which must not run twice. The peer may have dropped an older one silently.
 	maxReuseAge = time.Second
 	// maxBufferedResponse is the size of the largest response body that is read to its
 	// end before the response is forwarded, in bytes.
@@ -191,7 +191,7 @@
 func (n *Node) Ready(ctx context.Context) bool {
 	ready := false
 	err := do.MustInvoke[*carobcontrol.Control](n.injector).Query(ctx, func(world *carobworld.World) {
-		ready = world.RouteTable != nil && !n.leaving.Load()
+		ready = world.RouteTable != nil && !n.shuttingDown.Load()
 	})
 	return err == nil && ready
 }
@@ -303,7 +303,7 @@
 func (n *Node) shutDown(ctx context.Context) {
 	logger := n.config.Logger.WithField("node", n.config.Settings.Name)
 	logger.Info("node: shutting down")
-	n.leaving.Store(true)
+	n.shuttingDown.Store(true)
 	mailbox := do.MustInvoke[*carobmailbox.Mailbox](n.injector)
 	shutdownCtx, cancelShutdown := context.WithTimeout(ctx, n.config.Settings.ShutdownTimeout.Duration())
 	defer cancelShutdown()
--- a/internal/carobnode/providers.go
+++ b/internal/carobnode/providers.go
@@ -48,7 +48,7 @@
 	})
 	do.Provide(injector, func(injector do.Injector) (*carobeventlog.EventLog, error) {
 		return carobeventlog.NewEventLog(carobeventlog.Config{
-			Logger: n.config.Logger, Timer: do.MustInvoke[*carobtimer.Timer](injector), MaxSuccessLines: settings.MaxSuccessLines, MaxFailureLines: failureLines,
+			Logger: n.config.Logger, Timer: do.MustInvoke[*carobtimer.Timer](injector), MaxSuccessLines: settings.MaxSuccessLines, MaxFailureLines: maxFailureLines,
 			LogAudits: n.config.Store != nil,
 		}), nil
 	})
