--- a/internal/carobanswer/answer.go
+++ b/internal/carobanswer/answer.go
@@ -27,9 +27,9 @@
 }
 
 // Buffer reads a body of at most maxSize bytes completely, so that an answer that
-// is cut off is detected before any of it is forwarded. It returns the error of
-// such a body, which it closes. A longer body is still to be read afterwards,
-// from its beginning.
+// is cut off is detected before any of it is forwarded. If the body is cut off,
+// Buffer closes it and returns the error. A longer body can still be read from its
+// beginning.
 func (a *Answer) Buffer(maxSize int) error {
 	if a.NoBody || a.Length > maxSize {
 		return nil
--- a/internal/carobdialectfrontend/dialectfrontend.go
+++ b/internal/carobdialectfrontend/dialectfrontend.go
@@ -1,6 +1,6 @@
-// Package carobdialectfrontend receives calls in the HTTP dialect of a platform: the
-// dialect decodes requests and writes error responses, and the control goroutine
-// decides.
+// Package carobdialectfrontend receives calls in the HTTP dialect of a platform. The
+// dialect decodes requests and writes error responses; the control goroutine decides
+// where calls go and how they end.
 package carobdialectfrontend
 
 import (
--- a/internal/carobdisconnectwatch/disconnectwatch.go
+++ b/internal/carobdisconnectwatch/disconnectwatch.go
@@ -1,10 +1,10 @@
 // Package carobdisconnectwatch detects that the other end of a connection has
 // disconnected while nothing is read from it.
 //
-// The HTTP library reads a connection only between calls, so that it does not
-// detect a disconnect during a call. The watch polls the kernel for the state of
-// the connection. This needs no read, so that neither received bytes nor
-// deadlines are affected.
+// The HTTP library reads a connection only between calls, so it does not detect
+// a disconnect during a call. The watch polls the kernel for the state of the
+// connection. This needs no read, so neither received bytes nor deadlines are
+// affected.
 package carobdisconnectwatch
 
 import (
@@ -32,19 +32,20 @@
 	// wakeAt sets when the timer calls check next.
 	wakeAt func(at carobinstant.Instant)
 	mutex  sync.Mutex
-	// entries holds the watched connections. It is guarded by mutex.
-	entries map[*entry]struct{}
+	// conns holds the watched connections. It is guarded by mutex.
+	conns map[*watchedConn]struct{}
 }
 
-// entry is a watched connection and what to call when it is disconnected.
-type entry struct {
+// watchedConn is a watched connection and the function to call when it is
+// disconnected.
+type watchedConn struct {
 	raw          syscall.RawConn
 	onDisconnect func()
 }
 
 // NewDisconnectWatch returns a watch without connections.
 func NewDisconnectWatch(c Config) *DisconnectWatch {
-	w := &DisconnectWatch{config: c, entries: map[*entry]struct{}{}}
+	w := &DisconnectWatch{config: c, conns: map[*watchedConn]struct{}{}}
 	w.wakeAt = c.Timer.Subscribe(w.check)
 	return w
 }
@@ -62,42 +63,42 @@
 	if err != nil {
 		return func() {}
 	}
-	e := &entry{raw: raw, onDisconnect: onDisconnect}
+	watched := &watchedConn{raw: raw, onDisconnect: onDisconnect}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.entries[e] = struct{}{}
-	if len(w.entries) == 1 {
+	w.conns[watched] = struct{}{}
+	if len(w.conns) == 1 {
 		w.wakeAt(w.config.Timer.Now().Add(w.config.PollInterval))
 	}
-	return func() { w.remove(e) }
+	return func() { w.remove(watched) }
 }
 
-func (w *DisconnectWatch) remove(e *entry) {
+func (w *DisconnectWatch) remove(watched *watchedConn) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	delete(w.entries, e)
+	delete(w.conns, watched)
 }
 
 // check polls all connections and reports those that are disconnected. It runs on
 // the timer's goroutine.
 func (w *DisconnectWatch) check() {
-	for _, e := range w.takeDisconnected() {
-		e.onDisconnect()
+	for _, watched := range w.takeDisconnected() {
+		watched.onDisconnect()
 	}
 }
 
 // takeDisconnected removes the disconnected connections and returns them.
-func (w *DisconnectWatch) takeDisconnected() []*entry {
+func (w *DisconnectWatch) takeDisconnected() []*watchedConn {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	var disconnected []*entry
-	for e := range w.entries {
-		if isDisconnected(e.raw) {
-			disconnected = append(disconnected, e)
-			delete(w.entries, e)
+	var disconnected []*watchedConn
+	for watched := range w.conns {
+		if isDisconnected(watched.raw) {
+			disconnected = append(disconnected, watched)
+			delete(w.conns, watched)
 		}
 	}
-	if len(w.entries) > 0 {
+	if len(w.conns) > 0 {
 		w.wakeAt(w.config.Timer.Now().Add(w.config.PollInterval))
 	}
 	return disconnected
--- a/internal/carobexchange/exchange.go
+++ b/internal/carobexchange/exchange.go
@@ -27,7 +27,7 @@
 	call      carobcallid.ID
 	request   *fasthttp.Request
 	responder responder
-	// body is the body, which every attempt sends.
+	// body is the body of the call, which every attempt sends.
 	body *carobrequestbody.RequestBody
 	// mutex guards answer and cancelled of the attempts.
 	mutex sync.Mutex
@@ -35,7 +35,7 @@
 	attempts map[int]*attempt
 }
 
-// attempt is an attempt of the call that was sent.
+// attempt is an attempt that was sent to a target's node.
 type attempt struct {
 	cancel context.CancelFunc
 	// answer is nil until the header of the target's answer is received.
--- a/internal/carobexchange/exchanges.go
+++ b/internal/carobexchange/exchanges.go
@@ -51,8 +51,8 @@
 	Mailbox *carobmailbox.Mailbox
 	Relay   relay
 	// MaxBufferedAnswer is the size in bytes up to which an answer is read completely
-	// before the control goroutine learns of it, so that an answer that is cut off can
-	// still be retried. 0 means that every answer is streamed.
+	// before it is reported to the control goroutine. If such an answer is cut off, the
+	// call can still be retried. 0 means that every answer is streamed.
 	MaxBufferedAnswer carobsize.Size
 }
 
@@ -67,7 +67,8 @@
 type order struct {
 	send       *carobsend.Send
 	conclusion *carobconclusion.Conclusion
-	// cancel is the number of the attempt to cancel; 0 if the order is another.
+	// cancel is the number of the attempt to cancel; 0 if the order
+	// does not cancel one.
 	cancel int
 }
 
@@ -90,7 +91,7 @@
 }
 
 // Run reports a call to the control goroutine and carries it out until its result
-// was sent. Every attempt has the header of req and the given body.
+// was sent. Every attempt sends the header of req and the given body.
 func (e *Exchanges) Run(arrival carobarrival.Arrival, req *fasthttp.Request, body *carobrequestbody.RequestBody, responder responder) {
 	orders := e.dispatcher.Subscribe(arrival.Call)
 	defer e.dispatcher.Unsubscribe(arrival.Call)
--- a/internal/carobfrontend/listener.go
+++ b/internal/carobfrontend/listener.go
@@ -25,6 +25,7 @@
 type boundedListener struct {
 	net.Listener
 	timer *carobtimer.Timer
+	// limit is the maximum number of open connections, and open their number.
 	limit int64
 	open  atomic.Int64
 }
--- a/internal/carobfrontend/responder.go
+++ b/internal/carobfrontend/responder.go
@@ -50,7 +50,8 @@
 	writeStored(r.ctx, r.call, stored)
 }
 
-// SendError sends an error.
+// SendError sends an error. The Retry-After header always has the delay of the kind;
+// the given delay is not used.
 func (r *responder) SendError(kind carobkind.Kind, _ time.Duration, detail string) {
 	r.frontEnd.refuse(r.ctx, r.call, carobkind.New(kind, "%s", detail))
 }
--- a/internal/carobheader/header.go
+++ b/internal/carobheader/header.go
@@ -6,8 +6,7 @@
 const (
 	// Deadline is the time left until the deadline, in milliseconds.
 	Deadline = "Carobknot-Deadline"
-	// Outcome tells whether the call was answered, did not run, or has an unknown
-	// outcome.
+	// Outcome is the outcome of the call: answered, not run, or unknown.
 	Outcome = "Carobknot-Outcome"
 	// CallID is the call ID.
 	CallID = "Carobknot-Call"
--- a/internal/carobheader/hop.go
+++ b/internal/carobheader/hop.go
@@ -32,8 +32,8 @@
 	clean(header)
 }
 
-// clean runs several times for each call, so that it allocates strings only for
-// the headers that it removes.
+// clean removes these headers. It runs several times for each call and therefore
+// allocates strings only for the headers that it removes.
 func clean(header headerFields) {
 	var removed []string
 	for key, value := range header.All() {
@@ -96,7 +96,7 @@
 	return len(key) >= len(Prefix) && strings.EqualFold(key[:len(Prefix)], Prefix)
 }
 
-// isReserved is IsReserved for names that are not strings yet.
+// isReserved is IsReserved for a name that is given as bytes.
 func isReserved(key []byte) bool {
 	return len(key) >= len(Prefix) && equalName(key[:len(Prefix)], Prefix)
 }
--- a/internal/carobheader/offer.go
+++ b/internal/carobheader/offer.go
@@ -19,9 +19,9 @@
 const (
 	numberBase, numberBits = 36, 64
 	// offerFields is the number of required fields: call, attempt, target,
-	// incarnation, time left, priority, SLO, SLO counted from arrival, execution
-	// guarantee, and whether the call may move to another target. The request ID
-	// follows if there is one.
+	// incarnation, time left, priority, time left until the SLO is missed, SLO,
+	// execution guarantee, and whether the call may move to another target. The
+	// request ID follows if there is one.
 	offerFields = 10
 )
 
--- a/internal/carobpipelinedrequest/pipelinedrequest.go
+++ b/internal/carobpipelinedrequest/pipelinedrequest.go
@@ -15,14 +15,14 @@
 
 // connection is the connection that the request was received on.
 type connection interface {
-	// ClosesAfter reports whether the connection closes after the answer to v. If it
-	// does, no further request is accepted.
-	ClosesAfter(v *PipelinedRequest) bool
+	// ClosesAfter reports whether the connection closes after the answer to pipelined.
+	// If it does, no further request is accepted.
+	ClosesAfter(pipelined *PipelinedRequest) bool
 	// ExtendDeadline extends the write deadline.
 	ExtendDeadline()
-	// Remove removes v, whose answer was sent. If complete is false, it was not sent
-	// completely, and the connection cannot be used any more.
-	Remove(v *PipelinedRequest, complete bool)
+	// Remove removes pipelined after its answer was sent. If complete is false, the
+	// answer was not sent completely, and the connection cannot be used any more.
+	Remove(pipelined *PipelinedRequest, complete bool)
 }
 
 // Config holds the parameters of a PipelinedRequest.
@@ -46,7 +46,8 @@
 	disconnected bool
 	// closing is true if the connection is to close after the answer.
 	closing bool
-	done    chan struct{}
+	// done is closed once the request was answered or its connection broke.
+	done chan struct{}
 }
 
 // NewPipelinedRequest returns a request without an answer.
--- a/internal/carobrelay/relay.go
+++ b/internal/carobrelay/relay.go
@@ -26,6 +26,7 @@
 // admitter runs attempts as jobs on this node's own targets.
 type admitter interface {
 	Do(ctx context.Context, offer caroboffer.Offer, req *fasthttp.Request) (*carobanswer.Answer, error)
+	// Report returns the load of a target; nil if there is none.
 	Report(target carobtargetid.ID) *carobreport.Report
 }
 
@@ -55,7 +56,7 @@
 		req.Header.Set(carobheader.TraceContext, send.Traceparent)
 	}
 	if send.PeerAddress == "" {
-		return r.sendToOwn(ctx, send, req)
+		return r.sendLocal(ctx, send, req)
 	}
 	req.Header.Set(carobheader.Offer, carobheader.FormatOffer(send))
 	answer, err := r.config.PeerClient.Do(ctx, send.PeerAddress, req, send.Guarantee != carobguarantee.Idempotent)
@@ -79,8 +80,8 @@
 	return carobkind.New(kind, "returned by the target's node")
 }
 
-// sendToOwn runs an attempt on a target of this node.
-func (r *Relay) sendToOwn(ctx context.Context, send carobsend.Send, req *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error) {
+// sendLocal runs an attempt on a target of this node.
+func (r *Relay) sendLocal(ctx context.Context, send carobsend.Send, req *fasthttp.Request) (*carobanswer.Answer, *carobreport.Report, error) {
 	offer := caroboffer.Offer{
 		Job: send.Job, Target: send.Target, Incarnation: send.Incarnation, TimeLeft: send.TimeLeft, Requirements: send.Requirements,
 		Key: string(req.Header.Peek(carobheader.IdempotencyKey)), Traceparent: string(req.Header.Peek(carobheader.TraceContext)),
--- a/internal/carobrequestbody/requestbody.go
+++ b/internal/carobrequestbody/requestbody.go
@@ -220,7 +220,7 @@
 	return carobkind.New(carobkind.TooLarge, "the body is longer than the limit of %s", limit)
 }
 
-// senderError returns an error of reading the body with its kind.
+// senderError adds the error kind to an error that occurred while the body was read.
 func senderError(err error) error {
 	switch {
 	case carobkind.Of(err) == carobkind.TooLarge:
--- a/internal/carobrequestbody/requestbody_test.go
+++ b/internal/carobrequestbody/requestbody_test.go
@@ -30,10 +30,10 @@
 }
 
 // read returns the body as one attempt sends it.
-func read(t *testing.T, u *RequestBody) (string, error) {
+func read(t *testing.T, requestBody *RequestBody) (string, error) {
 	t.Helper()
 	req := &fasthttp.Request{}
-	if err := u.Attach(req); err != nil {
+	if err := requestBody.Attach(req); err != nil {
 		return "", err
 	}
 	if !req.IsBodyStream() {
@@ -60,16 +60,16 @@
 		"chunked, much longer":     {strings.Repeat("x", 100), -1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u, err := newBody(t, c.body, c.length, nil)
+			requestBody, err := newBody(t, c.body, c.length, nil)
 			require.NoError(t, err)
-			require.Equal(t, c.streamed, u.Streamed())
-			body, err := read(t, u)
+			require.Equal(t, c.streamed, requestBody.Streamed())
+			body, err := read(t, requestBody)
 			require.NoError(t, err)
 			require.Equal(t, c.body, body)
-			again, err := read(t, u)
+			again, err := read(t, requestBody)
 			if c.streamed {
 				require.Equal(t, carobkind.NotResendable, carobkind.Of(err))
-				require.True(t, u.NotResendable())
+				require.True(t, requestBody.NotResendable())
 				return
 			}
 			require.NoError(t, err)
@@ -94,22 +94,22 @@
 			require.Equal(t, c.kind, carobkind.Of(err))
 		})
 	}
-	u, err := newBody(t, strings.Repeat("x", 101), -1, nil)
+	requestBody, err := newBody(t, strings.Repeat("x", 101), -1, nil)
 	require.NoError(t, err)
-	_, err = read(t, u)
+	_, err = read(t, requestBody)
 	require.Error(t, err, "a chunked body above the limit must not pass as complete")
-	require.Equal(t, carobkind.TooLarge, carobkind.Of(u.SenderError()))
-	require.ErrorContains(t, u.SenderError(), "100 B")
+	require.Equal(t, carobkind.TooLarge, carobkind.Of(requestBody.SenderError()))
+	require.ErrorContains(t, requestBody.SenderError(), "100 B")
 }
 
 // If two attempts read from one stream, each would send parts of the body. The
 // first to read gets all of it, and the other an error.
 func TestStreamedBodyIsReadByOneAttempt(t *testing.T) {
-	u, err := newBody(t, strings.Repeat("x", 50), 50, nil)
+	requestBody, err := newBody(t, strings.Repeat("x", 50), 50, nil)
 	require.NoError(t, err)
 	first, second := &fasthttp.Request{}, &fasthttp.Request{}
-	require.NoError(t, u.Attach(first))
-	require.NoError(t, u.Attach(second))
+	require.NoError(t, requestBody.Attach(first))
+	require.NoError(t, requestBody.Attach(second))
 	_, err = first.BodyStream().Read(make([]byte, 10))
 	require.NoError(t, err)
 	_, err = second.BodyStream().Read(make([]byte, 10))
@@ -124,21 +124,21 @@
 func TestReleaseEndsPendingRead(t *testing.T) {
 	serverConn, clientConn := net.Pipe()
 	defer func() { _, _ = serverConn.Close(), clientConn.Close() }()
-	u, err := newBody(t, "", 50, func(c *Config) { c.Stream, c.Conn = serverConn, serverConn })
+	requestBody, err := newBody(t, "", 50, func(c *Config) { c.Stream, c.Conn = serverConn, serverConn })
 	require.NoError(t, err)
 	req := &fasthttp.Request{}
-	require.NoError(t, u.Attach(req))
+	require.NoError(t, requestBody.Attach(req))
 	ended := make(chan error, 1)
 	go func() {
 		_, err := req.BodyStream().Read(make([]byte, 10))
 		ended <- err
 	}()
-	require.Eventually(t, u.reading.Load, 5*time.Second, time.Millisecond)
-	u.Release()
+	require.Eventually(t, requestBody.reading.Load, 5*time.Second, time.Millisecond)
+	requestBody.Release()
 	require.Error(t, <-ended)
 	_, err = req.BodyStream().Read(make([]byte, 10))
 	require.Error(t, err, "nothing must be read after Release")
-	require.Equal(t, carobkind.NotResendable, carobkind.Of(u.Attach(req)))
+	require.Equal(t, carobkind.NotResendable, carobkind.Of(requestBody.Attach(req)))
 }
 
 // A sender that stalls must not hold the call, and its error has to say that it
--- a/internal/carobserver/conn.go
+++ b/internal/carobserver/conn.go
@@ -301,8 +301,8 @@
 	<-c.lastDone
 }
 
-// readError returns an error of reading a request with its kind. The kind is
-// Internal if the connection is broken, so that no answer can be sent.
+// readError adds the error kind to an error that occurred while a request was read.
+// The kind is Internal if the connection is broken, so that no answer can be sent.
 func readError(err error) error {
 	var smallBuffer *fasthttp.ErrSmallBuffer
 	var netErr net.Error
--- a/internal/carobserver/server_test.go
+++ b/internal/carobserver/server_test.go
@@ -156,8 +156,9 @@
 	require.Equal(t, "answer to /2 hi", string(f.read().Body()))
 }
 
-// Without it, targets go on working for callers that have disconnected. The
-// second case has a connection on which no further request is read.
+// If a disconnect were not detected, targets would go on working for callers that
+// no longer wait. The second case has a connection on which no further request is
+// read.
 func TestDisconnectIsDetectedWhileRequestRuns(t *testing.T) {
 	for _, head := range []string{"GET /1 HTTP/1.1\nHost: a\n\n", "GET /1 HTTP/1.1\nHost: a\nConnection: close\n\n"} {
 		f := newFixture(t)
