--- a/internal/carobserver/conn.go
+++ b/internal/carobserver/conn.go
@@ -160,7 +160,7 @@
 // awaitSlot waits until a request may run beside the pending ones. It returns
 // false if the connection is closing. Only GET and HEAD run beside others: if the
 // connection closes after an earlier answer, the caller assumes that later
-// requests were not read and sends them again, so that they have to be
+// requests were not read and sends them again. Such requests have to be
 // idempotent.
 func (c *conn) awaitSlot(req *fasthttp.Request) bool {
 	limit := 1
--- a/internal/carobserver/server.go
+++ b/internal/carobserver/server.go
@@ -88,7 +88,8 @@
 }
 
 // Drain makes each connection close after its pending answers. The server still
-// accepts connections, because callers may not know yet that it is going to stop.
+// accepts connections, because callers that have not noticed the shutdown yet open
+// new ones.
 func (s *Server) Drain() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
