--- a/internal/carobserver/conn.go
+++ b/internal/carobserver/conn.go
@@ -160,7 +160,7 @@
 // awaitSlot waits until a request may run beside the pending ones. It returns
 // false if the connection is closing. Only GET and HEAD run beside others: if the
 // connection closes after an earlier answer, the caller assumes that later
-// requests were not read and sends them again, so that they have to be
+// requests were not read and sends them again. Such requests have to be
 // idempotent.
 func (c *conn) awaitSlot(req *fasthttp.Request) bool {
 	limit := 1
@@ -301,8 +301,8 @@
 	<-c.lastDone
 }
 
-// readError returns an error of reading a request with its kind. The kind is
-// Internal if the connection is broken, so that no answer can be sent.
+// readError adds the error kind to an error that occurred while a request was read.
+// The kind is Internal if the connection is broken, so that no answer can be sent.
 func readError(err error) error {
 	var smallBuffer *fasthttp.ErrSmallBuffer
 	var netErr net.Error
