--- a/internal/carobadminserver/adminserver.go
+++ b/internal/carobadminserver/adminserver.go
@@ -23,7 +23,7 @@
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
 
-// querier runs a function on the control goroutine, which may read the world.
+// querier runs a function on the control goroutine, where it may read the world.
 type querier interface {
 	Query(ctx context.Context, query func(w *carobworld.World)) error
 }
--- a/internal/carobbench/bench.go
+++ b/internal/carobbench/bench.go
@@ -91,7 +91,7 @@
 // variants of a case in turn, so that other load on the host affects all variants
 // and not a single one.
 func (b *Bench) measureDeployment(ctx context.Context, deployment deployment) error {
-	cluster, err := b.start(ctx, deployment)
+	cluster, err := b.startCluster(ctx, deployment)
 	if err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 			return err
 		}
 		b.results = append(b.results, result)
-		_, _ = fmt.Fprintf(b.config.Out, "%s\n", result.line())
+		_, _ = fmt.Fprintf(b.config.Out, "%s\n", result.format())
 	}
 	return nil
 }
--- a/internal/carobbench/cell.go
+++ b/internal/carobbench/cell.go
@@ -223,8 +223,8 @@
 	r.ExtraRuns = max(0, (float64(started)-calls)/calls)
 }
 
-// line formats the result as one line of text.
-func (r result) line() string {
+// format returns the result as one line of text.
+func (r result) format() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s %s %s #%d: p50 %s p99 %s p99.9 %s", r.Deployment, r.Case, r.Variant, r.Round,
 		carobsummary.FormatMilliseconds(r.Callers.EffectiveLatency.P50), carobsummary.FormatMilliseconds(r.Callers.EffectiveLatency.P99),
--- a/internal/carobbench/cluster.go
+++ b/internal/carobbench/cluster.go
@@ -23,10 +23,11 @@
 	centres int
 	// services are all services; the first one receives the load.
 	services []service
-	// conns is the connection limit of each target.
-	conns int
+	// connectionLimit is the connection limit of each target.
+	connectionLimit int
 }
 
+// service is one of the services of a deployment.
 type service struct {
 	name string
 	// targets is the number of targets in all data centres.
@@ -35,8 +36,8 @@
 
 // deployments is the table of all deployments.
 var deployments = []deployment{
-	{name: "lechfeld", centres: 4, conns: 200, services: []service{{"lookups", 4}, {"declarations", 4}, {"evidence", 4}}},
-	{name: "hanbit", centres: 3, conns: 250, services: []service{{"rota", 6}, {"payouts", 3}, {"ledgers", 3}}},
+	{name: "lechfeld", centres: 4, connectionLimit: 200, services: []service{{"lookups", 4}, {"declarations", 4}, {"evidence", 4}}},
+	{name: "hanbit", centres: 3, connectionLimit: 250, services: []service{{"rota", 6}, {"payouts", 3}, {"ledgers", 3}}},
 }
 
 const (
@@ -66,8 +67,9 @@
 	logFile *os.File
 }
 
-// start starts a cluster and waits until every node has all targets and the profile.
-func (b *Bench) start(ctx context.Context, deployment deployment) (*cluster, error) {
+// startCluster starts a cluster and waits until every node has all targets and the
+// profile.
+func (b *Bench) startCluster(ctx context.Context, deployment deployment) (*cluster, error) {
 	cluster := &cluster{bench: b, deployment: deployment, profileOffset: -1}
 	if err := cluster.startProcesses(ctx); err != nil {
 		cluster.stop()
@@ -121,7 +123,7 @@
 	c.nodes = append(c.nodes, node)
 	target, err := startProcess(ctx, b.config.Program, c.logFile, "target",
 		"-id", fmt.Sprintf("%s/t%d", service.name, index), "-profile", profileName, "-admin", node.addresses["admin"],
-		"-slots", strconv.Itoa(slots), "-conns", strconv.Itoa(c.deployment.conns),
+		"-slots", strconv.Itoa(slots), "-conns", strconv.Itoa(c.deployment.connectionLimit),
 		"-latency", b.config.MeanLatency.String(), "-shape", "lognormal", "-sigma", "0.8",
 		"-seed", strconv.FormatUint(b.config.Seed+uint64(number), 10)) //nolint:gosec // not negative
 	if err != nil {
--- a/internal/carobbench/table.go
+++ b/internal/carobbench/table.go
@@ -58,9 +58,9 @@
 }
 
 // writeTable writes the results of a deployment, with median and range over the rounds.
-func writeTable(to io.Writer, deployment string, results []result) {
+func writeTable(output io.Writer, deployment string, results []result) {
 	const columnGap = 2
-	writer := tabwriter.NewWriter(to, 0, 0, columnGap, ' ', 0)
+	writer := tabwriter.NewWriter(output, 0, 0, columnGap, ' ', 0)
 	_, _ = fmt.Fprintf(writer, "\n%s\tvariant", deployment)
 	for _, column := range columns {
 		_, _ = fmt.Fprintf(writer, "\t%s", column.title)
--- a/internal/carobcommand/bench.go
+++ b/internal/carobcommand/bench.go
@@ -37,7 +37,7 @@
 	report := flags.String("report", "", "`FILE` for a report as JSON")
 	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if c.Rounds < 1 || c.Duration <= 0 || c.MeanLatency <= 0 || len(args) > 0 {
-			return errUsage("-rounds, -duration and -mean must be above 0, and no operands are taken")
+			return usageError("-rounds, -duration and -mean must be above 0, and no operands are taken")
 		}
 		c.Out = std.out
 		return runBench(ctx, c, *report)
--- a/internal/carobcommand/check.go
+++ b/internal/carobcommand/check.go
@@ -25,7 +25,7 @@
 func parseCheck(*flag.FlagSet) runner {
 	return func(_ context.Context, std *stdStreams, args []string) error {
 		if len(args) != 1 {
-			return errUsage("one FILE is needed")
+			return usageError("one FILE is needed")
 		}
 		profile, _, err := readProfile(args[0])
 		if err != nil {
--- a/internal/carobcommand/command.go
+++ b/internal/carobcommand/command.go
@@ -19,11 +19,11 @@
 	exitSuccess = 0
 	exitFailed  = 1
 	exitUsage   = 2
-	// exitConflict: another change of the profile came first.
+	// exitConflict: the revision that the change replaces is not in force, usually
+	// because another change of the profile came first.
 	exitConflict = 3
 	// exitLogUnavailable: the change is not in the log, because the log could not be
-	// used or, if the result of an earlier change is requested, because it is not
-	// there.
+	// used or, with -settle, because the log has no such change.
 	exitLogUnavailable = 4
 	// exitUncertain: it is not known whether the change was appended.
 	exitUncertain = 5
@@ -112,15 +112,15 @@
 	return exitSuccess
 }
 
-// errUsage is an error in the arguments of a command.
-type errUsage string
+// usageError is an error in the arguments of a command.
+type usageError string
 
-func (e errUsage) Error() string { return string(e) }
+func (e usageError) Error() string { return string(e) }
 
 // exitCode returns the exit code of a failed command. The help of publish and profiles
 // documents the codes.
 func exitCode(err error) int {
-	if _, ok := err.(errUsage); ok { //nolint:errorlint // returned unwrapped
+	if _, ok := err.(usageError); ok { //nolint:errorlint // returned unwrapped
 		return exitUsage
 	}
 	switch carobkind.Of(err) {
--- a/internal/carobcommand/demo.go
+++ b/internal/carobcommand/demo.go
@@ -23,7 +23,7 @@
 	flags.Uint64Var(&c.Seed, "seed", 1, "`SEED` of arrivals and service times")
 	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if c.PhaseDuration <= 0 || c.PhaseDuration > 15*time.Second || len(args) > 0 {
-			return errUsage("-phase must be above 0 and at most 15s, and no operands are taken")
+			return usageError("-phase must be above 0 and at most 15s, and no operands are taken")
 		}
 		c.Out = std.out
 		return carobdemo.NewDemo(c).Run(ctx)
--- a/internal/carobcommand/emulate.go
+++ b/internal/carobcommand/emulate.go
@@ -30,7 +30,7 @@
 	queue := flags.Int("queue", -1, "length of targets' queues, in place of the scenario's")
 	return func(_ context.Context, std *stdStreams, args []string) error {
 		if *file == "" || *duration <= 0 || len(args) > 0 {
-			return errUsage("-scenario FILE and a -duration above 0 are needed, and no operands")
+			return usageError("-scenario FILE and a -duration above 0 are needed, and no operands")
 		}
 		scenario, err := carobscenario.Load(*file)
 		if err != nil {
--- a/internal/carobcommand/load.go
+++ b/internal/carobcommand/load.go
@@ -47,7 +47,7 @@
 	report := flags.String("report", "", "`FILE` for a report as JSON")
 	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if len(c.Nodes) == 0 || c.Service == "" || c.Rate <= 0 || c.Deadline <= 0 || len(args) > 0 {
-			return errUsage("-nodes and -service are needed, -rate and -deadline must be above 0, and no operands are taken")
+			return usageError("-nodes and -service are needed, -rate and -deadline must be above 0, and no operands are taken")
 		}
 		return runLoad(ctx, std, c, direct, *report)
 	}
--- a/internal/carobcommand/log.go
+++ b/internal/carobcommand/log.go
@@ -39,7 +39,7 @@
 	retention := flags.Int("retention", 0, "records kept of each stream; 0 keeps all")
 	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if len(args) > 0 {
-			return errUsage("no operands are taken")
+			return usageError("no operands are taken")
 		}
 		return runLog(ctx, std, *listen, *retention)
 	}
--- a/internal/carobcommand/node.go
+++ b/internal/carobcommand/node.go
@@ -25,7 +25,7 @@
 	file := flags.String("settings", "", "`FILE` of settings, JSON with comments")
 	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if *file == "" || len(args) > 0 {
-			return errUsage("-settings FILE is needed, and nothing else")
+			return usageError("-settings FILE is needed, and nothing else")
 		}
 		return runNode(ctx, std, *file)
 	}
--- a/internal/carobcommand/profiles.go
+++ b/internal/carobcommand/profiles.go
@@ -42,7 +42,7 @@
 	timeout := flags.Duration("patience", logTimeout, "longest `TIME` that one request to the log may take")
 	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if *url == "" || len(args) > 0 {
-			return errUsage("-log URL is needed, and no operands")
+			return usageError("-log URL is needed, and no operands")
 		}
 		client := caroblogclient.NewLogClient(caroblogclient.Config{URL: *url, Timeout: *timeout})
 		history := carobprofilehistory.NewProfileHistory(carobprofilehistory.Config{Log: client})
--- a/internal/carobcommand/publish.go
+++ b/internal/carobcommand/publish.go
@@ -46,7 +46,7 @@
 	timeout := flags.Duration("patience", logTimeout, "longest `TIME` that one request to the log may take")
 	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if *url == "" || len(args) != 1 {
-			return errUsage("-log URL and one FILE are needed")
+			return usageError("-log URL and one FILE are needed")
 		}
 		client := caroblogclient.NewLogClient(caroblogclient.Config{URL: *url, Timeout: *timeout})
 		p := &publisher{
--- a/internal/carobcommand/status.go
+++ b/internal/carobcommand/status.go
@@ -34,7 +34,7 @@
 	asJSON := flags.Bool("json", false, "print JSON")
 	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if admin == "" || len(args) > 0 {
-			return errUsage("-admin ADDR is needed, and no operands")
+			return usageError("-admin ADDR is needed, and no operands")
 		}
 		return runStatus(ctx, std, admin, *asJSON)
 	}
--- a/internal/carobcommand/target.go
+++ b/internal/carobcommand/target.go
@@ -41,10 +41,10 @@
 	behaviourFlags(flags, &c.Behaviour)
 	return func(ctx context.Context, std *stdStreams, args []string) error {
 		if c.ID.Service == "" || c.Profile == "" || c.Admin == "" || len(args) > 0 {
-			return errUsage("-id, -profile and -admin are needed, and no operands")
+			return usageError("-id, -profile and -admin are needed, and no operands")
 		}
 		if err := c.Behaviour.Check(); err != nil {
-			return errUsage(err.Error())
+			return usageError(err.Error())
 		}
 		return runTarget(ctx, std, c, *listen)
 	}
--- a/internal/carobdemo/components.go
+++ b/internal/carobdemo/components.go
@@ -35,9 +35,9 @@
 
 // runningTarget is a target, its service's guarantee and its address.
 type runningTarget struct {
-	id      carobtargetid.ID
-	once    carobguarantee.Guarantee
-	address carobaddress.Address
+	id        carobtargetid.ID
+	guarantee carobguarantee.Guarantee
+	address   carobaddress.Address
 }
 
 // logTimeout is how long publishing a profile may take.
@@ -111,7 +111,7 @@
 		Seed: d.config.Seed + uint64(len(d.targets)), Admin: node.admin, Timer: d.timer, Logger: d.logger,
 	})
 	d.targets = append(d.targets, runningTarget{
-		id: id, once: service.once, address: carobaddress.Address(listener.Addr().String()),
+		id: id, guarantee: service.guarantee, address: carobaddress.Address(listener.Addr().String()),
 	})
 	d.run(ctx, func(ctx context.Context) error { return target.Run(ctx, listener) })
 	return nil
@@ -141,7 +141,7 @@
 // publish appends the profile of a service to the log.
 func publish(ctx context.Context, log string, service service) error {
 	profile := carobprofile.NewProfile(carobname.Name(service.name))
-	profile.Guarantee = service.once
+	profile.Guarantee = service.guarantee
 	data, err := json.Marshal(carobchange.Change{Profile: profile, Who: "demo"})
 	if err != nil {
 		return carobkind.Wrap(carobkind.Internal, err, "encode change")
--- a/internal/carobdemo/demo.go
+++ b/internal/carobdemo/demo.go
@@ -46,23 +46,24 @@
 
 // service is one of the demo's services.
 type service struct {
-	name carobservice.Service
-	once carobguarantee.Guarantee
+	name      carobservice.Service
+	guarantee carobguarantee.Guarantee
 	// rate is the mean number of calls a second.
 	rate float64
-	// keys is the share of calls with an idempotency key.
-	keys carobshare.Share
+	// keyShare is the share of calls with an idempotency key.
+	keyShare carobshare.Share
 }
 
 var services = []service{
-	{name: "lookups", once: carobguarantee.Idempotent, rate: 300},
-	{name: "payouts", once: carobguarantee.OncePerKey, rate: 60, keys: 1},
+	{name: "lookups", guarantee: carobguarantee.Idempotent, rate: 300},
+	{name: "payouts", guarantee: carobguarantee.OncePerKey, rate: 60, keyShare: 1},
 }
 
 const (
 	nodeCount = 4
 	slots     = 12
-	// latency is the mean service time of targets, deadline the one of calls.
+	// latency is the mean service time of targets, and deadline the time for which
+	// callers wait.
 	latency  = 4 * time.Millisecond
 	deadline = 2 * time.Second
 	// slowFactor multiplies the service times of one target in the middle phase.
@@ -109,7 +110,7 @@
 	var generators sync.WaitGroup
 	for i, service := range services {
 		c := carobloadgenerator.Config{
-			Name: string(service.name) + ", " + phase, Service: service.name, Rate: service.rate, KeyShare: service.keys,
+			Name: string(service.name) + ", " + phase, Service: service.name, Rate: service.rate, KeyShare: service.keyShare,
 			Duration: d.config.PhaseDuration, Deadline: deadline, Seed: d.seed(string(service.name) + phase), RequestSize: 512, Timer: d.timer,
 		}
 		for _, node := range d.nodes {
--- a/internal/carobdemo/requests.go
+++ b/internal/carobdemo/requests.go
@@ -64,7 +64,7 @@
 		if err := json.Unmarshal(data, &runs); err != nil {
 			return 0, carobkind.Wrap(carobkind.Invalid, err, "decode runs")
 		}
-		if target.once == carobguarantee.Idempotent {
+		if target.guarantee == carobguarantee.Idempotent {
 			continue
 		}
 		for _, runCount := range runs.Calls {
--- a/internal/carobemulator/node.go
+++ b/internal/carobemulator/node.go
@@ -80,17 +80,17 @@
 
 func (e *Emulator) addNode(centre carobcentre.Centre, service carobservice.Service, slots int) {
 	const nodesPerSubnet = 250
-	place := len(e.nodes)
-	peer := carobaddress.Address(fmt.Sprintf("10.0.%d.%d:7002", place/nodesPerSubnet, 1+place%nodesPerSubnet))
+	index := len(e.nodes)
+	peer := carobaddress.Address(fmt.Sprintf("10.0.%d.%d:7002", index/nodesPerSubnet, 1+index%nodesPerSubnet))
 	node := &node{
-		index: place, due: e.now, openAttempts: map[carobjobid.ID]int{}, statuses: map[carobjobid.ID]int{},
+		index: index, due: e.now, openAttempts: map[carobjobid.ID]int{}, statuses: map[carobjobid.ID]int{},
 		self: carobmember.Member{
-			Node: carobnodeid.ID(fmt.Sprintf("n%d", place)), Incarnation: 1, Region: "here", Centre: centre, PeerAddress: peer,
+			Node: carobnodeid.ID(fmt.Sprintf("n%d", index)), Incarnation: 1, Region: "here", Centre: centre, PeerAddress: peer,
 		},
-		target: target{id: carobtargetid.ID{Service: service, Name: carobname.Name(fmt.Sprintf("t%d", place))}, slots: slots},
+		target: target{id: carobtargetid.ID{Service: service, Name: carobname.Name(fmt.Sprintf("t%d", index))}, slots: slots},
 	}
 	var seedAddresses []carobaddress.Address
-	for _, other := range e.nodes[:min(seedCount, place)] {
+	for _, other := range e.nodes[:min(seedCount, index)] {
 		seedAddresses = append(seedAddresses, other.self.PeerAddress)
 	}
 	node.core = carobcore.NewCore(carobcore.Config{
@@ -106,7 +106,7 @@
 		Readiness: carobreadiness.Ready,
 	}}
 	e.nodes = append(e.nodes, node)
-	e.nodeByAddress[peer], e.nodeByID[node.self.Node] = place, place
+	e.nodeByAddress[peer], e.nodeByID[node.self.Node] = index, index
 }
 
 // stepNodes runs a tick of each core that is due and applies its effects.
--- a/internal/carobfakelog/fakelog.go
+++ b/internal/carobfakelog/fakelog.go
@@ -39,11 +39,12 @@
 	fault caroblogfault.LogFault
 }
 
+// stream is one stream of the log.
 type stream struct {
 	// records are the records that have not expired, in order of their offsets.
 	records []carobrecord.Record
-	// next is the offset of the next record.
-	next caroboffset.Offset
+	// nextOffset is the offset of the next record.
+	nextOffset caroboffset.Offset
 	// appended is closed and replaced at each append.
 	appended chan struct{}
 }
@@ -64,7 +65,8 @@
 	return l.app.Listener(listener, fiber.ListenConfig{DisableStartupMessage: true})
 }
 
-// Shutdown stops the server gracefully, or at the end of ctx.
+// Shutdown stops accepting connections and waits for the requests in progress, until
+// ctx is done at the latest.
 func (l *FakeLog) Shutdown(ctx context.Context) error {
 	return l.app.ShutdownWithContext(ctx)
 }
@@ -118,9 +120,9 @@
 		return fiber.NewError(http.StatusGatewayTimeout, "append dropped")
 	}
 	stream := l.streamOf(carobstream.Stream(c.Params("name")))
-	offset := stream.next
+	offset := stream.nextOffset
 	stream.records = append(stream.records, carobrecord.Record{Offset: offset, Data: append([]byte(nil), c.Body()...)})
-	stream.next++
+	stream.nextOffset++
 	l.expire(stream)
 	close(stream.appended)
 	stream.appended = make(chan struct{})
@@ -179,10 +181,10 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	stream := l.streamOf(name)
-	first := stream.next - caroboffset.Offset(len(stream.records))
+	first := stream.nextOffset - caroboffset.Offset(len(stream.records))
 	from = max(from, first)
 	page := caroblogpage.LogPage{FirstOffset: first, NextOffset: from, Records: []carobrecord.Record{}}
-	if from < stream.next {
+	if from < stream.nextOffset {
 		newer := stream.records[from-first:]
 		page.Records = append(page.Records, newer[:min(maxRecords, len(newer))]...)
 		page.NextOffset = from + caroboffset.Offset(len(page.Records))
--- a/internal/carobfakelog/fakelog_test.go
+++ b/internal/carobfakelog/fakelog_test.go
@@ -19,9 +19,9 @@
 	"github.com/carobknot/carobknot/pkg/carobrecord"
 )
 
-// start runs a log and returns a client for it, with the given request timeout, and
+// startLog runs a log and returns a client for it, with the given request timeout, and
 // its URL.
-func start(t *testing.T, timeout time.Duration) (*caroblogclient.LogClient, string) {
+func startLog(t *testing.T, timeout time.Duration) (*caroblogclient.LogClient, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 }
 
 func TestReadReturnsAppendedRecords(t *testing.T) {
-	client, _ := start(t, time.Minute)
+	client, _ := startLog(t, time.Minute)
 	for i := range 3 {
 		offset, err := client.Append(t.Context(), "rota", fmt.Append(nil, i))
 		require.NoError(t, err)
@@ -71,7 +71,7 @@
 // Guards against reads that return an empty page before a record is appended, or miss
 // the append.
 func TestReadWaitsForAppend(t *testing.T) {
-	client, _ := start(t, time.Minute)
+	client, _ := startLog(t, time.Minute)
 	found := make(chan error, 1)
 	go func() {
 		page, err := client.Read(context.Background(), "rota", 0, time.Minute)
@@ -103,7 +103,7 @@
 		{"slow", `{"slow": "1h"}`, carobkind.AppendUncertain, carobkind.AppendUncertain, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			client, url := start(t, 200*time.Millisecond)
+			client, url := startLog(t, 200*time.Millisecond)
 			_, err := client.Append(t.Context(), "rota", []byte("before"))
 			require.NoError(t, err)
 			require.Equal(t, http.StatusNoContent, setFault(t, url, c.fault))
@@ -120,7 +120,7 @@
 }
 
 func TestRetentionFaultExpiresOldestRecords(t *testing.T) {
-	client, url := start(t, time.Minute)
+	client, url := startLog(t, time.Minute)
 	for range 5 {
 		_, err := client.Append(t.Context(), "rota", []byte("x"))
 		require.NoError(t, err)
@@ -133,7 +133,7 @@
 }
 
 func TestInvalidFaultsAreRejected(t *testing.T) {
-	_, url := start(t, time.Minute)
+	_, url := startLog(t, time.Minute)
 	for _, fault := range []string{``, `[]`, `{"lost": 1}`, `{"lose": -1}`, `{"slow": 2}`, `{"out": "yes"}`} {
 		require.Equal(t, http.StatusBadRequest, setFault(t, url, fault), fault)
 	}
--- a/internal/carobfaketarget/faketarget.go
+++ b/internal/carobfaketarget/faketarget.go
@@ -31,7 +31,7 @@
 	Behaviour carobbehaviour.Behaviour
 	// Seed seeds all random times.
 	Seed uint64
-	// Admin is the administration address of the node on the target's VM.
+	// Admin is the admin address of the node on the target's VM.
 	Admin  carobaddress.Address
 	Timer  *carobtimer.Timer
 	Logger *logrus.Logger
--- a/internal/carobfaketarget/serve.go
+++ b/internal/carobfaketarget/serve.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// serveBehaviour returns the behaviour; unless the method is GET, it changes the fields
-// that the body names before.
+// serveBehaviour returns the behaviour. For any method but GET, it first applies the
+// change in the request's body.
 func (t *FakeTarget) serveBehaviour(ctx *fasthttp.RequestCtx) {
 	if !ctx.IsGet() {
 		body, err := io.ReadAll(bodyOf(ctx))
@@ -149,7 +149,7 @@
 }
 
 // acquireSlot waits for a slot. It returns false if the caller closes the connection
-// before.
+// before a slot is free.
 func (t *FakeTarget) acquireSlot(ctx *fasthttp.RequestCtx) bool {
 	for {
 		waitCtx, cancel := context.WithCancel(context.Background())
@@ -172,7 +172,7 @@
 }
 
 // run waits for the service time of a call, or longer while the target is frozen. It
-// returns false if the caller closes the connection before.
+// returns false if the caller closes the connection before the run ends.
 func (t *FakeTarget) run(ctx *fasthttp.RequestCtx) bool {
 	behaviour, _ := t.currentBehaviour()
 	serviceTime := t.sampler.sample(&behaviour, t.config.Timer.Now())
@@ -232,7 +232,7 @@
 	content []byte
 }
 
-// readBody reads a request's body to its end. It holds at most maxEcho bytes and one in
+// readBody reads a request's body to its end. It holds at most maxEcho+1 bytes in
 // memory.
 func readBody(ctx *fasthttp.RequestCtx) (*body, error) {
 	digest := xxhash.New()
--- a/internal/carobmembersync/membersync.go
+++ b/internal/carobmembersync/membersync.go
@@ -27,7 +27,7 @@
 	Members(ctx context.Context) ([][]byte, error)
 }
 
-// Config holds the parameters of the constructor.
+// Config holds the parameters of a member sync.
 type Config struct {
 	// Node is the node whose member is written.
 	Node      carobnodeid.ID
@@ -45,23 +45,26 @@
 	requestTimeout = time.Second
 )
 
-// MemberSync writes and reads the directory.
+// MemberSync writes this node's member to the directory and reads the members of all
+// nodes from it.
 type MemberSync struct {
 	config Config
 	mutex  sync.Mutex
-	// member is the newest one to be written, encoded; nil before the first.
+	// member is the newest member of this node, encoded; nil before the first Execute
+	// that has one.
 	member []byte
 	// wake holds one element after member has changed.
 	wake chan struct{}
 }
 
-// NewMemberSync starts nothing; Run does.
+// NewMemberSync returns a member sync that accesses the directory only once Run is
+// called.
 func NewMemberSync(c Config) *MemberSync {
 	return &MemberSync{config: c, wake: make(chan struct{}, 1)}
 }
 
-// Execute takes the newest member that the tick appends to the stream of nodes. It
-// does not wait for the directory.
+// Execute stores the newest member that the tick appends to the stream of nodes, for
+// Run to write. It does not wait for the directory.
 func (s *MemberSync) Execute(out *caroboutbox.Outbox) {
 	for _, ap := range out.Appends {
 		if ap.Stream != carobstream.Nodes {
--- a/internal/carobpattern/pattern_test.go
+++ b/internal/carobpattern/pattern_test.go
@@ -9,6 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Guards against bodies that differ with the sizes of the reads, whose checksums would
+// then not match although no byte was lost.
 func TestBytesDoNotDependOnReadSize(t *testing.T) {
 	c := Config{Seed: 7, Length: 1001}
 	whole := NewPattern(c).Bytes()
--- a/internal/carobprofilehistory/profilehistory.go
+++ b/internal/carobprofilehistory/profilehistory.go
@@ -23,8 +23,9 @@
 	Read(ctx context.Context, stream carobstream.Stream, from caroboffset.Offset, wait time.Duration) (caroblogpage.LogPage, error)
 }
 
-// Config holds what the profiles are read from.
+// Config holds the parameters of a profile history.
 type Config struct {
+	// Log is the log that the profiles are read from.
 	Log reader
 }
 
@@ -86,8 +87,8 @@
 	return h.world.TakeSnapshot().Revisions
 }
 
-// CurrentOffset returns the offset of the revision in force of a profile, or None if
-// there is no such profile.
+// CurrentOffset returns the offset of the revision in force of a profile, or
+// BeforeFirst if there is no such profile.
 func (h *ProfileHistory) CurrentOffset(name carobname.Name) caroboffset.Offset {
 	if revision := h.world.Profiles.Get(name); revision != nil {
 		return revision.Offset
--- a/internal/carobscenario/scenario.go
+++ b/internal/carobscenario/scenario.go
@@ -148,11 +148,11 @@
 }
 
 // check checks one kind against all services and the kinds that precede it.
-func (k *callKind) check(services map[carobservice.Service]bool, before map[carobname.Name]bool) error {
+func (k *callKind) check(services map[carobservice.Service]bool, precedingKinds map[carobname.Name]bool) error {
 	switch {
 	case !services[k.Service]:
 		return carobkind.New(carobkind.Invalid, "kind %s: there is no service %q", k.Name, k.Service)
-	case k.NestedKind != "" && !before[k.NestedKind]:
+	case k.NestedKind != "" && !precedingKinds[k.NestedKind]:
 		return carobkind.New(carobkind.Invalid, "kind %s: no kind %q comes before it", k.Name, k.NestedKind)
 	case k.Work <= 0 || k.SLO <= 0 || k.Timeout <= 0 || k.Deadline <= 0:
 		return carobkind.New(carobkind.Invalid, "kind %s: work, slo, timeout and deadline must be above 0s", k.Name)
--- a/internal/carobsettings/settings.go
+++ b/internal/carobsettings/settings.go
@@ -30,8 +30,8 @@
 	CallAddress carobaddress.Address `json:"call"`
 	// PeerAddress is the address at which the node listens for other nodes.
 	PeerAddress carobaddress.Address `json:"peer"`
-	// PublicAddress is the address at which other nodes reach the node. Empty if the
-	// node listens there itself.
+	// PublicAddress is the address at which other nodes reach the node. Empty if it
+	// is PeerAddress.
 	PublicAddress carobaddress.Address `json:"public,omitempty"`
 	// AdminAddress is the address for the targets of the node's VM and for operators.
 	AdminAddress carobaddress.Address `json:"admin"`
--- a/internal/carobsummary/summary.go
+++ b/internal/carobsummary/summary.go
@@ -20,8 +20,8 @@
 type Config struct {
 	// Name is the name of the summary in reports and tables.
 	Name string
-	// Deadline is the latest time of a good answer. A call without a good answer counts
-	// in EffectiveLatency with at least this latency.
+	// Deadline is the longest latency of a good answer. A call without a good answer
+	// counts in EffectiveLatency with at least this latency.
 	Deadline time.Duration
 }
 
