--- a/internal/carobbench/bench.go
+++ b/internal/carobbench/bench.go
@@ -101,7 +101,7 @@
 			if !selected(b.config.Cases, benchCase.name) {
 				continue
 			}
-			if err := b.compareVariants(ctx, cluster, benchCase, round); err != nil {
+			if err := b.measureVariants(ctx, cluster, benchCase, round); err != nil {
 				return err
 			}
 		}
@@ -109,8 +109,9 @@
 	return nil
 }
 
-// compareVariants measures a case with all selected variants.
-func (b *Bench) compareVariants(ctx context.Context, cluster *cluster, benchCase benchCase, round int) error {
+// measureVariants measures a case with all selected variants. Cells that would start
+// after the time limit are printed as not run.
+func (b *Bench) measureVariants(ctx context.Context, cluster *cluster, benchCase benchCase, round int) error {
 	for _, variant := range variants {
 		if !selected(b.config.Variants, variant.name) {
 			continue
--- a/internal/carobbench/cell.go
+++ b/internal/carobbench/cell.go
@@ -104,7 +104,7 @@
 	if err := c.publish(ctx, variant); err != nil {
 		return err
 	}
-	if err := c.settle(ctx); err != nil {
+	if err := c.waitUntilReady(ctx); err != nil {
 		return err
 	}
 	for _, target := range c.targets {
--- a/internal/carobbench/cluster.go
+++ b/internal/carobbench/cluster.go
@@ -44,11 +44,11 @@
 	profileName = "bench"
 	// slots is the number of slots of each target.
 	slots = 12
-	// settleTimeout is how long nodes may take until they have all targets and the
+	// readyTimeout is how long nodes may take until they have all targets and the
 	// newest profile.
-	settleTimeout = 20 * time.Second
-	pollInterval  = 50 * time.Millisecond
-	fileMode      = 0o600
+	readyTimeout = 20 * time.Second
+	pollInterval = 50 * time.Millisecond
+	fileMode     = 0o600
 )
 
 // cluster is a running deployment.
@@ -101,7 +101,7 @@
 	if err := c.publish(ctx, variants[0]); err != nil {
 		return err
 	}
-	return c.settle(ctx)
+	return c.waitUntilReady(ctx)
 }
 
 // startPair starts a node and the target beside it. The target's index within its
@@ -176,13 +176,13 @@
 	return err
 }
 
-// settle waits until every node has all targets and the newest profile. It returns an
+// waitUntilReady waits until every node has all targets and the newest profile. It returns an
 // error of kind NotReady after settleTimeout.
-func (c *cluster) settle(ctx context.Context) error {
+func (c *cluster) waitUntilReady(ctx context.Context) error {
 	timer := c.bench.config.Timer
-	deadline := timer.Now().Add(settleTimeout)
+	deadline := timer.Now().Add(readyTimeout)
 	for _, node := range c.nodes {
-		for !c.isSettled(ctx, node) {
+		for !c.isReady(ctx, node) {
 			if deadline.Reached(timer.Now()) {
 				return carobkind.New(carobkind.NotReady, "node at %s does not have all targets and the newest profile", node.addresses["call"])
 			}
@@ -194,8 +194,8 @@
 	return nil
 }
 
-// isSettled reports whether a node has all targets and the newest profile.
-func (c *cluster) isSettled(ctx context.Context, node *process) bool {
+// isReady reports whether a node has all targets and the newest profile.
+func (c *cluster) isReady(ctx context.Context, node *process) bool {
 	status, err := statusOf(ctx, node)
 	return err == nil && len(status.Targets) == len(c.targets)+len(c.otherTargets) && status.hasProfile(c.profileOffset)
 }
--- a/internal/carobbench/process.go
+++ b/internal/carobbench/process.go
@@ -21,8 +21,8 @@
 	addresses map[string]string
 }
 
-// startProcess starts the given program, the log file as its standard error, and
-// waits for its first line. The process is killed when ctx ends.
+// startProcess starts the given program with log as its standard error, and waits for
+// its first line of output. The process is killed when ctx ends.
 func startProcess(ctx context.Context, program string, log io.Writer, args ...string) (*process, error) {
 	p := &process{command: exec.CommandContext(ctx, program, args...), addresses: map[string]string{}} //nolint:gosec // the bench's own program
 	p.command.Stderr = log
@@ -55,7 +55,7 @@
 // cpuTime returns the processor time that the process has used, or 0 where the
 // operating system has no /proc.
 func (p *process) cpuTime() time.Duration {
-	const userField, systemField, perSecond = 11, 12, 100
+	const userField, systemField, ticksPerSecond = 11, 12, 100
 	data, err := os.ReadFile("/proc/" + strconv.Itoa(p.command.Process.Pid) + "/stat")
 	if err != nil {
 		return 0
@@ -68,7 +68,7 @@
 	}
 	user, _ := strconv.Atoi(fields[userField])
 	system, _ := strconv.Atoi(fields[systemField])
-	return time.Duration(user+system) * time.Second / perSecond
+	return time.Duration(user+system) * time.Second / ticksPerSecond
 }
 
 // runCommand runs the program and returns its standard output and error.
--- a/internal/carobdemo/demo.go
+++ b/internal/carobdemo/demo.go
@@ -97,15 +97,16 @@
 		if err := d.setSlowness(ctx, d.targets[0], phase.factor); err != nil {
 			return err
 		}
-		summaries = append(summaries, d.load(ctx, phase.name)...)
+		summaries = append(summaries, d.runPhase(ctx, phase.name)...)
 	}
 	d.printf("in the phase jump, the first target of lookups takes %d times as long:\n", slowFactor)
 	carobsummary.WriteTable(d.config.Out, summaries...)
 	return d.verify(ctx, summaries)
 }
 
-// load sends one phase of load to all services at once.
-func (d *Demo) load(ctx context.Context, phase string) []*carobsummary.Summary {
+// runPhase sends the load of one phase to all services at once and returns a summary
+// for each service.
+func (d *Demo) runPhase(ctx context.Context, phase string) []*carobsummary.Summary {
 	summaries := make([]*carobsummary.Summary, len(services))
 	var generators sync.WaitGroup
 	for i, service := range services {
--- a/internal/carobfakelog/fakelog_test.go
+++ b/internal/carobfakelog/fakelog_test.go
@@ -85,8 +85,8 @@
 	require.NoError(t, <-found)
 }
 
-// Each fault must give the client the right kind of error and leave the right number
-// of records. Tests of other packages rely on these effects.
+// Guards against faults that give the client the wrong kind of error or leave the
+// wrong number of records. Tests of other packages rely on these effects.
 func TestFaultsOfAppendsAndReads(t *testing.T) {
 	for _, c := range []struct {
 		name, fault string
--- a/internal/carobfaketarget/faketarget_test.go
+++ b/internal/carobfaketarget/faketarget_test.go
@@ -104,6 +104,8 @@
 	require.Eventually(t, func() bool { return target.totals().Cancelled == 1 }, 10*time.Second, time.Millisecond)
 }
 
+// Guards against faults that answer with the wrong status or are counted under the
+// wrong total. The bench reads the totals.
 func TestFaultsDetermineStatusAndTotals(t *testing.T) {
 	for _, fault := range []struct {
 		name, change string
@@ -146,8 +148,9 @@
 	require.Equal(t, sent, got)
 }
 
-// Service times under one seed must repeat, or two runs of a bench under the same seed
-// cannot be compared. Jumps must have the configured mean interval and length.
+// Guards against service times that do not repeat under one seed, since two runs of a
+// bench under the same seed could then not be compared, and against jumps without the
+// configured mean interval and length.
 func TestServiceTimesRepeatUnderSeed(t *testing.T) {
 	behaviour := carobbehaviour.NewBehaviour()
 	behaviour.Latency = carobduration.Duration(10 * time.Millisecond)
--- a/internal/carobfaketarget/sampler.go
+++ b/internal/carobfaketarget/sampler.go
@@ -49,9 +49,9 @@
 	if s.inJump(behaviour, now) {
 		factor *= behaviour.JumpFactor
 	}
-	if cold := behaviour.Warmup.Duration(); cold > 0 && now.Sub(s.warmupStart) < cold {
-		coldness := 1 - float64(now.Sub(s.warmupStart))/float64(cold)
-		factor *= 1 + (behaviour.ColdFactor-1)*coldness
+	if warmup := behaviour.Warmup.Duration(); warmup > 0 && now.Sub(s.warmupStart) < warmup {
+		warmupLeft := 1 - float64(now.Sub(s.warmupStart))/float64(warmup)
+		factor *= 1 + (behaviour.ColdFactor-1)*warmupLeft
 	}
 	return time.Duration(float64(behaviour.Latency) * factor)
 }
