--- a/internal/carobbench/cluster.go
+++ b/internal/carobbench/cluster.go
@@ -176,8 +176,8 @@
 	return err
 }
 
-// waitUntilReady waits until every node has all targets and the newest profile. It returns an
-// error of kind NotReady after settleTimeout.
+// waitUntilReady waits until every node has all targets and the newest profile. It
+// returns an error of kind NotReady after readyTimeout.
 func (c *cluster) waitUntilReady(ctx context.Context) error {
 	timer := c.bench.config.Timer
 	deadline := timer.Now().Add(readyTimeout)
--- a/internal/carobstatus/write.go
+++ b/internal/carobstatus/write.go
@@ -39,7 +39,7 @@
 }
 
 // formatDuration rounds to milliseconds above one second, and to microseconds up to
-// it.
+// it, because operators need no finer digits.
 func formatDuration(span carobduration.Duration) string {
 	d := span.Duration()
 	if d > time.Second {
