--- a/internal/carobbench/bench.go
+++ b/internal/carobbench/bench.go
@@ -91,7 +91,7 @@
 // variants of a case in turn, so that other load on the host affects all variants
 // and not a single one.
 func (b *Bench) measureDeployment(ctx context.Context, deployment deployment) error {
-	cluster, err := b.start(ctx, deployment)
+	cluster, err := b.startCluster(ctx, deployment)
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 			if !selected(b.config.Cases, benchCase.name) {
 				continue
 			}
-			if err := b.compareVariants(ctx, cluster, benchCase, round); err != nil {
+			if err := b.measureVariants(ctx, cluster, benchCase, round); err != nil {
 				return err
 			}
 		}
@@ -109,8 +109,9 @@
 	return nil
 }
 
-// compareVariants measures a case with all selected variants.
-func (b *Bench) compareVariants(ctx context.Context, cluster *cluster, benchCase benchCase, round int) error {
+// measureVariants measures a case with all selected variants. Cells that would start
+// after the time limit are printed as not run.
+func (b *Bench) measureVariants(ctx context.Context, cluster *cluster, benchCase benchCase, round int) error {
 	for _, variant := range variants {
 		if !selected(b.config.Variants, variant.name) {
 			continue
@@ -124,7 +125,7 @@
 			return err
 		}
 		b.results = append(b.results, result)
-		_, _ = fmt.Fprintf(b.config.Out, "%s\n", result.line())
+		_, _ = fmt.Fprintf(b.config.Out, "%s\n", result.format())
 	}
 	return nil
 }
--- a/internal/carobbench/cluster.go
+++ b/internal/carobbench/cluster.go
@@ -23,10 +23,11 @@
 	centres int
 	// services are all services; the first one receives the load.
 	services []service
-	// conns is the connection limit of each target.
-	conns int
+	// connectionLimit is the connection limit of each target.
+	connectionLimit int
 }
 
+// service is one of the services of a deployment.
 type service struct {
 	name string
 	// targets is the number of targets in all data centres.
@@ -35,19 +36,19 @@
 
 // deployments is the table of all deployments.
 var deployments = []deployment{
-	{name: "lechfeld", centres: 4, conns: 200, services: []service{{"lookups", 4}, {"declarations", 4}, {"evidence", 4}}},
-	{name: "hanbit", centres: 3, conns: 250, services: []service{{"rota", 6}, {"payouts", 3}, {"ledgers", 3}}},
+	{name: "lechfeld", centres: 4, connectionLimit: 200, services: []service{{"lookups", 4}, {"declarations", 4}, {"evidence", 4}}},
+	{name: "hanbit", centres: 3, connectionLimit: 250, services: []service{{"rota", 6}, {"payouts", 3}, {"ledgers", 3}}},
 }
 
 const (
 	profileName = "bench"
 	// slots is the number of slots of each target.
 	slots = 12
-	// settleTimeout is how long nodes may take until they have all targets and the
+	// readyTimeout is how long nodes may take until they have all targets and the
 	// newest profile.
-	settleTimeout = 20 * time.Second
-	pollInterval  = 50 * time.Millisecond
-	fileMode      = 0o600
+	readyTimeout = 20 * time.Second
+	pollInterval = 50 * time.Millisecond
+	fileMode     = 0o600
 )
 
 // cluster is a running deployment.
@@ -66,8 +67,9 @@
 	logFile *os.File
 }
 
-// start starts a cluster and waits until every node has all targets and the profile.
-func (b *Bench) start(ctx context.Context, deployment deployment) (*cluster, error) {
+// startCluster starts a cluster and waits until every node has all targets and the
+// profile.
+func (b *Bench) startCluster(ctx context.Context, deployment deployment) (*cluster, error) {
 	cluster := &cluster{bench: b, deployment: deployment, profileOffset: -1}
 	if err := cluster.startProcesses(ctx); err != nil {
 		cluster.stop()
@@ -99,7 +101,7 @@
 	if err := c.publish(ctx, variants[0]); err != nil {
 		return err
 	}
-	return c.settle(ctx)
+	return c.waitUntilReady(ctx)
 }
 
 // startPair starts a node and the target beside it. The target's index within its
@@ -121,7 +123,7 @@
 	c.nodes = append(c.nodes, node)
 	target, err := startProcess(ctx, b.config.Program, c.logFile, "target",
 		"-id", fmt.Sprintf("%s/t%d", service.name, index), "-profile", profileName, "-admin", node.addresses["admin"],
-		"-slots", strconv.Itoa(slots), "-conns", strconv.Itoa(c.deployment.conns),
+		"-slots", strconv.Itoa(slots), "-conns", strconv.Itoa(c.deployment.connectionLimit),
 		"-latency", b.config.MeanLatency.String(), "-shape", "lognormal", "-sigma", "0.8",
 		"-seed", strconv.FormatUint(b.config.Seed+uint64(number), 10)) //nolint:gosec // not negative
 	if err != nil {
@@ -174,13 +176,13 @@
 	return err
 }
 
-// settle waits until every node has all targets and the newest profile. It returns an
-// error of kind NotReady after settleTimeout.
-func (c *cluster) settle(ctx context.Context) error {
+// waitUntilReady waits until every node has all targets and the newest profile. It
+// returns an error of kind NotReady after readyTimeout.
+func (c *cluster) waitUntilReady(ctx context.Context) error {
 	timer := c.bench.config.Timer
-	deadline := timer.Now().Add(settleTimeout)
+	deadline := timer.Now().Add(readyTimeout)
 	for _, node := range c.nodes {
-		for !c.isSettled(ctx, node) {
+		for !c.isReady(ctx, node) {
 			if deadline.Reached(timer.Now()) {
 				return carobkind.New(carobkind.NotReady, "node at %s does not have all targets and the newest profile", node.addresses["call"])
 			}
@@ -192,8 +194,8 @@
 	return nil
 }
 
-// isSettled reports whether a node has all targets and the newest profile.
-func (c *cluster) isSettled(ctx context.Context, node *process) bool {
+// isReady reports whether a node has all targets and the newest profile.
+func (c *cluster) isReady(ctx context.Context, node *process) bool {
 	status, err := statusOf(ctx, node)
 	return err == nil && len(status.Targets) == len(c.targets)+len(c.otherTargets) && status.hasProfile(c.profileOffset)
 }
