--- a/internal/carobdemo/demo.go
+++ b/internal/carobdemo/demo.go
@@ -46,23 +46,24 @@
 
 // service is one of the demo's services.
 type service struct {
-	name carobservice.Service
-	once carobguarantee.Guarantee
+	name      carobservice.Service
+	guarantee carobguarantee.Guarantee
 	// rate is the mean number of calls a second.
 	rate float64
-	// keys is the share of calls with an idempotency key.
-	keys carobshare.Share
+	// keyShare is the share of calls with an idempotency key.
+	keyShare carobshare.Share
 }
 
 var services = []service{
-	{name: "lookups", once: carobguarantee.Idempotent, rate: 300},
-	{name: "payouts", once: carobguarantee.OncePerKey, rate: 60, keys: 1},
+	{name: "lookups", guarantee: carobguarantee.Idempotent, rate: 300},
+	{name: "payouts", guarantee: carobguarantee.OncePerKey, rate: 60, keyShare: 1},
 }
 
 const (
 	nodeCount = 4
 	slots     = 12
-	// latency is the mean service time of targets, deadline the one of calls.
+	// latency is the mean service time of targets, and deadline the time for which
+	// callers wait.
 	latency  = 4 * time.Millisecond
 	deadline = 2 * time.Second
 	// slowFactor multiplies the service times of one target in the middle phase.
@@ -96,20 +97,21 @@
 		if err := d.setSlowness(ctx, d.targets[0], phase.factor); err != nil {
 			return err
 		}
-		summaries = append(summaries, d.load(ctx, phase.name)...)
+		summaries = append(summaries, d.runPhase(ctx, phase.name)...)
 	}
 	d.printf("in the phase jump, the first target of lookups takes %d times as long:\n", slowFactor)
 	carobsummary.WriteTable(d.config.Out, summaries...)
 	return d.verify(ctx, summaries)
 }
 
-// load sends one phase of load to all services at once.
-func (d *Demo) load(ctx context.Context, phase string) []*carobsummary.Summary {
+// runPhase sends the load of one phase to all services at once and returns a summary
+// for each service.
+func (d *Demo) runPhase(ctx context.Context, phase string) []*carobsummary.Summary {
 	summaries := make([]*carobsummary.Summary, len(services))
 	var generators sync.WaitGroup
 	for i, service := range services {
 		c := carobloadgenerator.Config{
-			Name: string(service.name) + ", " + phase, Service: service.name, Rate: service.rate, KeyShare: service.keys,
+			Name: string(service.name) + ", " + phase, Service: service.name, Rate: service.rate, KeyShare: service.keyShare,
 			Duration: d.config.PhaseDuration, Deadline: deadline, Seed: d.seed(string(service.name) + phase), RequestSize: 512, Timer: d.timer,
 		}
 		for _, node := range d.nodes {
--- a/pkg/carobcatchup/system.go
+++ b/pkg/carobcatchup/system.go
@@ -9,11 +9,11 @@
 import (
 	"time"
 
-	"github.com/carobknot/carobknot/pkg/carobfetch"
-	"github.com/carobknot/carobknot/pkg/carobfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobinstant"
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/caroboffset"
+	"github.com/carobknot/carobknot/pkg/carobrecordfetch"
+	"github.com/carobknot/carobknot/pkg/carobrecordfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
 	"github.com/carobknot/carobknot/pkg/carobworld"
 )
@@ -39,11 +39,11 @@
 	for i := range world.Inbox.Messages {
 		message := &world.Inbox.Messages[i]
 		switch {
-		case message.Fetch != nil:
+		case message.RecordFetch != nil:
 			sendRecords(world, message)
-		case message.FetchReply != nil:
+		case message.RecordFetchReply != nil:
 			s.fetchDeadline = carobinstant.Never
-			s.fetch(world, now, message, message.FetchReply.ProfilesRead)
+			s.fetch(world, now, message, message.RecordFetchReply.ProfilesRead)
 		case message.Heartbeat != nil:
 			s.fetch(world, now, message, message.Heartbeat.ProfilesRead)
 		}
@@ -61,17 +61,17 @@
 		return
 	}
 	s.fetchDeadline = now.Add(fetchTimeout)
-	world.SendMessage(carobmessage.Message{To: message.ReplyTo, Fetch: &carobfetch.Fetch{From: world.ProfilesRead + 1}})
+	world.SendMessage(carobmessage.Message{To: message.ReplyTo, RecordFetch: &carobrecordfetch.RecordFetch{From: world.ProfilesRead + 1}})
 }
 
 // sendRecords answers a fetch with records, or with a snapshot if this node no
 // longer has one of the records. It does not answer if it has read none of them.
 func sendRecords(world *carobworld.World, message *carobmessage.Message) {
-	if message.Fetch.From > world.ProfilesRead {
+	if message.RecordFetch.From > world.ProfilesRead {
 		return
 	}
-	reply := &carobfetchreply.FetchReply{ProfilesRead: world.ProfilesRead}
-	for offset := message.Fetch.From; offset <= world.ProfilesRead && len(reply.Records) < carobfetchreply.MaxRecords; offset++ {
+	reply := &carobrecordfetchreply.RecordFetchReply{ProfilesRead: world.ProfilesRead}
+	for offset := message.RecordFetch.From; offset <= world.ProfilesRead && len(reply.Records) < carobrecordfetchreply.MaxRecords; offset++ {
 		record := world.RecentChanges.Get(offset)
 		if record == nil {
 			reply.Records, reply.Snapshot = nil, takeSnapshot(world)
@@ -79,7 +79,7 @@
 		}
 		reply.Records = append(reply.Records, *record)
 	}
-	world.SendMessage(carobmessage.Message{To: message.ReplyTo, FetchReply: reply})
+	world.SendMessage(carobmessage.Message{To: message.ReplyTo, RecordFetchReply: reply})
 }
 
 // takeSnapshot returns a pointer to a snapshot of the profiles in force.
--- a/pkg/carobinbox/inbox.go
+++ b/pkg/carobinbox/inbox.go
@@ -5,6 +5,7 @@
 	"github.com/carobknot/carobknot/pkg/carobannouncement"
 	"github.com/carobknot/carobknot/pkg/carobappendresult"
 	"github.com/carobknot/carobknot/pkg/carobarrival"
+	"github.com/carobknot/carobknot/pkg/carobattemptreply"
 	"github.com/carobknot/carobknot/pkg/carobcallid"
 	"github.com/carobknot/carobknot/pkg/carobcheckresult"
 	"github.com/carobknot/carobknot/pkg/carobdelivery"
@@ -13,7 +14,6 @@
 	"github.com/carobknot/carobknot/pkg/carobmessage"
 	"github.com/carobknot/carobknot/pkg/caroboffer"
 	"github.com/carobknot/carobknot/pkg/carobrecord"
-	"github.com/carobknot/carobknot/pkg/carobreply"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
 	"github.com/carobknot/carobknot/pkg/carobstreambounds"
 )
@@ -55,9 +55,9 @@
 
 	// Entry and routing.
 
-	Arrivals   []carobarrival.Arrival
-	Replies    []carobreply.Reply
-	Deliveries []carobdelivery.Delivery
+	Arrivals       []carobarrival.Arrival
+	AttemptReplies []carobattemptreply.AttemptReply
+	Deliveries     []carobdelivery.Delivery
 	// Disconnects are the calls whose callers have disconnected.
 	Disconnects []carobcallid.ID
 }
--- a/pkg/carobmessage/message.go
+++ b/pkg/carobmessage/message.go
@@ -10,13 +10,13 @@
 	"github.com/carobknot/carobknot/pkg/carobdigest"
 	"github.com/carobknot/carobknot/pkg/carobfence"
 	"github.com/carobknot/carobknot/pkg/carobfencereply"
-	"github.com/carobknot/carobknot/pkg/carobfetch"
-	"github.com/carobknot/carobknot/pkg/carobfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobgossip"
 	"github.com/carobknot/carobknot/pkg/carobincarnation"
 	"github.com/carobknot/carobknot/pkg/carobloadprobe"
 	"github.com/carobknot/carobknot/pkg/carobnodeid"
 	"github.com/carobknot/carobknot/pkg/carobpeerheartbeat"
+	"github.com/carobknot/carobknot/pkg/carobrecordfetch"
+	"github.com/carobknot/carobknot/pkg/carobrecordfetchreply"
 	"github.com/carobknot/carobknot/pkg/carobreport"
 	"github.com/carobknot/carobknot/pkg/carobroutefetch"
 	"github.com/carobknot/carobknot/pkg/carobroutetable"
@@ -47,12 +47,12 @@
 	Heartbeat *carobpeerheartbeat.PeerHeartbeat `json:"probe,omitempty"`
 	// Digest lists the versions of the descriptions in one partition of the sender's peer table.
 	Digest *carobdigest.Digest `json:"digest,omitempty"`
-	// Fetch requests profile records, and FetchReply carries them.
-	Fetch      *carobfetch.Fetch           `json:"fetch,omitempty"`
-	FetchReply *carobfetchreply.FetchReply `json:"supply,omitempty"`
+	// RecordFetch requests profile records, and RecordFetchReply carries them.
+	RecordFetch      *carobrecordfetch.RecordFetch           `json:"fetch,omitempty"`
+	RecordFetchReply *carobrecordfetchreply.RecordFetchReply `json:"supply,omitempty"`
 
 	// RouteFetch requests the route table, and RouteTable carries it.
-	RouteFetch *carobroutefetch.Fetch      `json:"routefetch,omitempty"`
+	RouteFetch *carobroutefetch.RouteFetch `json:"routefetch,omitempty"`
 	RouteTable *carobroutetable.RouteTable `json:"routes,omitempty"`
 
 	// Calls and claims.
@@ -62,8 +62,8 @@
 	// FenceReply answers a fence.
 	FenceReply *carobfencereply.FenceReply `json:"fencereply,omitempty"`
 	// Claim requests an idempotency key from its home, and ClaimReply answers.
-	Claim      *carobclaim.Claim      `json:"claim,omitempty"`
-	ClaimReply *carobclaimreply.Reply `json:"claimreply,omitempty"`
+	Claim      *carobclaim.Claim           `json:"claim,omitempty"`
+	ClaimReply *carobclaimreply.ClaimReply `json:"claimreply,omitempty"`
 	// Settlement reports to the home of a key how a call ended, and Settled confirms it.
 	Settlement *carobsettlement.Settlement `json:"settlement,omitempty"`
 	Settled    *carobcallid.ID             `json:"settled,omitempty"`
--- a/pkg/carobfetchreply/fetchreply.go
+++ b/pkg/carobrecordfetchreply/recordfetchreply.go
@@ -1,5 +1,5 @@
-// Package carobfetchreply holds the message that sends profile records to another node.
-package carobfetchreply
+// Package carobrecordfetchreply holds the message that sends profile records to another node.
+package carobrecordfetchreply
 
 import (
 	"github.com/carobknot/carobknot/pkg/carobkind"
@@ -8,8 +8,8 @@
 	"github.com/carobknot/carobknot/pkg/carobsnapshot"
 )
 
-// FetchReply answers a request for profile records.
-type FetchReply struct {
+// RecordFetchReply answers a request for profile records.
+type RecordFetchReply struct {
 	// Records have consecutive offsets, beginning with the requested one.
 	Records []carobrecord.Record `json:"records,omitempty"`
 	// Snapshot replaces the records if the sender no longer has all of them; nil
@@ -24,13 +24,13 @@
 
 // Check returns an error of kind Invalid if the records are too many or not consecutive,
 // or the snapshot is out of bounds.
-func (f FetchReply) Check() error {
+func (f RecordFetchReply) Check() error {
 	if len(f.Records) > MaxRecords {
-		return carobkind.New(carobkind.Invalid, "fetch reply: more than %d records", MaxRecords)
+		return carobkind.New(carobkind.Invalid, "record fetch reply: more than %d records", MaxRecords)
 	}
 	for i, rc := range f.Records {
 		if rc.Offset < 0 || rc.Offset != f.Records[0].Offset+caroboffset.Offset(i) {
-			return carobkind.New(carobkind.Invalid, "fetch reply: record %d is out of order", rc.Offset)
+			return carobkind.New(carobkind.Invalid, "record fetch reply: record %d is out of order", rc.Offset)
 		}
 	}
 	if f.Snapshot != nil {
